--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -1,6 +1,6 @@
 //! What admission costs: a decision by a table, and making a table, with 10, 100 and 1,000 pairs of teams and classes.
 
-use caperstile::units::{Duration, JobId, Time, Token};
+use caperstile::types::{Duration, FencingToken, JobId, Timestamp};
 use caperstile_admission::{AdmissionControl, AdmissionPolicy, AdmissionTable, Submission, Utilization};
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
@@ -12,18 +12,18 @@
 }
 
 /// A leader that is overloaded by all pairs; it has made a table.
-fn overloaded(names: &[(String, String)]) -> (AdmissionControl, Time) {
-    let mut control = AdmissionControl::new(Token(7), Time(0), AdmissionPolicy::default());
-    let mut now = Time(0);
+fn overloaded(names: &[(String, String)]) -> (AdmissionControl, Timestamp) {
+    let mut control = AdmissionControl::new(FencingToken(7), Timestamp::ZERO, AdmissionPolicy::default());
+    let mut now = Timestamp::ZERO;
     let mut job = 0;
     for _ in 0..60 {
-        now = now + Duration(1_000);
+        now = now + Duration::from_secs(1);
         for (team, class) in names.iter().chain(names) {
             job += 1;
             control.decide(now, &Submission { job: JobId(job), team, class }, 4);
             control.accepted(now, JobId(job));
         }
-        control.observe(now, Utilization(1.0), Duration(800));
+        control.observe(now, Utilization(1.0), Duration::from_millis(800));
         control.tick(now);
     }
     (control, now)
@@ -48,7 +48,7 @@
         group.bench_with_input(BenchmarkId::new("making a table", pairs), &names, |b, names| {
             b.iter_batched(
                 || overloaded(names).0,
-                |mut control| black_box(control.tick(now + Duration(1_000)).is_some()),
+                |mut control| black_box(control.tick(now + Duration::from_secs(1)).is_some()),
                 BatchSize::LargeInput,
             );
         });
--- a/benches/plan.rs
+++ b/benches/plan.rs
@@ -3,7 +3,7 @@
 use caperstile::intake::{JobStore, parse_job};
 use caperstile::plan::{Entry, Order, Plans, Profile, Server, World, Zones};
 use caperstile::records::Record;
-use caperstile::units::{Duration, JobId, MachineId, Resources, Time, Wall};
+use caperstile::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
 use criterion::{Bencher, Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -12,7 +12,7 @@
 
 impl World for Like {
     fn profile(&self, _: JobId) -> Option<Profile> {
-        let kinds = vec![Some((Duration(30_000), Duration(34_000)))];
+        let kinds = vec![Some((Duration::from_secs(30), Duration::from_secs(34)))];
         Some(Profile { kinds, zone: None, spot: true, avoid: Vec::new(), image: 1 })
     }
     fn zones(&self, _: JobId, _: &BTreeMap<usize, u32>) -> Zones {
@@ -27,11 +27,11 @@
     let server = |id: u64| Server {
         id: MachineId(id),
         free: room(16 - busy),
-        releases: (0..busy).map(|n| (Time(5000 * n + id * 7), room(1))).collect(),
+        releases: (0..busy).map(|n| (Timestamp::from_millis(5000 * n + id * 7), room(1))).collect(),
         images: if id.is_multiple_of(2) { vec![1] } else { vec![] },
         ..Server::default()
     };
-    plans.admit(Time(0), (0..count).map(server).collect());
+    plans.admit(Timestamp::ZERO, (0..count).map(server).collect());
     plans
 }
 
@@ -41,9 +41,9 @@
         order: Order { rank: 1 + (seq % 3) as u8, seq },
         count: 1,
         need: Resources { cpus: 2000, gpus: 0, memory: 6000 },
-        run: Duration(0),
+        run: Duration::ZERO,
         endless: false,
-        deadline: Time(60_000 + seq * 1000),
+        deadline: Timestamp::from_millis(60_000 + seq * 1000),
         constrained: false,
         gang: false,
         pushes_aside: None,
@@ -54,7 +54,7 @@
 /// Places one more job and takes it out again.
 fn one_more(b: &mut Bencher, plans: &mut Plans, tasks: u32) {
     b.iter(|| {
-        black_box(plans.place(Time(0), job(1000), tasks, &Like));
+        black_box(plans.place(Timestamp::ZERO, job(1000), tasks, &Like));
         plans.remove_job(JobId(1000));
     });
 }
@@ -64,14 +64,14 @@
         b.iter(|| {
             let mut plans = machines(40, 0);
             for seq in 0..40 {
-                black_box(plans.place(Time(0), job(seq), 14, &Like));
+                black_box(plans.place(Timestamp::ZERO, job(seq), 14, &Like));
             }
         });
     });
     c.bench_function("one more job behind a burst", |b| {
         let mut plans = machines(40, 0);
         for seq in 0..60 {
-            plans.place(Time(0), job(seq), 14, &Like);
+            plans.place(Timestamp::ZERO, job(seq), 14, &Like);
         }
         one_more(b, &mut plans, 14);
     });
@@ -86,7 +86,7 @@
     c.bench_function("a job of 70 tasks behind a backlog on 1,000 full machines", |b| {
         let mut plans = machines(1000, 16);
         for seq in 0..100 {
-            plans.place(Time(0), job(seq), 100, &Like);
+            plans.place(Timestamp::ZERO, job(seq), 100, &Like);
         }
         one_more(b, &mut plans, 70);
     });
@@ -96,9 +96,15 @@
     let body = br#"{"Ref":"job-000412","Lane":"render","Crew":"crew","Shape":"batch","Rank":"urgent","Pieces":16,
         "Cores":8.0,"Cards":1.0,"MemoryGb":64.0,"Reel":"img-07","ImageGb":6.2,"Builds":["g8"],"Yard":null,"Together":true,
         "Spread":false,"Loaners":true,"RuntimeS":240.0,"BookmarkS":30.0,"StashS":4.0,"DueS":900.0}"#;
-    c.bench_function("a submission's form", |b| b.iter(|| black_box(parse_job(body, Wall(0)).is_ok())));
+    c.bench_function("a submission's form", |b| {
+        b.iter(|| black_box(parse_job(body, WallClock::from_millis(0)).is_ok()))
+    });
     let mut book = JobStore::default();
-    book.apply(&Record::Finals((0..10_000).map(|_| (1, 3)).collect(), vec![]), Time(0), Wall(0));
+    book.apply(
+        &Record::Finals((0..10_000).map(|_| (1, 3)).collect(), vec![]),
+        Timestamp::ZERO,
+        WallClock::from_millis(0),
+    );
     c.bench_function("a poll of a job that is over", |b| b.iter(|| black_box(book.state(JobId(5000)))));
 }
 
--- a/crates/admission/src/backlog.rs
+++ b/crates/admission/src/backlog.rs
@@ -2,15 +2,15 @@
 
 use crate::decay;
 use crate::submission::Pair;
-use caperstile_units::{Duration, Time};
+use caperstile_types::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// Starts this long ago count 1/e of those now.
-const TIME_CONSTANT: Duration = Duration(20_000);
+const TIME_CONSTANT: Duration = Duration::from_secs(20);
 /// Before anything has waited for so long there is no backlog.
-const SETTLED: Duration = Duration(8_000);
+const SETTLED: Duration = Duration::from_secs(8);
 /// The same while hardly anything is started: machines are still booting.
-const BOOTING: Duration = Duration(45_000);
+const BOOTING: Duration = Duration::from_secs(45);
 /// Tasks per second below which hardly anything is started.
 const FEW_STARTS: f64 = 0.5;
 /// Below this part of the longest wait nothing is limited.
@@ -22,7 +22,7 @@
     /// Tasks that wait for a machine.
     pub waiting_tasks: u64,
     /// When the oldest job of which nothing has begun was submitted.
-    pub oldest: Option<Time>,
+    pub oldest: Option<Timestamp>,
     /// How long its jobs may wait for machines.
     pub longest_wait: Duration,
 }
@@ -32,13 +32,13 @@
 pub struct BacklogMeter {
     starts: BTreeMap<Pair, f64>,
     waiting: BTreeMap<Pair, PairBacklog>,
-    decayed_at: Time,
+    decayed_at: Timestamp,
 }
 
 impl BacklogMeter {
     /// A task of this pair was started.
     pub fn started(&mut self, pair: &Pair) {
-        let rate = 1.0 / TIME_CONSTANT.as_secs();
+        let rate = 1.0 / TIME_CONSTANT.as_secs_f64();
         match self.starts.get_mut(pair) {
             Some(starts) => *starts += rate,
             None => {
@@ -48,7 +48,7 @@
     }
 
     /// What waits now, of all pairs that have anything waiting.
-    pub fn observe(&mut self, now: Time, waiting: BTreeMap<Pair, PairBacklog>) {
+    pub fn observe(&mut self, now: Timestamp, waiting: BTreeMap<Pair, PairBacklog>) {
         let kept = decay::kept(now.since(self.decayed_at), TIME_CONSTANT);
         self.decayed_at = now;
         self.starts.values_mut().for_each(|starts| *starts *= kept);
@@ -57,18 +57,18 @@
     }
 
     /// How long the tasks of a job that comes now are predicted to wait; `None` without a backlog.
-    pub fn predicted_wait(&self, now: Time, pair: &Pair) -> Option<Duration> {
+    pub fn predicted_wait(&self, now: Timestamp, pair: &Pair) -> Option<Duration> {
         let backlog = self.waiting.get(pair)?;
         let starts = self.starts.get(pair).copied().unwrap_or(0.0);
         let settles_in = if starts < FEW_STARTS { BOOTING } else { SETTLED };
         let settled = backlog.oldest.is_some_and(|oldest| now.since(oldest) >= settles_in);
-        settled.then(|| Duration::secs(backlog.waiting_tasks as f64 / starts))
+        settled.then(|| Duration::from_secs_f64(backlog.waiting_tasks as f64 / starts))
     }
 
     /// Tasks per second that may be admitted of a pair, so that its jobs come to wait for as long as they may; `None`: all.
-    pub fn admissible(&self, now: Time, pair: &Pair) -> Option<f64> {
-        let wait = self.predicted_wait(now, pair)?.as_secs();
-        let longest = self.waiting.get(pair)?.longest_wait.as_secs();
+    pub fn admissible(&self, now: Timestamp, pair: &Pair) -> Option<f64> {
+        let wait = self.predicted_wait(now, pair)?.as_secs_f64();
+        let longest = self.waiting.get(pair)?.longest_wait.as_secs_f64();
         if wait < longest * LIMITED_FROM {
             return None;
         }
--- a/crates/admission/src/control.rs
+++ b/crates/admission/src/control.rs
@@ -8,21 +8,21 @@
 use crate::report::DemandReport;
 use crate::submission::{OTHER_CLASSES, Pair, Submission};
 use crate::table::{AdmissionTable, DRAW_LENGTH, Decision, Ratio, TableEntry, TableNumber};
-use caperstile_units::{Duration, JobId, Time, Token};
+use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use roaring::RoaringTreemap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
 /// How often a table is made while something is refused.
-pub const PUBLISH_EVERY: Duration = Duration(1_000);
+pub const PUBLISH_EVERY: Duration = Duration::from_secs(1);
 /// A pair below this ratio is refused; above it the estimate of its demand is no more exact than the difference.
 const WORTH_REFUSING: f64 = 0.9;
 /// So long a new leader takes to know the demand.
-const WARM_UP: Duration = Duration(5_000);
+const WARM_UP: Duration = Duration::from_secs(5);
 /// A refusal is over once nothing was refused for so long.
-const REFUSAL_OVER: Duration = Duration(10_000);
+const REFUSAL_OVER: Duration = Duration::from_secs(10);
 /// Users repeat a submission for a minute; accepted jobs are named in the tables for a little longer.
-const REPEATED_FOR: Duration = Duration(65_000);
+const REPEATED_FOR: Duration = Duration::from_secs(65);
 /// Accepted jobs that are remembered at the most.
 const MOST_ACCEPTED: usize = 16_384;
 
@@ -49,7 +49,7 @@
     /// The share that is admitted.
     pub ratio: Ratio,
     /// Since when some are refused.
-    pub refused_since: Option<Time>,
+    pub refused_since: Option<Timestamp>,
 }
 
 impl fmt::Display for PairStatus {
@@ -57,7 +57,7 @@
         let (pair, share) = (&self.pair, self.ratio.share());
         write!(f, "pair={pair} ratio={share:.3} demanded={:.2} admitted={:.2}", self.demanded, self.admitted)?;
         match self.predicted_wait {
-            Some(wait) => write!(f, " predicted_wait_s={:.0}", wait.as_secs()),
+            Some(wait) => write!(f, " predicted_wait_s={:.0}", wait.as_secs_f64()),
             None => Ok(()),
         }
     }
@@ -71,18 +71,18 @@
     regulator: CapacityRegulator,
     demand: DemandMeter,
     backlog: BacklogMeter,
-    accepted: VecDeque<(Time, JobId)>,
+    accepted: VecDeque<(Timestamp, JobId)>,
     refused_since: BTreeMap<Pair, Refused>,
     changes: Vec<Change>,
-    published_at: Time,
-    drawn_at: Time,
+    published_at: Timestamp,
+    drawn_at: Timestamp,
     /// Until then the ratios of the leader before count too.
-    warm_at: Time,
+    warm_at: Timestamp,
 }
 
 impl AdmissionControl {
     /// A leader that has just been elected refuses nothing.
-    pub fn new(token: Token, now: Time, policy: AdmissionPolicy) -> AdmissionControl {
+    pub fn new(token: FencingToken, now: Timestamp, policy: AdmissionPolicy) -> AdmissionControl {
         AdmissionControl {
             policy,
             table: AdmissionTable::open(TableNumber { token, sequence: 0 }, 0),
@@ -100,7 +100,7 @@
 
     /// Goes on with the limit and the ratios of the leader before, until it knows the demand itself. Those who had to wait while nobody
     /// led come all at once.
-    pub fn inherit(&mut self, now: Time, table: &AdmissionTable) {
+    pub fn inherit(&mut self, now: Timestamp, table: &AdmissionTable) {
         if !self.policy.enabled {
             return;
         }
@@ -109,7 +109,7 @@
         }
         self.table = table.renumbered(self.table.number);
         self.warm_at = now + WARM_UP;
-        self.published_at = Time(now.0.saturating_sub(PUBLISH_EVERY.0));
+        self.published_at = now.saturating_sub(PUBLISH_EVERY);
     }
 
     /// Other settings come into force with the next table.
@@ -128,7 +128,7 @@
     }
 
     /// Decides on a submission that has reached the leader, and counts it.
-    pub fn decide(&mut self, now: Time, submission: &Submission, tasks: u32) -> Decision {
+    pub fn decide(&mut self, now: Timestamp, submission: &Submission, tasks: u32) -> Decision {
         let pair = Pair::new(submission.team, submission.class);
         self.demand.asked(now, &pair, 1, tasks);
         let decision = self.table.decide(submission);
@@ -139,14 +139,14 @@
     }
 
     /// Another node refused these.
-    pub fn refused_elsewhere(&mut self, now: Time, report: &DemandReport) {
+    pub fn refused_elsewhere(&mut self, now: Timestamp, report: &DemandReport) {
         for (pair, refused) in report.pairs() {
             self.demand.asked(now, pair, refused.jobs, refused.tasks);
         }
     }
 
     /// A job was accepted, durably: a repeat of its submission must not be refused.
-    pub fn accepted(&mut self, now: Time, job: JobId) {
+    pub fn accepted(&mut self, now: Timestamp, job: JobId) {
         self.accepted.push_back((now, job));
         while self.accepted.len() > MOST_ACCEPTED
             || self.accepted.front().is_some_and(|(at, _)| now.since(*at) > REPEATED_FOR)
@@ -156,7 +156,7 @@
     }
 
     /// Takes a measurement of how busy this node was for the last second, and how long its inputs wait.
-    pub fn observe(&mut self, now: Time, utilization: Utilization, queueing: Duration) {
+    pub fn observe(&mut self, now: Timestamp, utilization: Utilization, queueing: Duration) {
         self.demand.decay(now);
         self.regulator.observe(now, utilization, queueing, self.demand.demanded(), self.demand.admitted_rate());
     }
@@ -167,17 +167,17 @@
     }
 
     /// Whether it wants to be told what waits, before the next `tick`.
-    pub fn wants_backlog(&self, now: Time) -> bool {
+    pub fn wants_backlog(&self, now: Timestamp) -> bool {
         now.since(self.published_at) >= PUBLISH_EVERY
     }
 
     /// What waits for machines, of all pairs whose jobs end by themselves.
-    pub fn observe_backlog(&mut self, now: Time, waiting: BTreeMap<Pair, PairBacklog>) {
+    pub fn observe_backlog(&mut self, now: Timestamp, waiting: BTreeMap<Pair, PairBacklog>) {
         self.backlog.observe(now, waiting);
     }
 
     /// Lets time pass; a new table when one is due. While nothing is refused there is none.
-    pub fn tick(&mut self, now: Time) -> Option<&AdmissionTable> {
+    pub fn tick(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
         if now.since(self.published_at) < PUBLISH_EVERY {
             return None;
         }
@@ -213,16 +213,16 @@
     }
 
     /// What each pair asks for and gets.
-    pub fn status(&self, now: Time) -> Vec<PairStatus> {
+    pub fn status(&self, now: Timestamp) -> Vec<PairStatus> {
         self.demand.pairs().map(|(pair, demand)| self.pair_status(now, pair, demand)).collect()
     }
 
     /// What one pair asks for and gets.
-    pub fn status_of(&self, now: Time, pair: &Pair) -> Option<PairStatus> {
+    pub fn status_of(&self, now: Timestamp, pair: &Pair) -> Option<PairStatus> {
         self.demand.pair(pair).map(|demand| self.pair_status(now, pair, demand))
     }
 
-    fn pair_status(&self, now: Time, pair: &Pair, demand: &PairDemand) -> PairStatus {
+    fn pair_status(&self, now: Timestamp, pair: &Pair, demand: &PairDemand) -> PairStatus {
         PairStatus {
             pair: pair.clone(),
             demanded: demand.demanded,
@@ -234,7 +234,7 @@
     }
 
     /// What each pair may ask for: no more than brings its backlog to the longest wait.
-    fn admissible_demand(&self, now: Time, pair: &Pair, demand: &PairDemand) -> f64 {
+    fn admissible_demand(&self, now: Timestamp, pair: &Pair, demand: &PairDemand) -> f64 {
         let bounded = match self.policy.backlog_bound {
             BacklogBound::Never => false,
             BacklogBound::WhileOverloaded => self.regulator.limit().is_some(),
@@ -247,7 +247,7 @@
     }
 
     /// Divides the limit among teams and their classes; the pairs that get clearly less than they ask for.
-    fn entries(&mut self, now: Time) -> Vec<TableEntry> {
+    fn entries(&mut self, now: Timestamp) -> Vec<TableEntry> {
         if !self.policy.enabled {
             return Vec::new();
         }
@@ -294,27 +294,27 @@
 
     /// Admits pairs in full that have gone without an admitted job for too long: those that wait longest, and no more of them than the
     /// limit carries until the next table.
-    fn serve_the_starved(&self, now: Time, entries: &mut Vec<TableEntry>) {
+    fn serve_the_starved(&self, now: Timestamp, entries: &mut Vec<TableEntry>) {
         // Followers refuse most of what a pair asks for, so that it counts as asking all the time while it is refused.
         let unserved_since = |pair: &Pair| {
             let refused = self.refused_since.get(pair).map_or(now, |refused| refused.since);
             let admitted = self.demand.pair(pair).and_then(|demand| demand.admitted_at);
             admitted.map_or(refused, |admitted| admitted.max(refused))
         };
-        let mut starved: Vec<(Time, Pair)> = entries
+        let mut starved: Vec<(Timestamp, Pair)> = entries
             .iter()
             .map(|entry| (unserved_since(&entry.pair), entry.pair.clone()))
             .filter(|(since, _)| now.since(*since) >= self.policy.max_wait)
             .collect();
         starved.sort();
-        let carried = self.regulator.limit().unwrap_or(f64::MAX).max(FLOOR) * PUBLISH_EVERY.as_secs();
+        let carried = self.regulator.limit().unwrap_or(f64::MAX).max(FLOOR) * PUBLISH_EVERY.as_secs_f64();
         starved.truncate(carried.ceil() as usize);
         entries.retain(|entry| !starved.iter().any(|(_, pair)| *pair == entry.pair));
     }
 
     /// Notes which pairs are refused. A refusal is over only after some time without: a pair at its limit would else be said to begin and
     /// cease with every table.
-    fn note_changes(&mut self, now: Time, entries: &[TableEntry]) {
+    fn note_changes(&mut self, now: Timestamp, entries: &[TableEntry]) {
         for entry in entries.iter().filter(|entry| entry.ratio < Ratio::ALL) {
             match self.refused_since.get_mut(&entry.pair) {
                 Some(refused) => refused.last = now,
@@ -352,6 +352,6 @@
 /// When submissions of a pair were refused, first and last.
 #[derive(Debug, Clone, Copy)]
 struct Refused {
-    since: Time,
-    last: Time,
+    since: Timestamp,
+    last: Timestamp,
 }
--- a/crates/admission/src/demand.rs
+++ b/crates/admission/src/demand.rs
@@ -2,13 +2,13 @@
 
 use crate::decay;
 use crate::submission::{Cost, OTHER_CLASSES, Pair};
-use caperstile_units::{Duration, Time};
+use caperstile_types::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
 /// What a pair did this long ago counts 1/e of what it does now.
-const TIME_CONSTANT: Duration = Duration(5_000);
+const TIME_CONSTANT: Duration = Duration::from_secs(5);
 /// A pair that has asked for nothing for so long is forgotten.
-const FORGET_AFTER: Duration = Duration(120_000);
+const FORGET_AFTER: Duration = Duration::from_secs(120);
 /// Pairs that are kept apart, and classes of one team; what comes beyond shares an entry of its team.
 const MOST_PAIRS: usize = 4_096;
 const MOST_CLASSES: usize = 32;
@@ -23,8 +23,8 @@
     /// Cost per second that was admitted.
     pub(crate) admitted: f64,
     /// When one of its submissions was admitted last.
-    pub(crate) admitted_at: Option<Time>,
-    asked_at: Time,
+    pub(crate) admitted_at: Option<Timestamp>,
+    asked_at: Timestamp,
 }
 
 /// Meters the demand of all pairs.
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     pairs: BTreeMap<Pair, PairDemand>,
-    decayed_at: Time,
+    decayed_at: Timestamp,
 }
 
 impl DemandMeter {
@@ -47,29 +47,29 @@
         self.pairs.range(from..).take_while(|(pair, _)| pair.team == team).count()
     }
 
-    fn entry(&mut self, now: Time, pair: &Pair) -> &mut PairDemand {
+    fn entry(&mut self, now: Timestamp, pair: &Pair) -> &mut PairDemand {
         let fresh = PairDemand { demanded: 0.0, demanded_tasks: 0.0, admitted: 0.0, admitted_at: None, asked_at: now };
         let key = self.key(pair);
         self.pairs.entry(key).or_insert(fresh)
     }
 
     /// Submissions of this pair arrived here, or were refused by another node: so many jobs, with so many tasks all together.
-    pub fn asked(&mut self, now: Time, pair: &Pair, jobs: u32, tasks: u32) {
+    pub fn asked(&mut self, now: Timestamp, pair: &Pair, jobs: u32, tasks: u32) {
         let entry = self.entry(now, pair);
         entry.asked_at = now;
-        entry.demanded += Cost::of_jobs(jobs, tasks).0 / TIME_CONSTANT.as_secs();
-        entry.demanded_tasks += f64::from(tasks) / TIME_CONSTANT.as_secs();
+        entry.demanded += Cost::of_jobs(jobs, tasks).0 / TIME_CONSTANT.as_secs_f64();
+        entry.demanded_tasks += f64::from(tasks) / TIME_CONSTANT.as_secs_f64();
     }
 
     /// A submission of this pair was admitted.
-    pub fn admitted(&mut self, now: Time, pair: &Pair, tasks: u32) {
+    pub fn admitted(&mut self, now: Timestamp, pair: &Pair, tasks: u32) {
         let entry = self.entry(now, pair);
         entry.admitted_at = Some(now);
-        entry.admitted += Cost::of_jobs(1, tasks).0 / TIME_CONSTANT.as_secs();
+        entry.admitted += Cost::of_jobs(1, tasks).0 / TIME_CONSTANT.as_secs_f64();
     }
 
     /// Lets time pass.
-    pub fn decay(&mut self, now: Time) {
+    pub fn decay(&mut self, now: Timestamp) {
         let kept = decay::kept(now.since(self.decayed_at), TIME_CONSTANT);
         self.decayed_at = now;
         for pair in self.pairs.values_mut() {
--- a/crates/admission/src/hash.rs
+++ b/crates/admission/src/hash.rs
@@ -1,6 +1,6 @@
 //! Hashes that are the same on every controller and in every version.
 
-use caperstile_units::JobId;
+use caperstile_types::JobId;
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,6 +1,6 @@
 //! Operators' settings of admission, read from sections of their INI file.
 
-use caperstile_units::Duration;
+use caperstile_types::Duration;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SECTION: &str = "admission";
@@ -50,7 +50,7 @@
         AdmissionPolicy {
             enabled: true,
             backlog_bound: BacklogBound::WhileOverloaded,
-            max_wait: Duration(20_000),
+            max_wait: Duration::from_secs(20),
             weights: BTreeMap::new(),
         }
     }
@@ -102,7 +102,7 @@
         match key {
             "enabled" => self.enabled = yes_or_no(value).map_err(error)?,
             "bound_backlog" => self.backlog_bound = BacklogBound::parse(value).map_err(error)?,
-            "max_wait_s" => self.max_wait = Duration::secs(within(value, WAITS_S).map_err(error)?),
+            "max_wait_s" => self.max_wait = Duration::from_secs_f64(within(value, WAITS_S).map_err(error)?),
             _ => return Err(error("not a known setting".into())),
         }
         Ok(())
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,6 +1,6 @@
 //! What waits for one controller: a bounded queue for each class of requests, served by priority with a least share for all.
 
-use caperstile_units::{Duration, Time};
+use caperstile_types::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 /// Classes of requests, most important first.
@@ -25,13 +25,18 @@
 const LEAST_SHARE: [u32; CLASSES] = [0, 4, 8, 8, 16];
 
 /// How long those who ask wait for an answer; afterwards nobody would read it.
-const PATIENCE: [Option<Duration>; CLASSES] =
-    [None, Some(Duration(4_000)), Some(Duration(5_000)), Some(Duration(2_000)), Some(Duration(5_000))];
+const PATIENCE: [Option<Duration>; CLASSES] = [
+    None,
+    Some(Duration::from_secs(4)),
+    Some(Duration::from_secs(5)),
+    Some(Duration::from_secs(2)),
+    Some(Duration::from_secs(5)),
+];
 
 /// Time in the queue that is acceptable in the long run, for classes that may be shed.
-const TARGET: Duration = Duration(500);
+const TARGET: Duration = Duration::from_millis(500);
 /// A queue whose requests have waited longer than `TARGET` for so long does not get shorter by itself.
-const INTERVAL: Duration = Duration(2_000);
+const INTERVAL: Duration = Duration::from_secs(2);
 
 /// Why a request is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,12 +58,12 @@
 
 #[derive(Debug)]
 struct ClassQueue<T> {
-    waiting: VecDeque<(Time, T)>,
+    waiting: VecDeque<(Timestamp, T)>,
     capacity: usize,
     /// Requests of more important classes that were served while some waited here.
     passed_over: u32,
     /// Since when every request has waited for longer than the target.
-    above_target_since: Option<Time>,
+    above_target_since: Option<Timestamp>,
 }
 
 /// Requests that wait for one controller.
@@ -90,7 +95,7 @@
     }
 
     /// Adds a request; gives it back if its class has no room. What the node itself waits for always has.
-    pub fn push(&mut self, now: Time, class: RequestClass, request: T) -> Result<(), T> {
+    pub fn push(&mut self, now: Timestamp, class: RequestClass, request: T) -> Result<(), T> {
         let queue = &mut self.classes[class as usize];
         if class != RequestClass::Internal && queue.waiting.len() >= queue.capacity {
             return Err(request);
@@ -100,7 +105,7 @@
     }
 
     /// Takes the next request.
-    pub fn pop(&mut self, now: Time) -> Option<Popped<T>> {
+    pub fn pop(&mut self, now: Timestamp) -> Option<Popped<T>> {
         let class = self.next_class()?;
         for lower in class + 1..CLASSES {
             if !self.classes[lower].waiting.is_empty() {
@@ -133,7 +138,7 @@
 
 impl<T> ClassQueue<T> {
     /// Whether the request that has waited so long is shed.
-    fn sheds(&mut self, now: Time, waited: Duration) -> bool {
+    fn sheds(&mut self, now: Timestamp, waited: Duration) -> bool {
         if waited < TARGET {
             self.above_target_since = None;
             return false;
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of admission, as it is kept in the state service.
 
 use crate::control::PairStatus;
-use caperstile_units::{Time, Token, Wall};
+use caperstile_types::{FencingToken, Timestamp, WallClock};
 use serde::{Deserialize, Serialize};
 
 /// The key that it is kept under.
@@ -11,11 +11,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionStatus {
     /// The leader's token.
-    pub token: Token,
+    pub token: FencingToken,
     /// Number of the table in force among that leader's.
     pub sequence: u64,
     /// When this was written.
-    pub at: Wall,
+    pub at: WallClock,
     /// Cost per second that is admitted at the most; none: everything.
     #[serde(default)]
     pub limit: Option<f64>,
@@ -48,10 +48,10 @@
 
 impl RefusedPair {
     /// What is shown of a pair; `None` if nothing of it is refused.
-    pub fn of(status: &PairStatus, now: Time) -> Option<RefusedPair> {
+    pub fn of(status: &PairStatus, now: Timestamp) -> Option<RefusedPair> {
         let since = status.refused_since?;
         // A wait without end is no number in JSON.
-        let wait = status.predicted_wait.map(|wait| wait.as_secs()).filter(|seconds| seconds.is_finite());
+        let wait = status.predicted_wait.map(|wait| wait.as_secs_f64()).filter(|seconds| seconds.is_finite());
         Some(RefusedPair {
             team: status.pair.team.clone(),
             class: status.pair.class.clone(),
@@ -59,7 +59,7 @@
             demanded: rounded(status.demanded),
             admitted: rounded(status.admitted),
             predicted_wait_s: wait.map(f64::round),
-            refused_for_s: now.since(since).as_secs().round(),
+            refused_for_s: now.since(since).as_secs_f64().round(),
         })
     }
 }
--- a/crates/admission/src/submission.rs
+++ b/crates/admission/src/submission.rs
@@ -1,6 +1,6 @@
 //! What admission looks at of a submission.
 
-use caperstile_units::JobId;
+use caperstile_types::JobId;
 use std::fmt;
 
 /// Tasks that cost the controllers about as much as a job of its own: starts, reports and commits of each task against the
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -3,7 +3,7 @@
 use crate::codec::{self, DecodeError};
 use crate::hash::{self, Purpose};
 use crate::submission::{OTHER_CLASSES, Pair, Submission};
-use caperstile_units::{Duration, JobId, Token};
+use caperstile_types::{Duration, FencingToken, JobId};
 use roaring::RoaringTreemap;
 use std::collections::BTreeMap;
 use zerocopy::byteorder::little_endian::{U16, U32, U64};
@@ -14,7 +14,7 @@
 /// Refused users come back after a time between this and twice this.
 const RETRY_AFTER_S: u16 = 8;
 /// Users come back in a later draw than the one that refused them, or the answer would be the same.
-pub(crate) const DRAW_LENGTH: Duration = Duration(RETRY_AFTER_S as u64 * 1000);
+pub(crate) const DRAW_LENGTH: Duration = Duration::from_millis(RETRY_AFTER_S as u64 * 1000);
 
 /// Parts of a unit of cost in which limits are encoded.
 const LIMIT_UNIT: f64 = 1000.0;
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableNumber {
     /// Fencing token of the leader that made it.
-    pub token: Token,
+    pub token: FencingToken,
     /// Its number among that leader's tables.
     pub sequence: u64,
 }
@@ -198,7 +198,7 @@
         if header.layout.get() != LAYOUT {
             return Err(DecodeError::Layout(header.layout.get()));
         }
-        let number = TableNumber { token: Token(header.token.get()), sequence: header.sequence.get() };
+        let number = TableNumber { token: FencingToken(header.token.get()), sequence: header.sequence.get() };
         let mut entries = Vec::new();
         for _ in 0..header.entries.get() {
             let (entry, after) = EntryHeader::read_from_prefix(rest).map_err(|_| DecodeError::Truncated)?;
--- a/crates/admission/tests/control.rs
+++ b/crates/admission/tests/control.rs
@@ -4,12 +4,12 @@
     AdmissionControl, AdmissionPolicy, AdmissionTable, BacklogBound, Decision, DemandReport, Pair, PairBacklog,
     Submission, TableView, Utilization,
 };
-use caperstile_units::{Duration, JobId, Time, Token};
+use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TOKEN: Token = Token(7);
+const TOKEN: FencingToken = FencingToken(7);
 const BUSY: Utilization = Utilization(1.0);
-const QUEUEING: Duration = Duration(800);
+const QUEUEING: Duration = Duration::from_millis(800);
 const IDLE: Utilization = Utilization(0.3);
 
 /// A class of a team that submits so many jobs a second, each with so many tasks.
@@ -45,7 +45,7 @@
 impl Cluster {
     fn new(followers: usize, flows: &[Flow], policy: AdmissionPolicy) -> Cluster {
         Cluster {
-            control: AdmissionControl::new(TOKEN, Time(0), policy),
+            control: AdmissionControl::new(TOKEN, Timestamp::ZERO, policy),
             views: (0..followers).map(|n| (TableView::default(), n as u64)).collect(),
             delayed: Vec::new(),
             now: 0,
@@ -83,7 +83,7 @@
                         let (last, longest, count) = &mut self.served[index];
                         *longest = (*longest).max(self.now - *last);
                         (*last, *count) = (self.now, *count + 1);
-                        self.control.accepted(Time(self.now), JobId(job));
+                        self.control.accepted(Timestamp::from_millis(self.now), JobId(job));
                     }
                     Decision::Refuse { retry_after_s } => {
                         let again = self.now / 1_000 + u64::from(retry_after_s);
@@ -94,12 +94,12 @@
                 }
             }
             for report in &reports {
-                self.control.refused_elsewhere(Time(self.now), report);
+                self.control.refused_elsewhere(Timestamp::from_millis(self.now), report);
             }
             let utilization = load(admitted);
-            let queueing = if utilization >= BUSY { QUEUEING } else { Duration(50) };
-            self.control.observe(Time(self.now), utilization, queueing);
-            if let Some(table) = self.control.tick(Time(self.now)).cloned() {
+            let queueing = if utilization >= BUSY { QUEUEING } else { Duration::from_millis(50) };
+            self.control.observe(Timestamp::from_millis(self.now), utilization, queueing);
+            if let Some(table) = self.control.tick(Timestamp::from_millis(self.now)).cloned() {
                 for (index, (_, delay)) in self.views.iter().enumerate() {
                     self.delayed.push((self.now + delay * 1_000, index, table.clone()));
                 }
@@ -107,7 +107,7 @@
             self.changes += self.control.take_changes().len() as u32;
             let now = self.now;
             for (_, index, table) in self.delayed.extract_if(.., |(at, ..)| *at <= now) {
-                self.views[index].0.receive(Time(now), table);
+                self.views[index].0.receive(Timestamp::from_millis(now), table);
             }
         }
         for (last, longest, _) in &mut self.served {
@@ -118,7 +118,7 @@
     /// A submission at this node: the leader is the last one.
     fn decide(&mut self, node: usize, submission: &Submission, tasks: u32, reports: &mut [DemandReport]) -> Decision {
         if let Some((view, _)) = self.views.get(node)
-            && let Some(table) = view.in_force(Time(self.now), TOKEN)
+            && let Some(table) = view.in_force(Timestamp::from_millis(self.now), TOKEN)
         {
             let (number, decision) = (table.number.sequence, table.decide(submission));
             self.note(number, submission.job, decision);
@@ -127,7 +127,7 @@
                 return decision;
             }
         }
-        let decision = self.control.decide(Time(self.now), submission, tasks);
+        let decision = self.control.decide(Timestamp::from_millis(self.now), submission, tasks);
         self.note(self.control.table().number.sequence, submission.job, decision);
         decision
     }
@@ -223,7 +223,7 @@
     cluster.play(60, &calm, carries(8.0));
     assert!(cluster.served[1].2 - quiet >= 59, "{} of 60", cluster.served[1].2 - quiet);
     cluster.play(20, &calm, carries(8.0));
-    assert!(cluster.control.table().is_open(), "{:?}", cluster.control.status(Time(cluster.now)));
+    assert!(cluster.control.table().is_open(), "{:?}", cluster.control.status(Timestamp::from_millis(cluster.now)));
 }
 
 /// Capacity falls to a third and comes back, again and again: no pair begins and ceases to be refused more often than every 10 s.
@@ -240,11 +240,15 @@
 
 #[test]
 fn a_node_that_is_busy_with_planning_alone_refuses_nothing() {
-    let mut control = AdmissionControl::new(TOKEN, Time(0), AdmissionPolicy::default());
+    let mut control = AdmissionControl::new(TOKEN, Timestamp::ZERO, AdmissionPolicy::default());
     for second in 1..120u64 {
-        control.decide(Time(second * 1_000), &Submission { job: JobId(second), team: "t", class: "c" }, 10);
-        control.observe(Time(second * 1_000), BUSY, Duration(100));
-        assert!(control.tick(Time(second * 1_000)).is_none());
+        control.decide(
+            Timestamp::from_millis(second * 1_000),
+            &Submission { job: JobId(second), team: "t", class: "c" },
+            10,
+        );
+        control.observe(Timestamp::from_millis(second * 1_000), BUSY, Duration::from_millis(100));
+        assert!(control.tick(Timestamp::from_millis(second * 1_000)).is_none());
     }
 }
 
@@ -255,18 +259,18 @@
 }
 
 fn backlog(tasks: u64, oldest: u64) -> BTreeMap<Pair, PairBacklog> {
-    let longest_wait = Duration(100_000);
-    let waits = PairBacklog { waiting_tasks: tasks, oldest: Some(Time(oldest)), longest_wait };
+    let longest_wait = Duration::from_secs(100);
+    let waits = PairBacklog { waiting_tasks: tasks, oldest: Some(Timestamp::from_millis(oldest)), longest_wait };
     BTreeMap::from([(Pair::new("crew", "render"), waits)])
 }
 
 /// Ten jobs of ten tasks a second are asked for, ten tasks a second start; how many jobs were admitted in two minutes.
 fn admitted_with_backlog(policy: AdmissionPolicy, oldest: impl Fn(u64) -> u64) -> u64 {
-    let mut control = AdmissionControl::new(TOKEN, Time(0), policy);
+    let mut control = AdmissionControl::new(TOKEN, Timestamp::ZERO, policy);
     let pair = Pair::new("crew", "render");
     let (mut waiting, mut admitted) = (0u64, 0);
     for second in 1..=120u64 {
-        let now = Time(second * 1_000);
+        let now = Timestamp::from_millis(second * 1_000);
         for n in 0..10 {
             let submission = Submission { job: JobId(second * 10 + n), team: "crew", class: "render" };
             if control.decide(now, &submission, 10) == Decision::Admit {
@@ -277,7 +281,7 @@
             control.started(&pair);
             waiting -= 1;
         }
-        control.observe(now, IDLE, Duration(0));
+        control.observe(now, IDLE, Duration::ZERO);
         control.observe_backlog(now, backlog(waiting, oldest(second * 1_000)));
         control.tick(now);
     }
@@ -306,7 +310,7 @@
     before.play(60, &flows, carries(5.0));
     let admitted = |inherited: Option<&AdmissionTable>| {
         let mut cluster = Cluster::new(2, &flows, AdmissionPolicy::default());
-        inherited.into_iter().for_each(|table| cluster.control.inherit(Time(0), table));
+        inherited.into_iter().for_each(|table| cluster.control.inherit(Timestamp::ZERO, table));
         // So soon after its election its load is not that of the flood yet.
         cluster.play(5, &flows, |_| Utilization(0.88));
         (cluster.served[0].2, cluster.served[1].2)
@@ -333,22 +337,22 @@
 
 #[test]
 fn memory_is_bounded_whatever_names_are_invented() {
-    let mut control = AdmissionControl::new(TOKEN, Time(0), AdmissionPolicy::default());
+    let mut control = AdmissionControl::new(TOKEN, Timestamp::ZERO, AdmissionPolicy::default());
     for n in 0..20_000u64 {
         let class = format!("class-{n}");
-        control.decide(Time(1_000), &Submission { job: JobId(n), team: "crew", class: &class }, 1);
+        control.decide(Timestamp::from_millis(1_000), &Submission { job: JobId(n), team: "crew", class: &class }, 1);
     }
-    let pairs = control.status(Time(1_000)).len();
+    let pairs = control.status(Timestamp::from_millis(1_000)).len();
     assert!(pairs <= 33, "{pairs} pairs of one team");
 }
 
 /// A class of its own for each job would else be new to every table, and admitted.
 #[test]
 fn a_team_that_invents_classes_is_refused_like_any_other() {
-    let mut control = AdmissionControl::new(TOKEN, Time(0), AdmissionPolicy::default());
+    let mut control = AdmissionControl::new(TOKEN, Timestamp::ZERO, AdmissionPolicy::default());
     let (mut admitted, mut quiet, mut usual) = (0, 0, 0);
     for second in 1..=120u64 {
-        let now = Time(second * 1_000);
+        let now = Timestamp::from_millis(second * 1_000);
         let mut decide = |job: u64, team: &str, class: &str| {
             control.decide(now, &Submission { job: JobId(job), team, class }, 1) == Decision::Admit
         };
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,7 +1,7 @@
 //! The request queue under more load than it can serve, against clients that give up and come back.
 
 use caperstile_admission::{Popped, RequestClass, RequestQueue, Shed};
-use caperstile_units::{Duration, Time};
+use caperstile_types::{Duration, Timestamp};
 use std::collections::VecDeque;
 
 const REPORTERS: usize = 60;
@@ -31,10 +31,10 @@
 
 impl Waiting for ByClass {
     fn push(&mut self, now: u64, class: RequestClass, request: (usize, u64)) {
-        let _ = self.0.push(Time(now), class, request);
+        let _ = self.0.push(Timestamp::from_millis(now), class, request);
     }
     fn pop(&mut self, now: u64) -> Option<((usize, u64), bool)> {
-        Some(match self.0.pop(Time(now))? {
+        Some(match self.0.pop(Timestamp::from_millis(now))? {
             Popped::Serve(request) => (request, true),
             Popped::Shed(request, _) => (request, false),
         })
@@ -157,11 +157,11 @@
         for class in
             [RequestClass::Submission, RequestClass::Question, RequestClass::Cancellation, RequestClass::Report]
         {
-            queue.push(Time(0), class, (class, n)).expect("room");
+            queue.push(Timestamp::ZERO, class, (class, n)).expect("room");
         }
     }
     let first: Vec<RequestClass> = (0..100)
-        .map(|_| match queue.pop(Time(1)).expect("it waits") {
+        .map(|_| match queue.pop(Timestamp::from_millis(1)).expect("it waits") {
             Popped::Serve((class, _)) => class,
             Popped::Shed(request, why) => panic!("{request:?} is shed: {why:?}"),
         })
@@ -179,13 +179,13 @@
 fn what_the_node_itself_waits_for_is_never_refused() {
     let mut queue = RequestQueue::new(2);
     for n in 0..50 {
-        queue.push(Time(0), RequestClass::Internal, n).expect("it always has room");
+        queue.push(Timestamp::ZERO, RequestClass::Internal, n).expect("it always has room");
     }
-    assert!(queue.push(Time(0), RequestClass::Report, 100).is_ok());
-    assert!(queue.push(Time(0), RequestClass::Report, 101).is_ok());
-    assert_eq!(queue.push(Time(0), RequestClass::Report, 102), Err(102));
+    assert!(queue.push(Timestamp::ZERO, RequestClass::Report, 100).is_ok());
+    assert!(queue.push(Timestamp::ZERO, RequestClass::Report, 101).is_ok());
+    assert_eq!(queue.push(Timestamp::ZERO, RequestClass::Report, 102), Err(102));
     // The reports have been given up, and take their least share of the turns.
-    let popped: Vec<Popped<i32>> = std::iter::from_fn(|| queue.pop(Time(60_000))).collect();
+    let popped: Vec<Popped<i32>> = std::iter::from_fn(|| queue.pop(Timestamp::from_millis(60_000))).collect();
     let served = popped.iter().filter(|popped| matches!(popped, Popped::Serve(n) if *n < 50)).count();
     assert_eq!((served, popped.len()), (50, 52));
     assert_eq!(popped[..4], [0, 1, 2, 3].map(Popped::Serve));
@@ -201,10 +201,10 @@
     ];
     for (class, patience) in patience {
         let mut queue = RequestQueue::new(10);
-        queue.push(Time(1_000), class, "late").expect("room");
-        let at = Time(1_000) + Duration(patience);
+        queue.push(Timestamp::from_millis(1_000), class, "late").expect("room");
+        let at = Timestamp::from_millis(1_000) + Duration::from_millis(patience);
         assert_eq!(queue.pop(at), Some(Popped::Shed("late", Shed::Abandoned)), "{class:?}");
-        queue.push(Time(1_000), class, "in time").expect("room");
-        assert_eq!(queue.pop(Time(at.0 - 1)), Some(Popped::Serve("in time")), "{class:?}");
+        queue.push(Timestamp::from_millis(1_000), class, "in time").expect("room");
+        assert_eq!(queue.pop(Timestamp::from_millis(at.as_millis() - 1)), Some(Popped::Serve("in time")), "{class:?}");
     }
 }
--- a/crates/admission/tests/table.rs
+++ b/crates/admission/tests/table.rs
@@ -3,12 +3,12 @@
 use caperstile_admission::{
     AdmissionTable, Decision, DecodeError, DemandReport, Pair, Ratio, Submission, TableEntry, TableNumber, TableView,
 };
-use caperstile_units::{Duration, JobId, Time, Token};
+use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use proptest::prelude::*;
 use roaring::RoaringTreemap;
 
 fn number(token: u64, sequence: u64) -> TableNumber {
-    TableNumber { token: Token(token), sequence }
+    TableNumber { token: FencingToken(token), sequence }
 }
 
 fn table(number: TableNumber, draw: u32, share: f64, accepted: &[u64]) -> AdmissionTable {
@@ -71,8 +71,9 @@
 #[test]
 fn an_older_table_never_replaces_a_newer_one() {
     let mut view = TableView::default();
-    let received =
-        |view: &mut TableView, at, token, sequence| view.receive(Time(at), table(number(token, sequence), 0, 0.0, &[]));
+    let received = |view: &mut TableView, at, token, sequence| {
+        view.receive(Timestamp::from_millis(at), table(number(token, sequence), 0, 0.0, &[]))
+    };
     assert!(received(&mut view, 0, 7, 2));
     assert!(!received(&mut view, 10, 7, 1), "an earlier one of the same leader");
     assert!(!received(&mut view, 10, 7, 2), "the same again");
@@ -84,15 +85,15 @@
 #[test]
 fn without_a_table_in_force_nothing_is_refused() {
     let mut view = TableView::default();
-    assert_eq!(view.decide(Time(0), Token(7), &submission(1)), Decision::Admit);
-    view.receive(Time(0), table(number(7, 1), 0, 0.0, &[]));
-    assert_ne!(view.decide(Time(0), Token(7), &submission(1)), Decision::Admit);
-    assert_eq!(view.decide(Time(0), Token(8), &submission(1)), Decision::Admit, "another node leads");
-    let late = Time(0) + Duration(5_000);
-    assert_eq!(view.decide(late, Token(7), &submission(1)), Decision::Admit, "nothing was heard for 5 s");
+    assert_eq!(view.decide(Timestamp::ZERO, FencingToken(7), &submission(1)), Decision::Admit);
+    view.receive(Timestamp::ZERO, table(number(7, 1), 0, 0.0, &[]));
+    assert_ne!(view.decide(Timestamp::ZERO, FencingToken(7), &submission(1)), Decision::Admit);
+    assert_eq!(view.decide(Timestamp::ZERO, FencingToken(8), &submission(1)), Decision::Admit, "another node leads");
+    let late = Timestamp::ZERO + Duration::from_secs(5);
+    assert_eq!(view.decide(late, FencingToken(7), &submission(1)), Decision::Admit, "nothing was heard for 5 s");
     // A late copy does not make it valid again.
-    view.receive(Time(4_000), table(number(7, 1), 0, 0.0, &[]));
-    assert_eq!(view.decide(late, Token(7), &submission(1)), Decision::Admit);
+    view.receive(Timestamp::from_millis(4_000), table(number(7, 1), 0, 0.0, &[]));
+    assert_eq!(view.decide(late, FencingToken(7), &submission(1)), Decision::Admit);
 }
 
 #[test]
@@ -100,9 +101,9 @@
     let mut view = TableView::default();
     let mut limited = table(number(7, 1), 0, 0.5, &[]);
     limited.limit = Some(4.25);
-    view.receive(Time(0), AdmissionTable::decode(&limited.encode()).expect("it can be read"));
-    assert_eq!(view.inherited(Time(14_000)).and_then(|table| table.limit), Some(4.25));
-    assert_eq!(view.inherited(Time(15_000)), None);
+    view.receive(Timestamp::ZERO, AdmissionTable::decode(&limited.encode()).expect("it can be read"));
+    assert_eq!(view.inherited(Timestamp::from_millis(14_000)).and_then(|table| table.limit), Some(4.25));
+    assert_eq!(view.inherited(Timestamp::from_millis(15_000)), None);
 }
 
 #[test]
--- a/crates/disruption/src/allowance.rs
+++ b/crates/disruption/src/allowance.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::{Policy, Scope, TaskClass, scopes_of};
 use crate::fleet::{ChargeState, Demand};
-use caperstile_units::{Duration, Time, Wall};
+use caperstile_types::{Duration, Timestamp, WallClock};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -13,22 +13,22 @@
 #[derive(Debug, Clone)]
 pub struct LastEvictions {
     /// Under an earlier leader something may have been evicted just before this one began.
-    began: Time,
-    by_scope: BTreeMap<Scope, Time>,
+    began: Timestamp,
+    by_scope: BTreeMap<Scope, Timestamp>,
 }
 
 impl LastEvictions {
     /// A leader's that began at this time.
-    pub fn new(began: Time) -> LastEvictions {
+    pub fn new(began: Timestamp) -> LastEvictions {
         LastEvictions { began, by_scope: BTreeMap::new() }
     }
 
     /// Notes an eviction.
-    pub fn note(&mut self, now: Time, scope: Scope) {
+    pub fn note(&mut self, now: Timestamp, scope: Scope) {
         self.by_scope.insert(scope, now);
     }
 
-    fn of(&self, scope: &Scope) -> Time {
+    fn of(&self, scope: &Scope) -> Timestamp {
         self.by_scope.get(scope).copied().unwrap_or(self.began)
     }
 }
@@ -69,7 +69,7 @@
                 write!(f, "{scope}: {more} to be moved, {out} of {allowed} that may be unavailable are out")
             }
             Blocked::Interval { scope, left } => {
-                write!(f, "{scope}: the next eviction may follow in {} s", left.0.div_ceil(1000))
+                write!(f, "{scope}: the next eviction may follow in {} s", left.as_millis().div_ceil(1000))
             }
         }
     }
@@ -99,8 +99,8 @@
     /// Opens the accounts: what is unavailable for whatever reason, and what is charged on top of it.
     pub fn new<'a>(
         policy: &Policy,
-        now: Time,
-        wall: Wall,
+        now: Timestamp,
+        wall: WallClock,
         demand: &BTreeMap<TaskClass, Demand>,
         charges: impl Iterator<Item = (&'a ChargeState, u32)>,
         last: &LastEvictions,
@@ -118,8 +118,8 @@
         for (scope, account) in &mut allowances.accounts {
             account.allowed = policy.allowed(scope, wanted.get(scope).copied().unwrap_or_default(), wall);
             let interval = policy.min_interval(scope);
-            account.spaced = interval.0 > 0;
-            account.pause = Duration(interval.0.saturating_sub(now.since(last.of(scope)).0));
+            account.spaced = interval.as_millis() > 0;
+            account.pause = interval.saturating_sub(now.since(last.of(scope)));
         }
         allowances
     }
@@ -149,7 +149,7 @@
         let left = account.allowed.map_or(u32::MAX, |allowed| allowed.saturating_sub(account.out));
         match account.spaced {
             // One at a time, and none while another is about to be told.
-            true => left.min(u32::from(account.pause.0 == 0 && account.standing == 0)),
+            true => left.min(u32::from(account.pause.as_millis() == 0 && account.standing == 0)),
             false => left,
         }
     }
@@ -168,7 +168,7 @@
         let Some(account) = self.accounts.get(&scope) else { return Blocked::NoBudget { scope } };
         match account.allowed {
             Some(0) => Blocked::NoBudget { scope },
-            _ if account.spaced && account.pause.0 > 0 => Blocked::Interval { scope, left: account.pause },
+            _ if account.spaced && account.pause.as_millis() > 0 => Blocked::Interval { scope, left: account.pause },
             allowed => Blocked::Used { scope, more, out: account.out, allowed: allowed.unwrap_or(u32::MAX) },
         }
     }
--- a/crates/disruption/src/budget.rs
+++ b/crates/disruption/src/budget.rs
@@ -1,7 +1,7 @@
 //! Budgets: how much of a team's work may be disrupted at once.
 
 use crate::window::Window;
-use caperstile_units::{Duration, Wall};
+use caperstile_types::{Duration, WallClock};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -109,7 +109,7 @@
 /// A tenth of a class that states nothing, one replica at least.
 pub const DEFAULT_LIMIT: Limit = Limit::Share { share: 0.1, at_least: 1 };
 /// How long batch tasks are left to end by default.
-pub const DEFAULT_BATCH_WAIT: Duration = Duration(600_000);
+pub const DEFAULT_BATCH_WAIT: Duration = Duration::from_secs(600);
 /// By default only tasks that lose little are stopped.
 pub const DEFAULT_BATCH_EVICTION: BatchEviction = BatchEviction::Checkpointed;
 /// Share of all machines that may be emptied at once by default.
@@ -135,7 +135,7 @@
         Policy {
             enabled: false,
             parallel: DEFAULT_PARALLEL,
-            clock_error: Duration(0),
+            clock_error: Duration::ZERO,
             teams: BTreeMap::new(),
             classes: BTreeMap::new(),
         }
@@ -175,7 +175,7 @@
     }
 
     /// How much of a scope may be unavailable at this time; `None`: no limit of its own.
-    pub fn allowed(&self, scope: &Scope, wanted: u32, wall: Wall) -> Option<u32> {
+    pub fn allowed(&self, scope: &Scope, wanted: u32, wall: WallClock) -> Option<u32> {
         let windows = self.stated(scope).into_iter().flat_map(|budget| &budget.windows);
         let in_force = windows.filter(|(window, _)| window.may_contain(wall, self.clock_error));
         let limits = self.limit(scope).into_iter().chain(in_force.map(|(_, limit)| *limit));
--- a/crates/disruption/src/candidates.rs
+++ b/crates/disruption/src/candidates.rs
@@ -4,20 +4,20 @@
 use crate::choose::Candidate;
 use crate::drain::Drain;
 use crate::fleet::{Fleet, MachineView, TaskKind, TaskView};
-use caperstile_units::{Duration, MachineId, TaskAttempt, Wall};
+use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines of which a step looks at the tasks; with more, others have their turn a second later.
 const LOOKS: usize = 64;
 /// A machine whose batch tasks take longer than this stalls its drain.
-pub(crate) const STALL: Duration = Duration(60_000);
+pub(crate) const STALL: Duration = Duration::from_secs(60);
 
 /// A machine that a step might begin to empty.
 #[derive(Debug, Clone)]
 pub(crate) struct Ready {
     pub drain: String,
     pub machine: MachineId,
-    pub replicas: Vec<TaskAttempt>,
+    pub replicas: Vec<AttemptId>,
     pub load: Load,
     /// Whether batch tasks would keep it waiting for long.
     pub stalls: bool,
@@ -54,7 +54,7 @@
     drains: &BTreeMap<String, Drain>,
     emptying: &BTreeSet<MachineId>,
     fleet: &dyn Fleet,
-    wall: Wall,
+    wall: WallClock,
 ) -> Vec<(String, MachineId)> {
     let mut seen = BTreeSet::new();
     let mut found: Vec<((Turn, u64), String, MachineId)> = Vec::new();
@@ -79,10 +79,10 @@
 }
 
 /// Of very many machines others come first each second, so that those without a budget do not hide the rest for ever.
-fn turned(mut waiting: Vec<(String, MachineId)>, wall: Wall) -> Vec<(String, MachineId)> {
+fn turned(mut waiting: Vec<(String, MachineId)>, wall: WallClock) -> Vec<(String, MachineId)> {
     if waiting.len() > LOOKS {
         let windows = waiting.len().div_ceil(LOOKS) as u64;
-        let from = (wall.0 / 1000 % windows) as usize * LOOKS;
+        let from = (wall.as_millis() / 1000 % windows) as usize * LOOKS;
         waiting.rotate_left(from);
         waiting.truncate(LOOKS);
     }
--- a/crates/disruption/src/choose.rs
+++ b/crates/disruption/src/choose.rs
@@ -6,7 +6,7 @@
 use crate::allowance::{Allowances, Load, by_scope};
 use crate::budget::Scope;
 use crate::fleet::Place;
-use caperstile_units::MachineId;
+use caperstile_types::MachineId;
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/disruption/src/coordinator.rs
+++ b/crates/disruption/src/coordinator.rs
@@ -14,7 +14,7 @@
 use crate::fleet::{ChargeState, Demand, Fleet, Place};
 use crate::records::{Charge, Phase, Status};
 use crate::store::Store;
-use caperstile_units::{JobId, MachineId, TaskAttempt, Time, Wall};
+use caperstile_types::{AttemptId, JobId, MachineId, Timestamp, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is told to stop.
@@ -25,7 +25,7 @@
         /// Its machine.
         machine: MachineId,
         /// The attempt.
-        key: TaskAttempt,
+        key: AttemptId,
     },
     /// All tasks of a gang.
     Gang(JobId),
@@ -49,7 +49,7 @@
 struct Emptying {
     /// For which drain; none: consolidation.
     drain: Option<String>,
-    since: Wall,
+    since: WallClock,
     charges: BTreeSet<Charge>,
     /// Charges whose tasks this leader told to stop.
     commanded: BTreeSet<Charge>,
@@ -67,8 +67,8 @@
 
 /// What a round knows and gathers.
 struct Round<'a> {
-    now: Time,
-    wall: Wall,
+    now: Timestamp,
+    wall: WallClock,
     fleet: &'a dyn Fleet,
     demand: BTreeMap<TaskClass, Demand>,
     /// For whom or what each drain waits.
@@ -96,13 +96,13 @@
     emptying: BTreeMap<MachineId, Emptying>,
     last: LastEvictions,
     /// Replicas for which no room was found in the last round, with their machines.
-    without_room: Vec<(MachineId, TaskAttempt)>,
-    told: Time,
+    without_room: Vec<(MachineId, AttemptId)>,
+    told: Timestamp,
 }
 
 impl Coordinator {
     /// A leader's, at the begin of its term. `value_bytes`, `ops` and `rate` are what the state service takes.
-    pub fn new(policy: Policy, now: Time, value_bytes: usize, ops: usize, rate: f64) -> Coordinator {
+    pub fn new(policy: Policy, now: Timestamp, value_bytes: usize, ops: usize, rate: f64) -> Coordinator {
         Coordinator {
             policy,
             store: Store::new(now, ops, rate),
@@ -112,7 +112,7 @@
             emptying: BTreeMap::new(),
             last: LastEvictions::new(now),
             without_room: Vec::new(),
-            told: Time(0),
+            told: Timestamp::ZERO,
         }
     }
 
@@ -156,12 +156,12 @@
     }
 
     /// Replicas that wait for room, which is to be rented for them, with their machines.
-    pub fn without_room(&self) -> &[(MachineId, TaskAttempt)] {
+    pub fn without_room(&self) -> &[(MachineId, AttemptId)] {
         &self.without_room
     }
 
     /// Whether a machine was rented to replace one of a running drain, so that it is kept although it is idle.
-    pub fn keeps_idle(&self, id: MachineId, place: &Place, rented_at: Wall) -> bool {
+    pub fn keeps_idle(&self, id: MachineId, place: &Place, rented_at: WallClock) -> bool {
         let replaces = |drain: &Drain| {
             drain.runs()
                 && drain.replaces()
@@ -173,7 +173,7 @@
     }
 
     /// One round; to be called again after each write.
-    pub fn round(&mut self, now: Time, wall: Wall, fleet: &dyn Fleet) -> Vec<Effect> {
+    pub fn round(&mut self, now: Timestamp, wall: WallClock, fleet: &dyn Fleet) -> Vec<Effect> {
         if !self.policy.enabled || !self.store.loaded() {
             return Vec::new();
         }
--- a/crates/disruption/src/coordinator/charges.rs
+++ b/crates/disruption/src/coordinator/charges.rs
@@ -6,7 +6,7 @@
 use crate::candidates::{load_of, part_of};
 use crate::fleet::{ChargeState, Fleet, MachineView, Rooms, TaskKind, TaskView};
 use crate::records::{CHARGE_BYTES, Charge, MACHINE_BYTES};
-use caperstile_units::{Duration, MachineId, TaskAttempt, TaskId, Wall};
+use caperstile_types::{AttemptId, Duration, MachineId, TaskId, WallClock};
 use std::collections::BTreeSet;
 
 impl Coordinator {
@@ -65,7 +65,7 @@
     /// Charges what is left on machines that are being emptied, as far as the budgets go.
     pub(super) fn charge_more(&mut self, round: &mut Round<'_>, allowances: &mut Allowances) {
         let going = self.emptying.iter().filter(|(_, emptying)| emptying.goes_on(&self.drains));
-        let mut ids: Vec<(Wall, MachineId)> = going.map(|(id, emptying)| (emptying.since, *id)).collect();
+        let mut ids: Vec<(WallClock, MachineId)> = going.map(|(id, emptying)| (emptying.since, *id)).collect();
         if ids.is_empty() {
             return;
         }
@@ -98,7 +98,7 @@
         {
             round.wait(drain.as_ref(), blocked.to_string());
         }
-        let keys: Vec<TaskAttempt> = part.iter().map(|task| task.key).collect();
+        let keys: Vec<AttemptId> = part.iter().map(|task| task.key).collect();
         if keys.is_empty() {
         } else if rooms.take(id, &keys) {
             self.charge(id, &part, allowances);
@@ -113,7 +113,7 @@
         round: &mut Round<'_>,
         drain: Option<&String>,
         id: MachineId,
-        replicas: &[TaskAttempt],
+        replicas: &[AttemptId],
     ) {
         self.without_room.extend(replicas.iter().map(|key| (id, *key)));
         round.wait(drain, format!("no room elsewhere for {} replicas of {id}", replicas.len()));
@@ -124,15 +124,15 @@
         &mut self,
         round: &mut Round<'_>,
         id: MachineId,
-        since: Wall,
+        since: WallClock,
         view: &MachineView,
         allowances: &mut Allowances,
     ) {
         let drain = self.emptying.get(&id).and_then(|emptying| emptying.drain.clone());
-        let waited = Duration(round.wall.0.saturating_sub(since.0));
+        let waited = Duration::from_millis(round.wall.as_millis().saturating_sub(since.as_millis()));
         if let Some((task, left)) = crate::candidates::longest_batch(view) {
             // Rounded, so that the status does not change all the time.
-            let tens = left.as_secs().div_euclid(10.0) * 10.0 + 10.0;
+            let tens = left.as_secs_f64().div_euclid(10.0) * 10.0 + 10.0;
             round.wait(drain.as_ref(), format!("{} of {} on {id} ends within {tens} s", task.key.task, task.class));
         }
         let batch = view.tasks.iter().filter(|task| task.kind != TaskKind::Replica && !task.stopping);
@@ -185,7 +185,7 @@
     }
 
     /// Puts a machine among those that are being emptied.
-    pub(super) fn enter(&mut self, id: MachineId, drain: Option<String>, since: Wall) {
+    pub(super) fn enter(&mut self, id: MachineId, drain: Option<String>, since: WallClock) {
         let earlier = self.emptying.remove(&id).unwrap_or_default();
         // Charges that are left from a drain that was called off still count.
         let Emptying { charges, commanded, .. } = earlier;
@@ -205,7 +205,7 @@
 fn stop_of(machine: MachineId, charge: &Charge) -> Stop {
     match charge.index {
         Some(index) => {
-            let key = TaskAttempt { attempt: charge.attempt, task: TaskId { job: charge.job, index } };
+            let key = AttemptId { attempt: charge.attempt, task: TaskId { job: charge.job, index } };
             Stop::Task { machine, key }
         }
         None => Stop::Gang(charge.job),
--- a/crates/disruption/src/coordinator/durable.rs
+++ b/crates/disruption/src/coordinator/durable.rs
@@ -5,7 +5,7 @@
 use crate::records::{
     Charge, EmptyingRecord, MACHINES, MEMBERS, MemberPart, STATUSES, Status, machine_key, member_key, status_key,
 };
-use caperstile_units::MachineId;
+use caperstile_types::MachineId;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/disruption/src/coordinator/operators.rs
+++ b/crates/disruption/src/coordinator/operators.rs
@@ -3,14 +3,14 @@
 use super::{Coordinator, Effect, Round};
 use crate::drain::Drain;
 use crate::records::{Phase, status_key};
-use caperstile_units::{Duration, MachineId};
+use caperstile_types::{Duration, MachineId};
 
 /// Drains that are over and still shown.
 const HISTORY: usize = 20;
 /// Reasons for waiting that a status names.
 const REASONS: usize = 5;
 /// A drain's status is written no more often, and less often where there are several.
-const STATUS_EVERY: Duration = Duration(2000);
+const STATUS_EVERY: Duration = Duration::from_secs(2);
 
 impl Coordinator {
     /// Takes new requests, and follows those that were changed.
@@ -83,7 +83,7 @@
     /// Says how each drain stands, not more often than needed.
     pub(super) fn tell(&mut self, round: &Round<'_>) {
         let live = self.drains.values().filter(|drain| drain.status.phase.is_live()).count() as u64;
-        if round.now.since(self.told) < Duration(STATUS_EVERY.0 * live.max(1)) {
+        if round.now.since(self.told) < STATUS_EVERY * live.max(1) {
             return;
         }
         self.told = round.now;
--- a/crates/disruption/src/coordinator/steps.rs
+++ b/crates/disruption/src/coordinator/steps.rs
@@ -6,7 +6,7 @@
 use crate::choose::{self, Candidate, StepLimits};
 use crate::drain::Drain;
 use crate::fleet::{Fleet, Place, Supply, TaskView};
-use caperstile_units::{MachineId, Time, Wall};
+use caperstile_types::{MachineId, Timestamp, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines without room for their replicas that a step tries, and rents room for.
@@ -127,7 +127,7 @@
     }
 
     /// Empties a machine whose services fit elsewhere, if the budgets allow it now; false: not now.
-    pub fn consolidate(&mut self, now: Time, wall: Wall, id: MachineId, fleet: &dyn Fleet) -> bool {
+    pub fn consolidate(&mut self, now: Timestamp, wall: WallClock, id: MachineId, fleet: &dyn Fleet) -> bool {
         let ready = self.policy.enabled && self.restored && fleet.settled() && fleet.lost_zone().is_none();
         let Some(view) = fleet.machine(id).filter(|_| ready && !self.emptying.contains_key(&id)) else { return false };
         let demand = fleet.demand();
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -6,7 +6,7 @@
 use crate::records::{
     Filter, MEMBER_BYTES, MemberPart, Mode, PART_BYTES, Phase, Request, Selector, Status, Wanted, valid_name,
 };
-use caperstile_units::{MachineId, Wall};
+use caperstile_types::{MachineId, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that a note names; of others only the number is told.
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Member {
     pub place: Place,
-    pub rented_at: Wall,
+    pub rented_at: WallClock,
 }
 
 /// A drain that was asked for.
@@ -51,7 +51,7 @@
         name: &str,
         request: &Request,
         revision: u64,
-        wall: Wall,
+        wall: WallClock,
         fleet: &dyn Fleet,
         policy: &Policy,
         others: &BTreeMap<String, Drain>,
@@ -74,7 +74,7 @@
     }
 
     /// A request that cannot be read.
-    pub fn unreadable(revision: u64, wall: Wall) -> Drain {
+    pub fn unreadable(revision: u64, wall: WallClock) -> Drain {
         let request = Request { selector: Selector::Machines(Vec::new()), mode: Mode::Remove, wanted: Wanted::Run };
         let mut status = Status::asked_for(revision, wall);
         status.refuse(Refusal::Unreadable.to_string());
@@ -107,7 +107,7 @@
     /// Its machines in parts that fit into values of this size.
     pub fn parts(&self, value_bytes: usize) -> Vec<MemberPart> {
         let most = (value_bytes.saturating_sub(PART_BYTES) / MEMBER_BYTES).max(1);
-        let mut by_place: BTreeMap<&Place, Vec<(MachineId, Wall)>> = BTreeMap::new();
+        let mut by_place: BTreeMap<&Place, Vec<(MachineId, WallClock)>> = BTreeMap::new();
         for (id, member) in &self.members {
             by_place.entry(&member.place).or_default().push((*id, member.rented_at));
         }
@@ -125,7 +125,12 @@
 
 type Selected = BTreeMap<MachineId, MachineView>;
 
-fn select(selector: &Selector, wall: Wall, fleet: &dyn Fleet, notes: &mut Vec<String>) -> Result<Selected, Refusal> {
+fn select(
+    selector: &Selector,
+    wall: WallClock,
+    fleet: &dyn Fleet,
+    notes: &mut Vec<String>,
+) -> Result<Selected, Refusal> {
     match selector {
         Selector::Machines(ids) => select_named(ids, fleet, notes),
         Selector::Matching(filter) => select_matching(filter, wall, fleet),
@@ -152,13 +157,13 @@
     }
 }
 
-fn select_matching(filter: &Filter, wall: Wall, fleet: &dyn Fleet) -> Result<Selected, Refusal> {
+fn select_matching(filter: &Filter, wall: WallClock, fleet: &dyn Fleet) -> Result<Selected, Refusal> {
     let matches = |machine: &MachineView| {
-        let age = wall.0.saturating_sub(machine.rented_at.0);
+        let age = wall.as_millis().saturating_sub(machine.rented_at.as_millis());
         !machine.leaving
             && filter.zone.as_ref().is_none_or(|zone| *zone == machine.place.zone)
             && filter.kind.as_ref().is_none_or(|kind| *kind == machine.place.kind)
-            && filter.older_than.is_none_or(|least| age >= least.0)
+            && filter.older_than.is_none_or(|least| age >= least.as_millis())
     };
     let all = fleet.machine_ids().into_iter().filter_map(|id| Some((id, fleet.machine(id)?)));
     let mut found: Vec<(MachineId, MachineView)> = all.filter(|(_, machine)| matches(machine)).collect();
--- a/crates/disruption/src/fleet.rs
+++ b/crates/disruption/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::TaskClass;
 use crate::records::Charge;
-use caperstile_units::{Duration, MachineId, TaskAttempt, Wall};
+use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskView {
     /// The attempt.
-    pub key: TaskAttempt,
+    pub key: AttemptId,
     /// Team and class of its job.
     pub class: TaskClass,
     /// What it is.
@@ -70,7 +70,7 @@
     /// Where and how it is rented.
     pub place: Place,
     /// When it was rented.
-    pub rented_at: Wall,
+    pub rented_at: WallClock,
     /// Whether something of ours reached it lately.
     pub reachable: bool,
     /// Whether it goes anyhow: being returned, taken back, or out of order.
@@ -139,11 +139,11 @@
     /// Free room for replicas, machines in `without` left out.
     fn rooms<'a>(&'a self, without: &BTreeSet<MachineId>) -> Box<dyn Rooms + 'a>;
     /// Machines of a place that were rented since, those in `without` left out.
-    fn supply(&self, place: &Place, since: Wall, without: &BTreeSet<MachineId>) -> Supply;
+    fn supply(&self, place: &Place, since: WallClock, without: &BTreeSet<MachineId>) -> Supply;
 }
 
 /// Free room that is given away step by step.
 pub trait Rooms {
     /// Takes room for these replicas of a machine; false, and nothing taken, if not all of them fit.
-    fn take(&mut self, from: MachineId, tasks: &[TaskAttempt]) -> bool;
+    fn take(&mut self, from: MachineId, tasks: &[AttemptId]) -> bool;
 }
--- a/crates/disruption/src/policy.rs
+++ b/crates/disruption/src/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::budget::{BatchEviction, Budget, Limit, Policy, TaskClass};
 use crate::window::{Minute, Window};
-use caperstile_units::Duration;
+use caperstile_types::Duration;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A section of the operators' file.
@@ -102,7 +102,7 @@
 
 fn parse_seconds(section: &Section, key: &str, value: &str) -> Result<Duration, PolicyError> {
     match value.parse::<f64>() {
-        Ok(seconds) if (0.0..=LONGEST_S).contains(&seconds) => Ok(Duration::secs(seconds)),
+        Ok(seconds) if (0.0..=LONGEST_S).contains(&seconds) => Ok(Duration::from_secs_f64(seconds)),
         _ => Err(error(section, key, format!("`{value}` is not a time from 0 to {LONGEST_S} seconds"))),
     }
 }
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -6,7 +6,7 @@
 //! | `drain/status/NAME`, `drain/member/NAME/PART`, `drain/machine/ID` | the leader | it still leads, and the key has the revision that it read or wrote last |
 
 use crate::fleet::Place;
-use caperstile_units::{Attempt, Duration, JobId, MachineId, Wall};
+use caperstile_types::{AttemptNumber, Duration, JobId, MachineId, WallClock};
 use serde::{Deserialize, Serialize};
 
 /// Prefix of all keys.
@@ -142,7 +142,7 @@
     /// Revision at which it was asked for first; orders drains.
     pub created: u64,
     /// When it was taken.
-    pub accepted_at: Wall,
+    pub accepted_at: WallClock,
     /// Why it was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refusal: Option<String>,
@@ -162,7 +162,7 @@
 
 impl Status {
     /// Of a drain that was just asked for.
-    pub fn asked_for(request: u64, now: Wall) -> Status {
+    pub fn asked_for(request: u64, now: WallClock) -> Status {
         Status {
             phase: Phase::Running,
             request,
@@ -190,7 +190,7 @@
     /// Type, zone and kind.
     pub place: Place,
     /// Machines, and when each was rented.
-    pub machines: Vec<(MachineId, Wall)>,
+    pub machines: Vec<(MachineId, WallClock)>,
 }
 
 /// A machine that is being emptied.
@@ -201,7 +201,7 @@
     pub drain: Option<String>,
     /// Since when it takes no new work.
     #[serde(rename = "s")]
-    pub since: Wall,
+    pub since: WallClock,
     /// What of it was charged and is not available again.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub charges: Vec<Charge>,
@@ -218,7 +218,7 @@
     pub index: Option<u32>,
     /// The attempt that is stopped. The charge is returned once another one runs, or the task is over.
     #[serde(rename = "a")]
-    pub attempt: Attempt,
+    pub attempt: AttemptNumber,
     /// How many tasks it counts for.
     #[serde(rename = "n")]
     pub count: u32,
--- a/crates/disruption/src/store.rs
+++ b/crates/disruption/src/store.rs
@@ -5,16 +5,16 @@
 //! that failed all keys are read again, and what differs is written anew.
 
 use crate::records::{PREFIX, REQUESTS, Request, request_key};
-use caperstile_units::{Duration, Time};
+use caperstile_types::{Duration, Timestamp};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Without an answer for so long a call is given up; it may still be carried out.
-const CALL_TIMEOUT: Duration = Duration(2000);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a call that was not carried out.
-const RETRY_AFTER: Duration = Duration(700);
+const RETRY_AFTER: Duration = Duration::from_millis(700);
 /// How often operators' requests are read.
-const FOLLOW_EVERY: Duration = Duration(2000);
+const FOLLOW_EVERY: Duration = Duration::from_secs(2);
 
 /// A call to the state service.
 #[derive(Debug, Clone, PartialEq)]
@@ -89,7 +89,7 @@
 struct InFlight {
     id: u64,
     pending: Pending,
-    sent: Time,
+    sent: Timestamp,
 }
 
 /// A request as it was read.
@@ -115,17 +115,17 @@
     requests: BTreeMap<String, Asked>,
     in_flight: Option<InFlight>,
     calls: u64,
-    next_call: Time,
-    next_follow: Time,
+    next_call: Timestamp,
+    next_follow: Timestamp,
     ops: usize,
     rate: f64,
     budget: f64,
-    refilled: Time,
+    refilled: Timestamp,
 }
 
 impl Store {
     /// A store of which nothing is known yet; so many changes fit into a transaction, and so many may be made a second.
-    pub fn new(now: Time, ops: usize, rate: f64) -> Store {
+    pub fn new(now: Timestamp, ops: usize, rate: f64) -> Store {
         Store {
             loaded: false,
             reload: false,
@@ -216,8 +216,8 @@
     }
 
     /// Lets time pass: the next call, if one is due.
-    pub fn tick(&mut self, now: Time) -> Option<(u64, Call)> {
-        self.budget = (self.budget + now.since(self.refilled).as_secs() * self.rate).min(self.rate.max(1.0));
+    pub fn tick(&mut self, now: Timestamp) -> Option<(u64, Call)> {
+        self.budget = (self.budget + now.since(self.refilled).as_secs_f64() * self.rate).min(self.rate.max(1.0));
         self.refilled = now;
         if let Some(flight) = &self.in_flight {
             if now.since(flight.sent) < CALL_TIMEOUT {
@@ -238,18 +238,18 @@
         self.write(now)
     }
 
-    fn send(&mut self, now: Time, pending: Pending, call: Call) -> (u64, Call) {
+    fn send(&mut self, now: Timestamp, pending: Pending, call: Call) -> (u64, Call) {
         self.calls += 1;
         self.in_flight = Some(InFlight { id: self.calls, pending, sent: now });
         (self.calls, call)
     }
 
-    fn read(&mut self, now: Time, prefix: &'static str, after: Option<String>, found: Vec<Entry>) -> (u64, Call) {
+    fn read(&mut self, now: Timestamp, prefix: &'static str, after: Option<String>, found: Vec<Entry>) -> (u64, Call) {
         let call = Call::Scan { prefix: prefix.to_string(), after };
         self.send(now, Pending::Read { prefix, found }, call)
     }
 
-    fn write(&mut self, now: Time) -> Option<(u64, Call)> {
+    fn write(&mut self, now: Timestamp) -> Option<(u64, Call)> {
         self.drop_clean();
         let most = self.ops.min(self.budget as usize);
         let write = self.next_write(most)?;
@@ -278,7 +278,7 @@
     }
 
     /// Takes the answer to a call; the next call, if one follows at once.
-    pub fn reply(&mut self, now: Time, id: u64, answer: Answer) -> Option<(u64, Call)> {
+    pub fn reply(&mut self, now: Timestamp, id: u64, answer: Answer) -> Option<(u64, Call)> {
         let flight = self.in_flight.take_if(|flight| flight.id == id)?;
         match (flight.pending, answer) {
             (Pending::Read { prefix, mut found }, Answer::Page { entries, more }) => {
@@ -302,7 +302,7 @@
     }
 
     /// What is stored is not known any more.
-    fn lost(&mut self, now: Time) {
+    fn lost(&mut self, now: Timestamp) {
         let wrote = self.in_flight.take().is_none_or(|flight| matches!(flight.pending, Pending::Write(_)));
         self.reload |= wrote;
         self.next_call = now + RETRY_AFTER;
--- a/crates/disruption/src/window.rs
+++ b/crates/disruption/src/window.rs
@@ -1,6 +1,6 @@
 //! Windows in local time, within which a stricter budget applies.
 
-use caperstile_units::{Duration, Wall};
+use caperstile_types::{Duration, WallClock};
 use chrono::{DateTime, Datelike, Timelike, Utc};
 use chrono_tz::Tz;
 
@@ -42,8 +42,8 @@
     ///
     /// The instant is turned into local time, never the other way round, so that hours which a change of the clock skips or
     /// repeats are counted as a clock on the wall shows them.
-    pub fn contains(&self, wall: Wall) -> bool {
-        let Some(utc) = i64::try_from(wall.0).ok().and_then(DateTime::<Utc>::from_timestamp_millis) else {
+    pub fn contains(&self, wall: WallClock) -> bool {
+        let Some(utc) = i64::try_from(wall.as_millis()).ok().and_then(DateTime::<Utc>::from_timestamp_millis) else {
             return false;
         };
         let local = utc.with_timezone(&self.zone);
@@ -57,8 +57,12 @@
     }
 
     /// Whether an instant that is known only within an error may lie in the window.
-    pub fn may_contain(&self, wall: Wall, error: Duration) -> bool {
-        let instants = [wall.0.saturating_sub(error.0), wall.0, wall.0.saturating_add(error.0)];
-        instants.into_iter().any(|instant| self.contains(Wall(instant)))
+    pub fn may_contain(&self, wall: WallClock, error: Duration) -> bool {
+        let instants = [
+            wall.as_millis().saturating_sub(error.as_millis()),
+            wall.as_millis(),
+            wall.as_millis().saturating_add(error.as_millis()),
+        ];
+        instants.into_iter().any(|instant| self.contains(WallClock::from_millis(instant)))
     }
 }
--- a/crates/disruption/tests/choose.rs
+++ b/crates/disruption/tests/choose.rs
@@ -3,7 +3,7 @@
 use caperstile_disruption::allowance::{Allowances, LastEvictions, Load};
 use caperstile_disruption::choose::{Candidate, StepLimits, choose, greedy};
 use caperstile_disruption::{Budget, Demand, Limit, Place, Policy, TaskClass};
-use caperstile_units::{MachineId, Time, Wall};
+use caperstile_types::{MachineId, Timestamp, WallClock};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,14 @@
     let classes = limits.iter().enumerate().map(|(n, limit)| (class(n), budget(limit))).collect();
     let policy = Policy { classes, ..Policy::default() };
     let demand = (0..limits.len()).map(|n| (class(n), Demand { wanted: 100, unavailable: 0 })).collect();
-    Allowances::new(&policy, Time(0), Wall(0), &demand, std::iter::empty(), &LastEvictions::new(Time(0)))
+    Allowances::new(
+        &policy,
+        Timestamp::ZERO,
+        WallClock::from_millis(0),
+        &demand,
+        std::iter::empty(),
+        &LastEvictions::new(Timestamp::ZERO),
+    )
 }
 
 fn candidate(machine: usize, counts: &[u32]) -> Candidate {
--- a/crates/disruption/tests/coordinator.rs
+++ b/crates/disruption/tests/coordinator.rs
@@ -10,7 +10,7 @@
     ChargeState, Coordinator, Demand, Effect, Fleet, MachineView, Place, Rooms, Stop, Supply, TaskClass, TaskKind,
     TaskView,
 };
-use caperstile_units::{Attempt, Duration, JobId, MachineId, TaskAttempt, TaskId, Time, Wall};
+use caperstile_types::{AttemptId, AttemptNumber, Duration, JobId, MachineId, TaskId, Timestamp, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 use support::Service;
 
@@ -52,13 +52,19 @@
 
     fn task(&self, machine: u64, index: u32, name: &str, kind: TaskKind, ends_in: Option<Duration>) -> TaskView {
         let task = TaskId { job: JobId(machine), index };
-        let key = TaskAttempt { attempt: Attempt(machine * 1000 + u64::from(index)), task };
+        let key = AttemptId { attempt: AttemptNumber(machine * 1000 + u64::from(index)), task };
         TaskView { key, class: class(name), kind, stopping: false, counted: false, ends_in }
     }
 
     fn add(&mut self, id: u64, tasks: Vec<TaskView>) {
         let place = Place { kind: "g8".into(), zone: "a".into(), spot: false };
-        let view = MachineView { place, rented_at: Wall(START - 1000), reachable: true, leaving: false, tasks };
+        let view = MachineView {
+            place,
+            rented_at: WallClock::from_millis(START - 1000),
+            reachable: true,
+            leaving: false,
+            tasks,
+        };
         self.machines.insert(MachineId(id), view);
     }
 
@@ -82,7 +88,7 @@
 struct AnyRoom(bool);
 
 impl Rooms for AnyRoom {
-    fn take(&mut self, _: MachineId, _: &[TaskAttempt]) -> bool {
+    fn take(&mut self, _: MachineId, _: &[AttemptId]) -> bool {
         self.0
     }
 }
@@ -123,7 +129,7 @@
     fn rooms<'a>(&'a self, _: &BTreeSet<MachineId>) -> Box<dyn Rooms + 'a> {
         Box::new(AnyRoom(self.room))
     }
-    fn supply(&self, _: &Place, _: Wall, _: &BTreeSet<MachineId>) -> Supply {
+    fn supply(&self, _: &Place, _: WallClock, _: &BTreeSet<MachineId>) -> Supply {
         Supply::default()
     }
 }
@@ -142,8 +148,8 @@
         };
         let drains = section("drains", &[("enabled", "yes"), ("max_machines", "100%")]);
         let sections = [drains, section("budget crew/web", budget), section("budget crew/render", budget)];
-        let policy = parse(&sections, &BTreeSet::from(["crew".to_string()]), Duration(0)).expect("valid");
-        Leader { coordinator: Coordinator::new(policy, Time(now), 8000, 16, 1000.0), now }
+        let policy = parse(&sections, &BTreeSet::from(["crew".to_string()]), Duration::ZERO).expect("valid");
+        Leader { coordinator: Coordinator::new(policy, Timestamp::from_millis(now), 8000, 16, 1000.0), now }
     }
 
     /// Lets the store do what it wants, then comes a round.
@@ -151,17 +157,17 @@
         self.now += 2500;
         for _ in 0..4 {
             self.now += 50;
-            let mut call = self.coordinator.store().tick(Time(self.now));
+            let mut call = self.coordinator.store().tick(Timestamp::from_millis(self.now));
             while let Some((id, asked)) = call {
                 let answer = service.answer(&asked);
-                call = self.coordinator.store().reply(Time(self.now), id, answer);
+                call = self.coordinator.store().reply(Timestamp::from_millis(self.now), id, answer);
             }
         }
         self.round_only(fleet)
     }
 
     fn round_only(&mut self, fleet: &Machines) -> Vec<Effect> {
-        self.coordinator.round(Time(self.now), Wall(START + self.now), fleet)
+        self.coordinator.round(Timestamp::from_millis(self.now), WallClock::from_millis(START + self.now), fleet)
     }
 }
 
@@ -193,10 +199,10 @@
     // The write is under way: however often a round comes, nothing is stopped.
     let (id, call) = loop {
         leader.now += 50;
-        match leader.coordinator.store().tick(Time(leader.now)) {
+        match leader.coordinator.store().tick(Timestamp::from_millis(leader.now)) {
             Some((id, Call::Scan { prefix, .. })) => {
                 let answer = service.answer(&Call::Scan { prefix, after: None });
-                leader.coordinator.store().reply(Time(leader.now), id, answer);
+                leader.coordinator.store().reply(Timestamp::from_millis(leader.now), id, answer);
             }
             Some(write) => break write,
             None => {}
@@ -206,7 +212,7 @@
         assert_eq!(stops(&leader.round_only(&fleet)), 0, "stopped before the charge is durable");
     }
     let answer = service.answer(&call);
-    leader.coordinator.store().reply(Time(leader.now), id, answer);
+    leader.coordinator.store().reply(Timestamp::from_millis(leader.now), id, answer);
     assert_eq!(stops(&leader.round_only(&fleet)), 2);
 }
 
@@ -229,7 +235,7 @@
 fn the_next_leader_takes_charges_of_batch_work_over() {
     let mut fleet = Machines::with_replicas(0, 0);
     for id in 901..905 {
-        let task = fleet.task(id, 0, "render", TaskKind::Batch { saves: true }, Some(Duration(3_600_000)));
+        let task = fleet.task(id, 0, "render", TaskKind::Batch { saves: true }, Some(Duration::from_secs(3600)));
         fleet.add(id, vec![task]);
     }
     let budget = [("max_unavailable", "1"), ("batch_wait_s", "1")];
--- a/crates/disruption/tests/measure.rs
+++ b/crates/disruption/tests/measure.rs
@@ -5,7 +5,7 @@
 use caperstile_disruption::allowance::{Allowances, LastEvictions, Load};
 use caperstile_disruption::choose::{Candidate, StepLimits, choose, greedy};
 use caperstile_disruption::{Budget, Demand, Limit, Policy, TaskClass};
-use caperstile_units::{MachineId, Time, Wall};
+use caperstile_types::{MachineId, Timestamp, WallClock};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -33,8 +33,9 @@
     let classes = (0..CLASSES).map(|n| (class(n), budget(4 + numbers.below(machines / 4)))).collect();
     let policy = Policy { classes, ..Policy::default() };
     let demand = (0..CLASSES).map(|n| (class(n), Demand { wanted: 4000, unavailable: 0 })).collect();
-    let last = LastEvictions::new(Time(0));
-    let allowances = Allowances::new(&policy, Time(0), Wall(0), &demand, std::iter::empty(), &last);
+    let last = LastEvictions::new(Timestamp::ZERO);
+    let allowances =
+        Allowances::new(&policy, Timestamp::ZERO, WallClock::from_millis(0), &demand, std::iter::empty(), &last);
     let candidate = |n: u64, numbers: &mut Numbers| {
         let load: Load =
             (0..1 + numbers.below(3)).map(|_| (class(numbers.below(CLASSES)), 1 + numbers.below(4) as u32)).collect();
--- a/crates/disruption/tests/policy.rs
+++ b/crates/disruption/tests/policy.rs
@@ -3,7 +3,7 @@
 use caperstile_disruption::budget::BatchEviction;
 use caperstile_disruption::policy::{Section, parse};
 use caperstile_disruption::{Limit, Policy, PolicyError, Scope, TaskClass};
-use caperstile_units::{Duration, Wall};
+use caperstile_types::{Duration, WallClock};
 use std::collections::BTreeSet;
 
 fn section(name: &str, entries: &[(&str, &str)]) -> Section {
@@ -13,7 +13,7 @@
 
 fn read(sections: &[Section]) -> Result<Policy, PolicyError> {
     let teams = BTreeSet::from(["studio".to_string(), "a/b".to_string()]);
-    parse(sections, &teams, Duration(0))
+    parse(sections, &teams, Duration::ZERO)
 }
 
 fn class(team: &str, class: &str) -> Scope {
@@ -21,9 +21,9 @@
 }
 
 /// Milliseconds since 1970 of a UTC time.
-fn utc(text: &str) -> Wall {
+fn utc(text: &str) -> WallClock {
     let time = chrono::NaiveDateTime::parse_from_str(text, "%Y-%m-%d %H:%M").expect("a time");
-    Wall(time.and_utc().timestamp_millis() as u64)
+    WallClock::from_millis(time.and_utc().timestamp_millis() as u64)
 }
 
 #[test]
@@ -88,7 +88,7 @@
     let window = section("window day", &[("zone", "UTC"), ("from", "09:00"), ("until", "17:00")]);
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.day", "0")]);
     let teams = BTreeSet::from(["studio".to_string()]);
-    let policy = parse(&[window, budget], &teams, Duration(60_000)).expect("valid");
+    let policy = parse(&[window, budget], &teams, Duration::from_secs(60)).expect("valid");
     let allowed = |at: &str| policy.allowed(&Scope::Team("studio".into()), 100, utc(at));
     assert_eq!((allowed("2026-12-02 08:58"), allowed("2026-12-02 08:59")), (Some(5), Some(0)));
     assert_eq!((allowed("2026-12-02 17:00"), allowed("2026-12-02 17:01")), (Some(0), Some(5)));
--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -1,19 +1,19 @@
 //! How often jobs of each class come, so that room can be kept for those that must start at once.
 
 use crate::intake::JobRecord;
-use crate::units::{Duration, Time};
+use crate::types::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 /// What is older says nothing of the next minute.
-const WINDOW: Duration = Duration(120_000);
+const WINDOW: Duration = Duration::from_secs(120);
 /// Jobs remembered of one class.
 const REMEMBERED: usize = 256;
 
 /// One job's coming.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
-    at: Time,
+    at: Timestamp,
     tasks: u32,
 }
 
@@ -23,7 +23,7 @@
     lately: VecDeque<Arrival>,
     /// The one of its jobs whose tasks take most together.
     largest: Rc<JobRecord>,
-    since: Time,
+    since: Timestamp,
 }
 
 impl ClassArrivals {
@@ -33,11 +33,14 @@
     }
 
     /// Tasks that are likely to come within this time.
-    pub fn expected_tasks(&self, now: Time, within: Duration) -> f64 {
-        let window = now.since(self.since).0.clamp(within.0.max(1), WINDOW.0.max(within.0));
-        let recent = self.lately.iter().filter(|a| now.since(a.at).0 < window);
+    pub fn expected_tasks(&self, now: Timestamp, within: Duration) -> f64 {
+        let window = now
+            .since(self.since)
+            .as_millis()
+            .clamp(within.as_millis().max(1), WINDOW.as_millis().max(within.as_millis()));
+        let recent = self.lately.iter().filter(|a| now.since(a.at).as_millis() < window);
         let tasks: u64 = recent.map(|a| u64::from(a.tasks)).sum();
-        tasks as f64 * within.0 as f64 / window as f64
+        tasks as f64 * within.as_millis() as f64 / window as f64
     }
 }
 
@@ -49,7 +52,7 @@
 
 impl Arrivals {
     /// A job has come.
-    pub fn note(&mut self, now: Time, record: &Rc<JobRecord>) {
+    pub fn note(&mut self, now: Timestamp, record: &Rc<JobRecord>) {
         let class = self.classes.entry(record.class.clone()).or_insert_with(|| ClassArrivals {
             lately: VecDeque::new(),
             largest: record.clone(),
--- a/src/arrivals/tests.rs
+++ b/src/arrivals/tests.rs
@@ -1,33 +1,33 @@
 use super::*;
 use crate::intake::{parse_job, tests::submission};
-use crate::units::Wall;
+use crate::types::WallClock;
 
 fn record(class: &str, tasks: u64) -> Rc<JobRecord> {
     let mut body = submission("job-000001");
     body["Lane"] = class.into();
     body["Pieces"] = tasks.into();
-    Rc::new(parse_job(body.to_string().as_bytes(), Wall(0)).unwrap())
+    Rc::new(parse_job(body.to_string().as_bytes(), WallClock::from_millis(0)).unwrap())
 }
 
 #[test]
 fn what_comes_regularly_is_expected_and_what_came_long_ago_is_not() {
     let mut arrivals = Arrivals::default();
     for n in 0..12 {
-        arrivals.note(Time(n * 5000), &record("train", 2 + n % 3));
+        arrivals.note(Timestamp::from_millis(n * 5000), &record("train", 2 + n % 3));
     }
     let (name, class) = arrivals.classes().next().unwrap();
     assert_eq!((name, class.largest().tasks), ("train", 4));
     // 36 tasks in a minute.
-    let expected = class.expected_tasks(Time(60_000), Duration(20_000));
+    let expected = class.expected_tasks(Timestamp::from_millis(60_000), Duration::from_secs(20));
     assert!((11.0..13.5).contains(&expected), "{expected}");
-    assert_eq!(class.expected_tasks(Time(400_000), Duration(20_000)), 0.0);
+    assert_eq!(class.expected_tasks(Timestamp::from_millis(400_000), Duration::from_secs(20)), 0.0);
 }
 
 /// The first job of a class says little of how often they come: it is taken for one within the time that is asked about.
 #[test]
 fn one_job_alone_is_expected_once() {
     let mut arrivals = Arrivals::default();
-    arrivals.note(Time(1000), &record("train", 3));
+    arrivals.note(Timestamp::from_millis(1000), &record("train", 3));
     let (_, class) = arrivals.classes().next().unwrap();
-    assert_eq!(class.expected_tasks(Time(1100), Duration(20_000)), 3.0);
+    assert_eq!(class.expected_tasks(Timestamp::from_millis(1100), Duration::from_secs(20)), 3.0);
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -9,7 +9,7 @@
 use crate::settings::{Seed, Settings};
 use crate::store::{Reply, StateCall};
 use crate::term::{Over, Term, too_many};
-use crate::units::{Duration, MachineId, Time, Token, Wall};
+use crate::types::{Duration, FencingToken, MachineId, Timestamp, WallClock};
 use crate::upgrade::{self, Format, Upgrade};
 use crate::wire::{Commands, Report, SubmissionHead};
 use caperstile_admission::{
@@ -70,7 +70,7 @@
     /// The link to a node is up or down.
     Link(String, bool),
     /// A node says that it leads, under this token.
-    Leads(String, Token),
+    Leads(String, FencingToken),
     /// The operators have changed the disruption budgets.
     Policy(Box<Policy>),
     /// The operators have changed the settings of admission.
@@ -108,7 +108,7 @@
     /// Forward a user's request to the leader.
     Forward(String, u64, UserCall),
     /// Tell the other nodes that this one leads, under this token.
-    Announce(Token),
+    Announce(FencingToken),
     /// Send the nodes that take admission tables this one.
     Publish(Box<AdmissionTable>),
     /// Tell the leader what this node refused by its tables.
@@ -119,34 +119,34 @@
 struct Parked {
     origin: Origin,
     call: UserCall,
-    until: Time,
+    until: Timestamp,
 }
 
 #[derive(Debug)]
 struct Forward {
     origin: Origin,
     call: UserCall,
-    until: Time,
+    until: Timestamp,
     node: String,
 }
 
 /// How long a user's request waits for a leader before it is told to come back.
-const PATIENCE: Duration = Duration(1200);
+const PATIENCE: Duration = Duration::from_millis(1200);
 /// How long the leader may take over a forwarded request.
-const FORWARD_TIMEOUT: Duration = Duration(3500);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(3500);
 const PARKED_LIMIT: usize = 400;
 /// A follower that cannot reach the leader for so long cannot take requests.
-const CUT_OFF: Duration = Duration(2500);
+const CUT_OFF: Duration = Duration::from_millis(2500);
 /// Without an answer of the state service for so long, it is down or out of reach.
-const NO_STATE: Duration = Duration(1500);
+const NO_STATE: Duration = Duration::from_millis(1500);
 /// How often a leader tells the other nodes so.
-const ANNOUNCE_EVERY: Duration = Duration(1000);
+const ANNOUNCE_EVERY: Duration = Duration::from_secs(1);
 /// How often a follower tells the leader what it refused.
-const REPORT_REFUSED_EVERY: Duration = Duration(1000);
+const REPORT_REFUSED_EVERY: Duration = Duration::from_secs(1);
 /// A node that led so lately may still answer the workers of a zone that is cut off.
-const LED_LATELY: Duration = Duration(90_000);
+const LED_LATELY: Duration = Duration::from_secs(90);
 /// A node makes room for others no more often: if no node reaches the workers, they are gone.
-const MAKES_ROOM_EVERY: Duration = Duration(60_000);
+const MAKES_ROOM_EVERY: Duration = Duration::from_secs(60);
 
 /// A node.
 pub struct Controller {
@@ -161,15 +161,15 @@
     admission: TableView,
     /// What this node refused since it told the leader last, and when that was.
     refused: DemandReport,
-    refused_told: Time,
+    refused_told: Timestamp,
     links: HashSet<String>,
     ready: bool,
-    reachable: Time,
-    announced: Time,
+    reachable: Timestamp,
+    announced: Timestamp,
     /// When each node was known to lead last.
-    last_led: HashMap<String, Time>,
+    last_led: HashMap<String, Timestamp>,
     /// When this node left the leadership to others last, because it reached no worker.
-    made_room: Option<Time>,
+    made_room: Option<Timestamp>,
 }
 
 /// 503: come back after so many seconds.
@@ -193,11 +193,11 @@
             forward_ids: 0,
             admission: TableView::default(),
             refused: DemandReport::default(),
-            refused_told: Time(0),
+            refused_told: Timestamp::ZERO,
             links: HashSet::new(),
             ready: false,
-            reachable: Time(0),
-            announced: Time(0),
+            reachable: Timestamp::ZERO,
+            announced: Timestamp::ZERO,
             last_led: HashMap::new(),
             made_room: None,
         }
@@ -209,7 +209,7 @@
     }
 
     /// The admission table that this node decides by: its own if it leads, else the one in force.
-    pub fn admission_table(&self, now: Time) -> Option<&AdmissionTable> {
+    pub fn admission_table(&self, now: Timestamp) -> Option<&AdmissionTable> {
         match &self.term {
             Some(term) => Some(term.admission.table()),
             None => self.admission.in_force(now, self.leadership.heard()),
@@ -217,7 +217,7 @@
     }
 
     /// Takes one input and says what is to be done.
-    pub fn handle(&mut self, now: Time, wall: Wall, input: Input) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Timestamp, wall: WallClock, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         match input {
             Input::Tick => self.tick(now, wall, &mut out),
@@ -302,7 +302,7 @@
             }
             Input::Link(node, true) => {
                 self.links.insert(node);
-                self.announced = Time(0);
+                self.announced = Timestamp::ZERO;
                 self.unpark(now, wall, &mut out);
             }
             Input::Link(node, false) => {
@@ -325,7 +325,7 @@
 
     fn with_term(
         &mut self,
-        now: Time,
+        now: Timestamp,
         token: u64,
         out: &mut Vec<Effect>,
         act: impl FnOnce(&mut Term, bool, &mut Vec<Effect>),
@@ -338,7 +338,7 @@
     }
 
     /// Ends the term if it has learnt of a higher token or a lost key.
-    fn check_term(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn check_term(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if let Some(why) = self.term.as_ref().and_then(Term::over) {
             let mut events = Vec::new();
             if why == Over::NoWorkers {
@@ -347,17 +347,17 @@
             } else {
                 self.leadership.step_down(now, why.reason(), &mut events);
             }
-            self.led(now, Wall(0), events, out);
+            self.led(now, WallClock::from_millis(0), events, out);
         }
     }
 
-    fn led(&mut self, now: Time, wall: Wall, events: Vec<leadership::Event>, out: &mut Vec<Effect>) {
+    fn led(&mut self, now: Timestamp, wall: WallClock, events: Vec<leadership::Event>, out: &mut Vec<Effect>) {
         for event in events {
             match event {
                 leadership::Event::Call(id, call) => out.push(Effect::State(Slot::Leadership, id, call)),
                 leadership::Event::Elected(token, format) => {
                     self.ready = true;
-                    self.announced = Time(0);
+                    self.announced = Timestamp::ZERO;
                     let mut term = Term::new(token, format, now, &self.settings);
                     if let Some(table) = self.admission.inherited(now) {
                         term.admission.inherit(now, table);
@@ -390,7 +390,7 @@
         }
     }
 
-    fn tick(&mut self, now: Time, wall: Wall, out: &mut Vec<Effect>) {
+    fn tick(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.leadership.tick(now, &mut events);
         self.led(now, wall, events, out);
@@ -453,7 +453,7 @@
     }
 
     /// Tells the leader from time to time what was refused by its tables.
-    fn report_refused(&mut self, now: Time, out: &mut Vec<Effect>) {
+    fn report_refused(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.refused.is_empty() || now.since(self.refused_told) < REPORT_REFUSED_EVERY {
             return;
         }
@@ -466,17 +466,17 @@
         }
     }
 
-    fn state_answers(&self, now: Time) -> bool {
+    fn state_answers(&self, now: Timestamp) -> bool {
         self.leadership.answered.is_some_and(|at| now.since(at) < NO_STATE)
     }
 
     /// Whether this node has neither the state service nor any other node: unlike in an outage, others
     /// most likely go on without it, and what it knows may be outdated.
-    fn isolated(&self, now: Time) -> bool {
+    fn isolated(&self, now: Timestamp) -> bool {
         !self.settings.seeds.is_empty() && self.links.is_empty() && !self.state_answers(now)
     }
 
-    fn up(&self, now: Time) -> Answer {
+    fn up(&self, now: Timestamp) -> Answer {
         if self.ready && !self.isolated(now) && now.since(self.reachable) < CUT_OFF {
             Answer { status: 200, retry_after: 0, body: "{}".into() }
         } else {
@@ -484,7 +484,15 @@
         }
     }
 
-    fn user(&mut self, now: Time, wall: Wall, origin: Origin, call: UserCall, until: Time, out: &mut Vec<Effect>) {
+    fn user(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        origin: Origin,
+        call: UserCall,
+        until: Timestamp,
+        out: &mut Vec<Effect>,
+    ) {
         let certain = self.leadership.certain(now);
         if let Some(term) = &mut self.term {
             if term.loaded() {
@@ -513,7 +521,7 @@
     }
 
     /// Decides by the leader's admission table whether a request is worth forwarding. What cannot be read is the leader's to refuse.
-    fn decide(&mut self, now: Time, call: &UserCall) -> Decision {
+    fn decide(&mut self, now: Timestamp, call: &UserCall) -> Decision {
         let UserCall::Submit(body) = call else { return Decision::Admit };
         let Some(table) = self.admission_table(now).filter(|table| !table.is_open()) else {
             return Decision::Admit;
@@ -528,13 +536,13 @@
     }
 
     /// Requests that waited for a leader try again.
-    fn unpark(&mut self, now: Time, wall: Wall, out: &mut Vec<Effect>) {
+    fn unpark(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         for p in std::mem::take(&mut self.parked) {
             self.user(now, wall, p.origin, p.call, p.until, out);
         }
     }
 
-    fn report(&mut self, now: Time, wall: Wall, origin: Origin, report: &Report, out: &mut Vec<Effect>) {
+    fn report(&mut self, now: Timestamp, wall: WallClock, origin: Origin, report: &Report, out: &mut Vec<Effect>) {
         let certain = self.leadership.certain(now);
         match &mut self.term {
             Some(term) if term.loaded() => {
--- a/src/drains.rs
+++ b/src/drains.rs
@@ -8,7 +8,7 @@
 use crate::settings::Settings;
 use crate::store::{Reply, StateCall, condition};
 use crate::term::{Over, Term};
-use crate::units::{MachineId, Revision, Time, Token, Wall};
+use crate::types::{FencingToken, MachineId, Revision, Timestamp, WallClock};
 use crate::upgrade::Format;
 use crate::wire::{Change, KeyPage, Txn, TxnAnswer};
 use crate::workers::{Hold, Machine};
@@ -27,7 +27,7 @@
 const VALUE_MARGIN: usize = 64;
 
 /// The drains of a new term, if the operators have switched them on.
-pub(crate) fn coordinator(settings: &Settings, now: Time) -> Option<Coordinator> {
+pub(crate) fn coordinator(settings: &Settings, now: Timestamp) -> Option<Coordinator> {
     let state = &settings.deployment.state;
     let value_bytes = ((state.value_kb_always() * 1024.0) as usize).saturating_sub(VALUE_MARGIN);
     let rate = state.write_rates().1 * WRITE_SHARE;
@@ -42,7 +42,7 @@
     }
 
     /// The operators have changed their budgets.
-    pub fn set_policy(&mut self, now: Time, policy: Policy) {
+    pub fn set_policy(&mut self, now: Timestamp, policy: Policy) {
         self.settings.policy = policy.clone();
         match &mut self.drains {
             Some(drains) => drains.set_policy(policy),
@@ -51,7 +51,7 @@
     }
 
     /// Reads and writes the drains' records.
-    pub(crate) fn sync_drains(&mut self, now: Time, certain: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn sync_drains(&mut self, now: Timestamp, certain: bool, out: &mut Vec<Effect>) {
         if !certain || !self.loaded() {
             return;
         }
@@ -67,7 +67,15 @@
     }
 
     /// The state service answered a call for the drains.
-    pub fn drain_reply(&mut self, now: Time, wall: Wall, certain: bool, id: u64, reply: &Reply, out: &mut Vec<Effect>) {
+    pub fn drain_reply(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        certain: bool,
+        id: u64,
+        reply: &Reply,
+        out: &mut Vec<Effect>,
+    ) {
         let answer = answer_of(reply);
         if answer == Answer::Conflict && names_leader_key(reply, self.format()) {
             self.over = Some(Over::KeyChanged);
@@ -85,7 +93,7 @@
     }
 
     /// A round of drains; only while no other node can have been elected.
-    pub(crate) fn tend_drains(&mut self, now: Time, wall: Wall, out: &mut Vec<Effect>) {
+    pub(crate) fn tend_drains(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let Some(mut drains) = self.drains.take_if(|drains| !drains.is_idle()) else { return };
         let effects = drains.round(now, wall, &FleetView::new(self, now, wall));
         self.drains = Some(drains);
@@ -94,13 +102,13 @@
         }
     }
 
-    fn carry_out(&mut self, now: Time, wall: Wall, effect: disruption::Effect, out: &mut Vec<Effect>) {
+    fn carry_out(&mut self, now: Timestamp, wall: WallClock, effect: disruption::Effect, out: &mut Vec<Effect>) {
         match effect {
             disruption::Effect::Cordon(id) => self.cordon(id),
             disruption::Effect::Uncordon(id) => self.uncordon(id),
             disruption::Effect::Stop(Stop::Task { machine, key }) => {
                 let Some(job) = self.jobs.get(key.task.job) else { return };
-                let grace = if job.record.service { 0.0 } else { job.record.save.as_secs() };
+                let grace = if job.record.service { 0.0 } else { job.record.save.as_secs_f64() };
                 info!("evicting {key} machine={machine}");
                 self.stop(machine, key, grace);
             }
@@ -135,8 +143,8 @@
 
     fn rent_replacements(
         &mut self,
-        now: Time,
-        wall: Wall,
+        now: Timestamp,
+        wall: WallClock,
         place: disruption::Place,
         count: u32,
         out: &mut Vec<Effect>,
@@ -152,7 +160,7 @@
 
     /// Ordinary machines for replicas that have to leave theirs and have no place to go to, neither on machines that are up nor on
     /// those on their way.
-    pub(crate) fn demands_of_drains(&self, now: Time) -> Vec<Demand> {
+    pub(crate) fn demands_of_drains(&self, now: Timestamp) -> Vec<Demand> {
         let waiting = self.drains.as_ref().map(Coordinator::without_room).unwrap_or_default();
         if waiting.is_empty() {
             return Vec::new();
@@ -164,7 +172,7 @@
         homeless.filter_map(|hold| self.demand_for_replica(now, hold)).collect()
     }
 
-    fn demand_for_replica(&self, now: Time, hold: &Hold) -> Option<Demand> {
+    fn demand_for_replica(&self, now: Timestamp, hold: &Hold) -> Option<Demand> {
         let job = self.jobs.get(hold.task.job)?;
         let record = &job.record;
         let there = self.parts().by_zone(job);
@@ -193,7 +201,7 @@
     }
 
     /// Empties a machine whose services fit elsewhere through the budgets, where these are in force; false: not at this time.
-    pub(crate) fn consolidate_within_budgets(&mut self, now: Time, wall: Wall, id: MachineId) -> bool {
+    pub(crate) fn consolidate_within_budgets(&mut self, now: Timestamp, wall: WallClock, id: MachineId) -> bool {
         let Some(mut drains) = self.drains.take() else { return false };
         let taken = drains.consolidate(now, wall, id, &FleetView::new(self, now, wall));
         self.drains = Some(drains);
@@ -201,7 +209,7 @@
     }
 }
 
-fn state_call(call: Call, format: Format, token: Token) -> StateCall {
+fn state_call(call: Call, format: Format, token: FencingToken) -> StateCall {
     match call {
         Call::Scan { prefix, after } => StateCall::Scan { prefix, after },
         Call::Write(write) => StateCall::Txn(transaction(write, format, token)),
@@ -209,7 +217,7 @@
 }
 
 /// A write of the drains, on condition that this node still leads.
-fn transaction(write: Write, format: Format, token: Token) -> Txn {
+fn transaction(write: Write, format: Format, token: FencingToken) -> Txn {
     let leads = condition(format.leader_key(), Revision(token.0));
     let own = write.conditions.iter().map(|(key, revision)| condition(key, Revision(*revision)));
     let puts = write.puts.into_iter().map(|(key, value)| Change::Put { key, value, lease: None });
--- a/src/drains/fleet.rs
+++ b/src/drains/fleet.rs
@@ -5,7 +5,7 @@
 use crate::intake::{Job, Placed};
 use crate::records::MachineRecord;
 use crate::term::Term;
-use crate::units::{Duration, MachineId, TaskAttempt, Time, Wall};
+use crate::types::{AttemptId, Duration, MachineId, Timestamp, WallClock};
 use crate::workers::{Hold, Machine, Phase};
 use caperstile_disruption::records::Charge;
 use caperstile_disruption::{
@@ -16,13 +16,13 @@
 /// A term at one moment.
 pub(super) struct FleetView<'a> {
     term: &'a Term,
-    now: Time,
-    wall: Wall,
+    now: Timestamp,
+    wall: WallClock,
     overdue: Duration,
 }
 
 impl<'a> FleetView<'a> {
-    pub(super) fn new(term: &'a Term, now: Time, wall: Wall) -> FleetView<'a> {
+    pub(super) fn new(term: &'a Term, now: Timestamp, wall: WallClock) -> FleetView<'a> {
         FleetView { term, now, wall, overdue: term.settings.deployment.workers.overdue() }
     }
 
@@ -34,9 +34,9 @@
         self.term.machines.get(&placed.machine)?.holds.get(&placed.key)
     }
 
-    fn task(&self, machine: &Machine, key: &TaskAttempt, hold: &Hold) -> Option<TaskView> {
+    fn task(&self, machine: &Machine, key: &AttemptId, hold: &Hold) -> Option<TaskView> {
         let job = self.term.jobs.get(hold.task.job)?;
-        let saves = job.record.checkpoint.0 > 0;
+        let saves = job.record.checkpoint.as_millis() > 0;
         let kind = match (job.record.service, job.record.gang) {
             (true, _) => TaskKind::Replica,
             (false, true) => TaskKind::Gang { saves, tasks: job.record.tasks },
@@ -172,7 +172,7 @@
         Box::new(RoomPlanner::for_drains(self.term, without))
     }
 
-    fn supply(&self, place: &Place, since: Wall, without: &BTreeSet<MachineId>) -> Supply {
+    fn supply(&self, place: &Place, since: WallClock, without: &BTreeSet<MachineId>) -> Supply {
         let inventory = &self.term.inventory;
         let here = |kind: &str, zone: &str, spot: bool| {
             (kind, zone, spot) == (place.kind.as_str(), place.zone.as_str(), place.spot)
@@ -188,7 +188,7 @@
         let (up, coming): (Vec<&Machine>, Vec<&Machine>) =
             self.term.machines.values().filter(fresh).partition(|m| m.usable() && self.reachable(m));
         let booting = inventory.booting().filter(|(_, b)| here(&b.kind, &b.zone, b.spot));
-        let booting = booting.filter(|(_, b)| self.wall.of(self.now, b.since) >= since).count();
+        let booting = booting.filter(|(_, b)| self.wall.at_timestamp(self.now, b.since) >= since).count();
         Supply {
             up: up.len() as u32,
             booting: (coming.len() + booting) as u32,
--- a/src/drains/rooms.rs
+++ b/src/drains/rooms.rs
@@ -2,7 +2,7 @@
 
 use crate::intake::{self, Job};
 use crate::term::Term;
-use crate::units::{JobId, MachineId, Resources, TaskAttempt};
+use crate::types::{AttemptId, JobId, MachineId, Resources};
 use crate::workers::{Hold, Machine};
 use caperstile_disruption::Rooms;
 use std::collections::{BTreeSet, HashMap};
@@ -107,7 +107,7 @@
             return None;
         };
         let arrived = (id, self.rooms[room].zone);
-        self.rooms[room].free.sub(&hold.need);
+        self.rooms[room].free.saturating_sub(&hold.need);
         *self.arrived.entry(arrived).or_default() += 1;
         Some(Given { room, need: hold.need, arrived, left })
     }
@@ -141,7 +141,7 @@
     /// How many more tasks of a job have room.
     pub(crate) fn count(&self, job: &Job) -> u64 {
         let rooms = self.rooms.iter().filter(|room| self.allowed(job, room));
-        rooms.map(|room| job.record.need.times_in(&room.free)).sum()
+        rooms.map(|room| job.record.need.copies_in(&room.free)).sum()
     }
 }
 
@@ -181,7 +181,7 @@
 }
 
 impl Rooms for RoomPlanner<'_> {
-    fn take(&mut self, from: MachineId, tasks: &[TaskAttempt]) -> bool {
+    fn take(&mut self, from: MachineId, tasks: &[AttemptId]) -> bool {
         let Some(machine) = self.term.machines.get(&from) else { return true };
         self.take_all(tasks.iter().filter_map(|key| machine.holds.get(key)))
     }
--- a/src/failure_detection.rs
+++ b/src/failure_detection.rs
@@ -2,17 +2,17 @@
 
 use crate::controller::Effect;
 use crate::term::{COMMAND_TIMEOUT, Over, Term};
-use crate::units::{Duration, MachineId, Time};
+use crate::types::{Duration, MachineId, Timestamp};
 use crate::wire::Commands;
 use crate::workers::{self, Flight, Machine};
 use log::{info, warn};
 use std::collections::{BTreeSet, HashMap};
 
 /// So long the machines of a zone that is cut off are kept.
-const KEEP_ZONE: Duration = Duration(60_000);
+const KEEP_ZONE: Duration = Duration::from_secs(60);
 
 /// A zone that was not seen to be out of reach for so long is back.
-const ZONE_IS_BACK: Duration = Duration(3000);
+const ZONE_IS_BACK: Duration = Duration::from_secs(3);
 /// Fewer machines say nothing of a zone, or of this node.
 const FEW: usize = 4;
 
@@ -20,23 +20,23 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LostZone {
     /// Since when.
-    pub since: Time,
+    pub since: Timestamp,
     /// When that was seen last.
-    pub seen: Time,
+    pub seen: Timestamp,
 }
 
 impl LostZone {
     /// Whether it is out of reach still.
-    fn lasts(&self, now: Time) -> bool {
+    fn lasts(&self, now: Timestamp) -> bool {
         now.since(self.seen) < ZONE_IS_BACK
     }
 }
 
 impl Term {
     /// Notes that this node reaches workers, if it does.
-    pub(crate) fn heard_of(&mut self, now: Time, id: MachineId) {
+    pub(crate) fn heard_of(&mut self, now: Timestamp, id: MachineId) {
         if self.machines.get(&id).is_some_and(|m| m.reached == now && m.fenced) {
-            self.silent_for = Duration(0);
+            self.silent_for = Duration::ZERO;
             self.reaches = true;
         }
     }
@@ -48,7 +48,7 @@
         if counted().nth(FEW - 1).is_none() {
             // Without workers there is no silence: the first ones that came up together ended a term that had waited
             // for them.
-            self.silent_for = Duration(0);
+            self.silent_for = Duration::ZERO;
             return;
         }
         let times = &self.settings.deployment.workers;
@@ -61,7 +61,7 @@
             times.silence(counted().count())
         } else {
             // Two direct commands to each were not answered.
-            COMMAND_TIMEOUT + COMMAND_TIMEOUT + Duration(500)
+            COMMAND_TIMEOUT + COMMAND_TIMEOUT + Duration::from_millis(500)
         };
         if self.silent_for >= limit {
             self.over = Some(Over::NoWorkers);
@@ -69,12 +69,12 @@
     }
 
     /// Looks after silent, late and drained machines.
-    pub(crate) fn watch(&mut self, now: Time, certain: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn watch(&mut self, now: Timestamp, certain: bool, out: &mut Vec<Effect>) {
         let times = &self.settings.deployment.workers;
-        let overdue = Duration::secs(times.report_s * 1.25 + 0.5);
-        let patience = Duration::secs(times.report_s * 1.25 + 1.5);
+        let overdue = Duration::from_secs_f64(times.report_s * 1.25 + 0.5);
+        let patience = Duration::from_secs_f64(times.report_s * 1.25 + 1.5);
         // A worker's clock may run slow by as much as ours runs fast, and a process may be late.
-        let lease_over = Duration::secs(times.lease_s * 1.002 + 1.5);
+        let lease_over = Duration::from_secs_f64(times.lease_s * 1.002 + 1.5);
         let unreached = |m: &Machine| now.since(m.reached) >= overdue;
         // If most machines are out of reach at once, and not because of a zone, it is this node that is cut off.
         let cut_off = self.look_for_zones(now, &unreached);
@@ -82,23 +82,24 @@
         let unanswering_zones = self.unanswering_zones();
         let mut events = Vec::new();
         let mut give_back: Vec<(MachineId, &'static str)> = Vec::new();
-        let mut probes: Vec<(Time, MachineId)> = Vec::new();
+        let mut probes: Vec<(Timestamp, MachineId)> = Vec::new();
         let mut probing = 0;
         for (id, m) in &mut self.machines {
             if let Some(flight) = m.flight
-                && now.since(flight.sent) > COMMAND_TIMEOUT + Duration(500)
+                && now.since(flight.sent) > COMMAND_TIMEOUT + Duration::from_millis(500)
             {
                 m.command_over(now, flight.id, false);
             }
             if unreached(m) || m.unanswered > 0 {
                 probing += usize::from(m.flight.is_some());
-                if m.flight.is_none() && now.since(m.probed) >= Duration(800) {
+                if m.flight.is_none() && now.since(m.probed) >= Duration::from_millis(800) {
                     probes.push((m.probed, *id));
                 }
             }
             // One that does not answer a new leader, while the others of its zone did, holds older jobs back. While
             // others still come in it may be this process that is late.
-            let alone = !m.fenced && !unfenced_zones.contains(&m.record.zone) && now.since(self.wave) >= Duration(1000);
+            let alone =
+                !m.fenced && !unfenced_zones.contains(&m.record.zone) && now.since(self.wave) >= Duration::from_secs(1);
             if unreached(m) || alone {
                 self.changed.insert(*id);
                 // A machine that takes nothing in renews no lease, whatever it reports; but that an
@@ -204,13 +205,13 @@
     /// machines are out of reach one by one. The first is sure within seconds; without it half of the zone was
     /// returned as silent before the second was. A machine is out of reach only if it did not answer: after an
     /// election workers that wait for a leader that stands still do not report for long.
-    fn look_for_zones(&mut self, now: Time, unreached: &dyn Fn(&Machine) -> bool) -> bool {
+    fn look_for_zones(&mut self, now: Timestamp, unreached: &dyn Fn(&Machine) -> bool) -> bool {
         #[derive(Default)]
         struct Seen {
             all: usize,
             regular: usize,
             out_of_reach: usize,
-            last: Time,
+            last: Timestamp,
         }
         let mut zones: HashMap<&str, Seen> = HashMap::new();
         for m in self.machines.values().filter(|m| m.fenced) {
@@ -223,7 +224,7 @@
         // A single machine that is reached again shows that the zone is back: without this nothing was rented there
         // for 40 s more, and replicas that may run nowhere else waited.
         let back = |zone: &String, lost: &LostZone| {
-            zones.get(zone.as_str()).is_some_and(|z| z.last.since(lost.seen) > Duration(250))
+            zones.get(zone.as_str()).is_some_and(|z| z.last.since(lost.seen) > Duration::from_millis(250))
         };
         self.lost_zones.retain(|zone, lost| !back(zone, lost));
         let known = zones.len();
@@ -251,13 +252,13 @@
     }
 
     /// Whether a zone is out of reach now, and since when.
-    pub(crate) fn lost_since(&self, zone: &str, now: Time) -> Option<Time> {
+    pub(crate) fn lost_since(&self, zone: &str, now: Timestamp) -> Option<Timestamp> {
         self.lost_zones.get(zone).filter(|z| z.lasts(now)).map(|z| z.since)
     }
 
     /// Sends a direct command to a machine, one at a time to each. What does not answer is not tried again and
     /// again: `watch` does so from time to time.
-    pub(crate) fn command(&mut self, now: Time, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn command(&mut self, now: Timestamp, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
         let Some(machine) = self.machines.get_mut(&id) else { return };
         if machine.flight.is_some() || (machine.unanswered > 0 && !probe) {
             return;
--- a/src/gang.rs
+++ b/src/gang.rs
@@ -10,7 +10,7 @@
 //! This module decides; `scheduling::gangs` carries it out. Nothing of a gang is written to the state service: a new leader learns the
 //! live attempt from the reports of fenced machines. There is only one, since the next one starts when nothing of the last is left.
 
-use crate::units::{Attempt, Duration, MachineId, Time};
+use crate::types::{AttemptNumber, Duration, MachineId, Timestamp};
 use std::collections::BTreeSet;
 
 /// Where a gang is in its life.
@@ -22,7 +22,7 @@
     /// Its tasks were ordered to start and wait for each other, since this time.
     Gathering {
         /// When the attempt began, or was found by this leader.
-        since: Time,
+        since: Timestamp,
     },
     /// At least one task was seen running, so all have started.
     Running,
@@ -50,9 +50,9 @@
     /// Where it is in its life.
     pub phase: Phase,
     /// The live attempt; `None` while it is queued.
-    pub attempt: Option<Attempt>,
+    pub attempt: Option<AttemptNumber>,
     /// Since when a task of a gathering gang is missing.
-    pub missing_since: Option<Time>,
+    pub missing_since: Option<Timestamp>,
     /// Machines that held tasks of earlier attempts. A worker refuses a task of which it still knows another attempt.
     pub former: BTreeSet<MachineId>,
 }
@@ -69,7 +69,7 @@
     }
 
     /// An attempt begins.
-    pub fn start(&mut self, now: Time, attempt: Attempt, machines: impl Iterator<Item = MachineId>) {
+    pub fn start(&mut self, now: Timestamp, attempt: AttemptNumber, machines: impl Iterator<Item = MachineId>) {
         self.phase = Phase::Gathering { since: now };
         self.attempt = Some(attempt);
         self.missing_since = None;
@@ -77,26 +77,26 @@
     }
 
     /// A machine shows a task of this attempt that this leader did not start; `ended`: it has ended already.
-    pub fn adopt(&mut self, now: Time, attempt: Attempt, machine: MachineId, ended: bool) -> Adoption {
+    pub fn adopt(&mut self, now: Timestamp, attempt: AttemptNumber, machine: MachineId, ended: bool) -> Adoption {
         self.former.insert(machine);
         if self.attempt.is_some_and(|live| attempt < live) {
             return Adoption::Stale;
         }
         if self.attempt == Some(attempt) {
             if ended {
-                self.stop(Duration(0));
+                self.stop(Duration::ZERO);
             }
             return Adoption::Live;
         }
         let replaces = self.attempt.is_some();
         self.attempt = Some(attempt);
         self.missing_since = None;
-        self.phase = if ended { Phase::Stopping { grace: Duration(0) } } else { Phase::Gathering { since: now } };
+        self.phase = if ended { Phase::Stopping { grace: Duration::ZERO } } else { Phase::Gathering { since: now } };
         if replaces { Adoption::Replaces } else { Adoption::Live }
     }
 
     /// A task of this attempt was seen running. All tasks start together, so from now on a lost one cannot be replaced.
-    pub fn task_runs(&mut self, attempt: Attempt) {
+    pub fn task_runs(&mut self, attempt: AttemptNumber) {
         if self.attempt == Some(attempt) && matches!(self.phase, Phase::Gathering { .. }) {
             self.phase = Phase::Running;
             self.missing_since = None;
@@ -105,16 +105,16 @@
 
     /// A task is surely gone without an end, with its machine. While the gang gathers a replacement can complete it; one that
     /// ran is over.
-    pub fn task_lost(&mut self, now: Time) {
+    pub fn task_lost(&mut self, now: Timestamp) {
         match self.phase {
             Phase::Gathering { .. } => self.missing_since = Some(self.missing_since.unwrap_or(now)),
-            _ => self.stop(Duration(0)),
+            _ => self.stop(Duration::ZERO),
         }
     }
 
     /// A task of the live attempt has ended without being done: the others are ending, or cannot begin any more.
     pub fn task_ended(&mut self) {
-        self.stop(Duration(0));
+        self.stop(Duration::ZERO);
     }
 
     /// The attempt is to end, its tasks having so long for saving. One that is ending already goes on as it was told.
--- a/src/intake/jobs.rs
+++ b/src/intake/jobs.rs
@@ -3,7 +3,7 @@
 use super::JobRecord;
 use crate::gang::Gang;
 use crate::records::{FINALS_LIMIT, RANGES_LIMIT, Record};
-use crate::units::{JobId, MachineId, Ranges, TaskAttempt, TaskId, Time, Wall};
+use crate::types::{AttemptId, JobId, MachineId, TaskId, TaskIndexSet, Timestamp, WallClock};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
     /// Machine.
     pub machine: MachineId,
     /// The attempt.
-    pub key: TaskAttempt,
+    pub key: AttemptId,
     /// Whether it is reported to run.
     pub running: bool,
 }
@@ -29,17 +29,17 @@
     /// Its rank, or a better one when nothing of it has begun for long, until something has.
     pub urgency: u8,
     /// When it was submitted, by this process's clock.
-    pub submitted: Time,
+    pub submitted: Timestamp,
     /// Whether its acceptance is durable.
     pub durable: bool,
     /// Whether it was accepted under this leader's token.
     pub ours: bool,
     /// Tasks that are on no machine and not done.
-    pub pending: Ranges,
+    pub pending: TaskIndexSet,
     /// Tasks whose finish was reported, durable or not.
-    pub done: Ranges,
+    pub done: TaskIndexSet,
     /// Tasks whose finish is durable.
-    pub durably_done: Ranges,
+    pub durably_done: TaskIndexSet,
     /// Tasks on machines.
     pub placed: BTreeMap<u32, Placed>,
     /// A cancellation is on its way to be durable.
@@ -49,17 +49,17 @@
     /// Failures in a row, over all tasks.
     pub failures: u32,
     /// No task is started before, because of failures.
-    pub not_before: Time,
+    pub not_before: Timestamp,
     /// When planning looked for machines for it last.
-    pub looked: Time,
+    pub looked: Timestamp,
     /// Its life as a gang, if it is one.
     pub gang: Option<Gang>,
 }
 
 impl Job {
     /// When the job should be complete.
-    pub fn deadline(&self) -> Time {
-        self.record.deadline.map_or(Time::NEVER, |d| self.submitted + d)
+    pub fn deadline(&self) -> Timestamp {
+        self.record.deadline.map_or(Timestamp::NEVER, |d| self.submitted + d)
     }
     /// Whether it has a better rank than its own.
     pub fn promoted(&self) -> bool {
@@ -169,10 +169,10 @@
     }
 
     /// Enters a job whose acceptance is not durable yet.
-    pub fn enter(&mut self, record: JobRecord, now: Time, ours: bool) {
+    pub fn enter(&mut self, record: JobRecord, now: Timestamp, ours: bool) {
         // Among equals, short tasks go first, but nothing waits for ever: it is as if a job had come
         // later by half of what its tasks take.
-        let seq = now.0 + record.estimate.0 / 2;
+        let seq = now.as_millis() + record.estimate.as_millis() / 2;
         self.waiting.insert((record.rank, seq, record.id));
         let job = Job {
             seq,
@@ -180,15 +180,15 @@
             submitted: now,
             durable: false,
             ours,
-            pending: Ranges::upto(record.tasks),
-            done: Ranges::default(),
-            durably_done: Ranges::default(),
+            pending: TaskIndexSet::below(record.tasks),
+            done: TaskIndexSet::default(),
+            durably_done: TaskIndexSet::default(),
             placed: BTreeMap::new(),
             cancelling: false,
             failed_on: Vec::new(),
             failures: 0,
-            not_before: Time(0),
-            looked: Time(0),
+            not_before: Timestamp::ZERO,
+            looked: Timestamp::ZERO,
             gang: record.gang.then(Gang::default),
             record: Rc::new(record),
         };
@@ -200,14 +200,14 @@
 
     /// Applies a durable fact, in the order of the log; the same when it is read back as when it
     /// has just been written, so that leaders agree.
-    pub fn apply(&mut self, record: &Record, now: Time, wall: Wall) -> Applied {
+    pub fn apply(&mut self, record: &Record, now: Timestamp, wall: WallClock) -> Applied {
         match record {
             Record::Job(job) => {
                 if self.finals.contains_key(&job.id) {
                     return Applied::Nothing;
                 }
                 if !self.live.contains_key(&job.id) {
-                    self.enter(job.clone(), wall.instant(now, job.at), false);
+                    self.enter(job.clone(), wall.timestamp_of(now, job.at), false);
                 }
                 if let Some(entry) = self.live.get_mut(&job.id) {
                     entry.durable = true;
@@ -279,7 +279,7 @@
         }
         for job in self.live.values().filter(|j| j.durable) {
             facts.push(Record::Job((*job.record).clone()));
-            for part in job.durably_done.split(RANGES_LIMIT) {
+            for part in job.durably_done.split_by_ranges(RANGES_LIMIT) {
                 facts.push(Record::Done(job.record.id, part));
             }
         }
--- a/src/intake/submission.rs
+++ b/src/intake/submission.rs
@@ -1,7 +1,7 @@
 //! Submissions: their form, whether they can ever run, and jobs as they are accepted.
 
 use crate::settings::Team;
-use crate::units::{Duration, JobId, Resources, Wall};
+use crate::types::{Duration, JobId, Resources, WallClock};
 use crate::wire::Flavor;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -77,7 +77,7 @@
     pub deadline: Option<Duration>,
     /// When it was submitted.
     #[serde(rename = "a")]
-    pub at: Wall,
+    pub at: WallClock,
 }
 
 impl JobRecord {
@@ -151,7 +151,7 @@
 }
 
 /// Checks the form of a submission.
-pub fn parse_job(body: &[u8], at: Wall) -> Result<JobRecord, Refusal> {
+pub fn parse_job(body: &[u8], at: WallClock) -> Result<JobRecord, Refusal> {
     let value: Value = serde_json::from_slice(body).map_err(|_| bad("", "the body is not JSON"))?;
     let Value::Object(fields) = value else { return Err(bad("", "the body is not an object")) };
     let id = text(&fields, "Ref")?.parse().map_err(|_| bad("Ref", "has the wrong form"))?;
@@ -191,7 +191,7 @@
     };
     let deadline = match fields.get("DueS") {
         None | Some(Value::Null) => None,
-        Some(_) => Some(Duration(amount(&fields, "DueS", false)?)),
+        Some(_) => Some(Duration::from_millis(amount(&fields, "DueS", false)?)),
     };
     Ok(JobRecord {
         id,
@@ -209,9 +209,9 @@
         together: flag(&fields, "Together")?,
         spread: flag(&fields, "Spread")?,
         spot: flag(&fields, "Loaners")?,
-        estimate: Duration(amount(&fields, "RuntimeS", service)?),
-        checkpoint: Duration(amount(&fields, "BookmarkS", true)?),
-        save: Duration(amount(&fields, "StashS", true)?),
+        estimate: Duration::from_millis(amount(&fields, "RuntimeS", service)?),
+        checkpoint: Duration::from_millis(amount(&fields, "BookmarkS", true)?),
+        save: Duration::from_millis(amount(&fields, "StashS", true)?),
         deadline,
         at,
     })
--- a/src/intake/tests.rs
+++ b/src/intake/tests.rs
@@ -1,7 +1,7 @@
 use super::submission::GANGS_AFTER;
 use super::*;
 use crate::records::Record;
-use crate::units::{JobId, Ranges, Time, Wall};
+use crate::types::{JobId, TaskIndexSet, Timestamp, WallClock};
 use crate::wire::Flavor;
 use serde_json::{Value, json};
 
@@ -14,7 +14,7 @@
 }
 
 fn parse(value: &Value) -> Result<JobRecord, Refusal> {
-    parse_job(value.to_string().as_bytes(), Wall(5))
+    parse_job(value.to_string().as_bytes(), WallClock::from_millis(5))
 }
 
 #[test]
@@ -55,9 +55,12 @@
             other => panic!("{name} = {value}: {other:?}"),
         }
     }
-    assert!(matches!(parse_job(b"[1]", Wall(0)), Err(Refusal::Malformed("", _))));
-    assert!(matches!(parse_job(b"{", Wall(0)), Err(Refusal::Malformed("", _))));
-    assert!(matches!(parse_job(br#"{"Ref":"job-000001","Cores":1e999}"#, Wall(0)), Err(Refusal::Malformed(..))));
+    assert!(matches!(parse_job(b"[1]", WallClock::from_millis(0)), Err(Refusal::Malformed("", _))));
+    assert!(matches!(parse_job(b"{", WallClock::from_millis(0)), Err(Refusal::Malformed("", _))));
+    assert!(matches!(
+        parse_job(br#"{"Ref":"job-000001","Cores":1e999}"#, WallClock::from_millis(0)),
+        Err(Refusal::Malformed(..))
+    ));
 }
 
 pub(crate) fn flavor() -> Flavor {
@@ -127,29 +130,29 @@
 #[test]
 fn facts_of_a_snapshot_fit_into_small_values() {
     let mut jobs = JobStore::default();
-    let mut every_other = Ranges::default();
+    let mut every_other = TaskIndexSet::default();
     for n in (0..2000).step_by(2) {
         every_other.insert(n);
     }
     let mut value = submission("job-000001");
     value["Pieces"] = json!(2000);
-    jobs.apply(&Record::Job(parse(&value).unwrap()), Time(9), Wall(9));
-    jobs.apply(&Record::Done(JobId(1), every_other), Time(9), Wall(9));
+    jobs.apply(&Record::Job(parse(&value).unwrap()), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&Record::Done(JobId(1), every_other), Timestamp::from_millis(9), WallClock::from_millis(9));
     for n in 0..1000 {
         let id = 100_000_000_000_000 + n * 9_000_000_000;
         let mut value = submission(&format!("job-{id}"));
         value["Pieces"] = json!(1);
-        jobs.apply(&Record::Job(parse(&value).unwrap()), Time(9), Wall(9));
-        let mut all = Ranges::default();
+        jobs.apply(&Record::Job(parse(&value).unwrap()), Timestamp::from_millis(9), WallClock::from_millis(9));
+        let mut all = TaskIndexSet::default();
         all.insert(0);
         let end = if n % 2 == 0 { Record::Cancelled(JobId(id)) } else { Record::Done(JobId(id), all) };
-        jobs.apply(&end, Time(9), Wall(9));
+        jobs.apply(&end, Timestamp::from_millis(9), WallClock::from_millis(9));
     }
     let mut again = JobStore::default();
     for fact in jobs.facts() {
         let size = serde_json::to_string(&fact).unwrap().len();
         assert!(size <= 2 * 1024 - 64 - 2, "{size} bytes: {fact:?}");
-        again.apply(&fact, Time(9), Wall(9));
+        again.apply(&fact, Timestamp::from_millis(9), WallClock::from_millis(9));
     }
     assert_eq!((again.finals(), again.open()), (1000, 1));
     assert_eq!(again.get(JobId(1)).unwrap().durably_done.len(), 1000);
@@ -160,21 +163,21 @@
     let (mut jobs, mut again) = (JobStore::default(), JobStore::default());
     for n in 1..=3 {
         let record = parse(&submission(&format!("job-00000{n}"))).unwrap();
-        jobs.apply(&Record::Job(record), Time(9), Wall(9));
+        jobs.apply(&Record::Job(record), Timestamp::from_millis(9), WallClock::from_millis(9));
     }
-    let mut two = Ranges::upto(2);
-    jobs.apply(&Record::Done(JobId(1), two.clone()), Time(9), Wall(9));
-    jobs.apply(&Record::Cancelled(JobId(2)), Time(9), Wall(9));
-    jobs.apply(&Record::Cancelled(JobId(1)), Time(9), Wall(9)); // too late: it is done
+    let mut two = TaskIndexSet::below(2);
+    jobs.apply(&Record::Done(JobId(1), two.clone()), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&Record::Cancelled(JobId(2)), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&Record::Cancelled(JobId(1)), Timestamp::from_millis(9), WallClock::from_millis(9)); // too late: it is done
     two.remove(0);
-    jobs.apply(&Record::Done(JobId(3), two), Time(9), Wall(9));
+    jobs.apply(&Record::Done(JobId(3), two), Timestamp::from_millis(9), WallClock::from_millis(9));
     for fact in jobs.facts() {
-        again.apply(&fact, Time(9), Wall(9));
+        again.apply(&fact, Timestamp::from_millis(9), WallClock::from_millis(9));
     }
     for (n, status) in [(1, "done"), (2, "aborted"), (3, "queued")] {
         assert_eq!(jobs.state(JobId(n)), again.state(JobId(n)));
         assert_eq!(again.state(JobId(n)).unwrap()["Status"], status);
     }
-    assert_eq!(again.get(JobId(3)).unwrap().pending, Ranges::upto(1));
+    assert_eq!(again.get(JobId(3)).unwrap().pending, TaskIndexSet::below(1));
     assert_eq!(again.state(JobId(4)), None);
 }
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::CloudLimits;
 use crate::store::Reply;
-use crate::units::{Duration, JobId, MachineId, Resources, Time, Token};
+use crate::types::{Duration, FencingToken, JobId, MachineId, Resources, Timestamp};
 use crate::wire::{Flavor, Flavors, MachineList, MachineNames, RentRequest};
 use log::info;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -30,7 +30,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// When it was rented.
-    pub since: Time,
+    pub since: Timestamp,
 }
 
 /// What the slice wants done or made known.
@@ -49,8 +49,8 @@
 #[derive(Debug)]
 struct InFlight {
     call: CloudCall,
-    sent: Time,
-    retry_at: Option<Time>,
+    sent: Timestamp,
+    retry_at: Option<Timestamp>,
 }
 
 /// A type, zone and kind of machine.
@@ -59,35 +59,35 @@
 /// State of the slice; made anew at each election.
 #[derive(Debug)]
 pub struct Inventory {
-    token: Token,
+    token: FencingToken,
     rps: f64,
     budget: f64,
-    refilled: Time,
+    refilled: Timestamp,
     calls: u64,
     requests: u64,
     flavors: Option<Vec<Flavor>>,
-    flavors_at: Time,
-    listed_at: Time,
+    flavors_at: Timestamp,
+    listed_at: Timestamp,
     list_lag: Duration,
     in_flight: BTreeMap<u64, InFlight>,
     booting: BTreeMap<MachineId, Booting>,
     /// Machines came to `booting` since `take_news`.
     news: bool,
     /// Places that refused lately, until when, and the last pause.
-    refused: HashMap<Place, (Time, Duration)>,
+    refused: HashMap<Place, (Timestamp, Duration)>,
     returning: BTreeSet<MachineId>,
     gone: BTreeSet<MachineId>,
 }
 
-const CALL_TIMEOUT: Duration = Duration(5000);
-const FLAVORS_EVERY: Duration = Duration(30_000);
-const LIST_EVERY: Duration = Duration(5000);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const FLAVORS_EVERY: Duration = Duration::from_secs(30);
+const LIST_EVERY: Duration = Duration::from_secs(5);
 /// Most machines that one request rents.
 pub const RENT_LIMIT: u32 = 50;
 
 impl Inventory {
     /// A new leader's view: it knows nothing yet.
-    pub fn new(token: Token, now: Time, limits: &CloudLimits) -> Inventory {
+    pub fn new(token: FencingToken, now: Timestamp, limits: &CloudLimits) -> Inventory {
         Inventory {
             token,
             rps: limits.rps * 0.8,
@@ -96,9 +96,9 @@
             calls: 0,
             requests: 0,
             flavors: None,
-            flavors_at: Time(0),
-            listed_at: Time(0),
-            list_lag: Duration::secs(limits.list_lag_s),
+            flavors_at: Timestamp::ZERO,
+            listed_at: Timestamp::ZERO,
+            list_lag: Duration::from_secs_f64(limits.list_lag_s),
             in_flight: BTreeMap::new(),
             booting: BTreeMap::new(),
             news: false,
@@ -141,12 +141,12 @@
         self.returning.contains(&id)
     }
     /// Whether a place refused a rental lately.
-    pub fn refused(&self, place: &Place, now: Time) -> bool {
+    pub fn refused(&self, place: &Place, now: Timestamp) -> bool {
         self.refused.get(place).is_some_and(|(until, _)| now < *until)
     }
 
     /// Whether all spot machines, wherever they might be, were refused lately.
-    pub fn spot_refused(&self, now: Time) -> bool {
+    pub fn spot_refused(&self, now: Timestamp) -> bool {
         let mut places = self.flavors.iter().flatten().flat_map(|f| f.zones.iter().map(move |z| (f, z)));
         places.all(|(f, z)| self.refused(&(f.name.clone(), z.clone(), true), now))
     }
@@ -156,7 +156,7 @@
     }
 
     /// A machine's worker reported: it is up. Says when it was rented, if that is known.
-    pub fn up(&mut self, id: MachineId) -> Option<Time> {
+    pub fn up(&mut self, id: MachineId) -> Option<Timestamp> {
         self.booting.remove(&id).map(|b| b.since)
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Rents machines.
-    pub fn rent(&mut self, now: Time, place: &Place, count: u32, out: &mut Vec<Event>) {
+    pub fn rent(&mut self, now: Timestamp, place: &Place, count: u32, out: &mut Vec<Event>) {
         self.requests += 1;
         let request = format!("r-{}-{}", self.token, self.requests);
         info!("renting request={request} type={} zone={} spot={} count={count}", place.0, place.1, place.2);
@@ -195,7 +195,7 @@
         }
     }
 
-    fn call(&mut self, now: Time, call: CloudCall, out: &mut Vec<Event>) {
+    fn call(&mut self, now: Timestamp, call: CloudCall, out: &mut Vec<Event>) {
         self.calls += 1;
         self.budget -= 1.0;
         self.in_flight.insert(self.calls, InFlight { call: call.clone(), sent: now, retry_at: None });
@@ -203,8 +203,8 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Event>) {
-        self.budget = (self.budget + now.since(self.refilled).as_secs() * self.rps).min(self.rps);
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Event>) {
+        self.budget = (self.budget + now.since(self.refilled).as_secs_f64() * self.rps).min(self.rps);
         self.refilled = now;
         let due: Vec<u64> = self
             .in_flight
@@ -233,7 +233,7 @@
             self.call(now, CloudCall::Return(ids), out);
         }
         if self.budget >= 2.0
-            && (self.listed_at == Time(0) || now.since(self.listed_at) >= LIST_EVERY)
+            && (self.listed_at == Timestamp::ZERO || now.since(self.listed_at) >= LIST_EVERY)
             && idle(self, |c| matches!(c, CloudCall::List(_)))
         {
             self.listed_at = now;
@@ -244,7 +244,7 @@
     /// Takes an answer of the cloud.
     pub fn reply(
         &mut self,
-        now: Time,
+        now: Timestamp,
         id: u64,
         reply: &Reply,
         known: &dyn Fn(MachineId) -> bool,
@@ -318,11 +318,11 @@
         if done {
             self.in_flight.remove(&id);
         } else {
-            flight.retry_at = Some(now + Duration(700));
+            flight.retry_at = Some(now + Duration::from_millis(700));
         }
     }
 
-    fn listed(&mut self, now: Time, list: MachineList, known: &dyn Fn(MachineId) -> bool, out: &mut Vec<Event>) {
+    fn listed(&mut self, now: Timestamp, list: MachineList, known: &dyn Fn(MachineId) -> bool, out: &mut Vec<Event>) {
         for item in list.machines {
             let Ok(id) = item.machine.parse::<MachineId>() else { continue };
             if self.gone.contains(&id) || self.returning.contains(&id) {
@@ -333,8 +333,8 @@
                 // One that an earlier leader rented, or a late copy of a rental: used or returned.
                 _ if !known(id) && !self.booting.contains_key(&id) => {
                     info!("found machine={id} type={} zone={} in the cloud's list", item.kind, item.zone);
-                    let age = Duration::secs(item.age_s) + self.list_lag;
-                    let since = Time(now.0.saturating_sub(age.0));
+                    let age = Duration::from_secs_f64(item.age_s) + self.list_lag;
+                    let since = now.saturating_sub(age);
                     self.booting.insert(id, Booting { kind: item.kind, zone: item.zone, spot: item.spot, since });
                     self.news = true;
                 }
@@ -344,12 +344,12 @@
     }
 
     /// Machines that should have reported long ago are given back: some never come up.
-    pub fn give_up_on_late(&mut self, now: Time) {
+    pub fn give_up_on_late(&mut self, now: Timestamp) {
         let late: Vec<MachineId> = self
             .booting()
             .filter(|(_, b)| {
                 let boot = self.flavor(&b.kind).map_or(60.0, |f| f.boot_s);
-                now.since(b.since) > Duration::secs(boot * 3.0 + 15.0)
+                now.since(b.since) > Duration::from_secs_f64(boot * 3.0 + 15.0)
             })
             .map(|(id, _)| *id)
             .collect();
@@ -359,8 +359,9 @@
     }
 }
 
-fn refuse(refused: &mut HashMap<Place, (Time, Duration)>, now: Time, place: Place) {
-    let pause = refused.get(&place).map_or(Duration(5000), |(_, last)| Duration((last.0 * 2).min(30_000)));
+fn refuse(refused: &mut HashMap<Place, (Timestamp, Duration)>, now: Timestamp, place: Place) {
+    let pause =
+        refused.get(&place).map_or(Duration::from_secs(5), |(_, last)| (*last * 2).min(Duration::from_secs(30)));
     refused.insert(place, (now + pause, pause));
 }
 
@@ -417,7 +418,7 @@
                     break;
                 }
                 *used += 1;
-                free.sub(&demand.need);
+                free.saturating_sub(&demand.need);
                 left -= 1;
             }
         }
@@ -435,7 +436,7 @@
             let mut best: Option<((u64, u64), Place, Resources, u32)> = None;
             for flavor in flavors {
                 let room = crate::intake::capacity(flavor);
-                let fit = demand.need.times_in(&room).min(u64::from(u32::MAX)) as u32;
+                let fit = demand.need.copies_in(&room).min(u64::from(u32::MAX)) as u32;
                 for zone in &flavor.zones {
                     for spot in [true, false] {
                         let place = (flavor.name.clone(), zone.clone(), spot);
@@ -458,7 +459,7 @@
             let Some((_, place, room, take)) = best else { break };
             let mut free = room;
             for _ in 0..take {
-                free.sub(&demand.need);
+                free.saturating_sub(&demand.need);
             }
             left -= take;
             if demand.one_zone {
@@ -483,7 +484,7 @@
 fn zone_with_room(bought: &[(Place, Resources)], demand: &Demand, allowed: &dyn Fn(&Place) -> bool) -> Option<String> {
     let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
     for (place, free) in bought.iter().filter(|(place, _)| allowed(place)) {
-        *zones.entry(&place.1).or_default() += demand.need.times_in(free);
+        *zones.entry(&place.1).or_default() += demand.need.copies_in(free);
     }
     zones.into_iter().find(|(_, times)| *times >= u64::from(demand.count)).map(|(zone, _)| zone.to_string())
 }
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -8,9 +8,9 @@
 #[test]
 fn a_rental_without_answer_is_repeated_under_its_name() {
     let limits = CloudLimits { rps: 6.0, list_lag_s: 8.0 };
-    let mut inventory = Inventory::new(Token(41), Time(1), &limits);
+    let mut inventory = Inventory::new(FencingToken(41), Timestamp::from_millis(1), &limits);
     let mut out = Vec::new();
-    inventory.rent(Time(1), &("small".into(), "a".into(), true), 3, &mut out);
+    inventory.rent(Timestamp::from_millis(1), &("small".into(), "a".into(), true), 3, &mut out);
     let names = |out: &mut Vec<Event>| -> Vec<(u64, String)> {
         out.drain(..)
             .filter_map(|e| match e {
@@ -20,12 +20,18 @@
             .collect()
     };
     let first = names(&mut out);
-    inventory.tick(Time(5100), &mut out);
+    inventory.tick(Timestamp::from_millis(5100), &mut out);
     let second = names(&mut out);
     assert_eq!((first[0].1.as_str(), second[0].1.as_str()), ("r-41-1", "r-41-1"));
-    inventory.reply(Time(5200), second[0].0, &reply(200, json!({"Hosts": ["m-000007"]})), &|_| false, &mut out);
+    inventory.reply(
+        Timestamp::from_millis(5200),
+        second[0].0,
+        &reply(200, json!({"Hosts": ["m-000007"]})),
+        &|_| false,
+        &mut out,
+    );
     assert_eq!(inventory.booting().map(|(id, _)| *id).collect::<Vec<_>>(), [MachineId(7)]);
-    assert!(inventory.refused(&("small".into(), "a".into(), true), Time(6000)), "only partly filled");
+    assert!(inventory.refused(&("small".into(), "a".into(), true), Timestamp::from_millis(6000)), "only partly filled");
 }
 
 /// Three replicas of a service that is spread over zones.
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -5,7 +5,7 @@
 //! by reading the key, and a restarted node replaces its own dead predecessor's key at once.
 
 use crate::store::{Reply, StateCall, condition};
-use crate::units::{Duration, LeaseId, Revision, Time, Token};
+use crate::types::{Duration, FencingToken, LeaseId, Revision, Timestamp};
 use crate::upgrade::Format;
 use crate::wire::{Change, KeyValue, LeaseAnswer, Txn, TxnAnswer};
 use log::info;
@@ -35,7 +35,7 @@
     /// Ask the state service; the number comes back with the reply.
     Call(u64, StateCall),
     /// This node leads from now on, holding the key of this format.
-    Elected(Token, Format),
+    Elected(FencingToken, Format),
     /// This node no longer leads.
     SteppedDown(&'static str),
     /// Another node leads, as far as is known; `None`: nobody.
@@ -56,7 +56,7 @@
 struct InFlight {
     id: u64,
     kind: Kind,
-    sent: Time,
+    sent: Timestamp,
 }
 
 /// State of the slice.
@@ -67,8 +67,8 @@
     rng: SmallRng,
     calls: u64,
     in_flight: Option<InFlight>,
-    next: Time,
-    lease: Option<(LeaseId, Time)>,
+    next: Timestamp,
+    lease: Option<(LeaseId, Timestamp)>,
     /// Whose key leaders hold, as far as is known.
     format: Format,
     /// The key is to be moved after the next renewal.
@@ -77,25 +77,25 @@
     replace: u64,
     /// Set while an election without answer is settled: the key names us at this revision.
     claimed: Option<Revision>,
-    token: Option<Token>,
-    valid_until: Time,
+    token: Option<FencingToken>,
+    valid_until: Timestamp,
     known: Option<String>,
     /// The highest token of another node that was heard of.
-    heard: Token,
-    eager_until: Time,
+    heard: FencingToken,
+    eager_until: Timestamp,
     /// Until then the key is left to the other nodes.
-    abstains_until: Time,
+    abstains_until: Timestamp,
     /// When the state service answered last.
-    pub answered: Option<Time>,
+    pub answered: Option<Timestamp>,
 }
 
 /// Clocks differ by 0.05 %, and a process may be late; this much of the lease is not relied on.
-const MARGIN: Duration = Duration(200);
-const CALL_TIMEOUT: Duration = Duration(1000);
+const MARGIN: Duration = Duration::from_millis(200);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Why a term ends when its leader moves the key.
 const MOVED: &str = "the leader key has moved: all controllers are upgraded";
 /// How long a node that made room leaves the key to the others.
-const ABSTAIN: Duration = Duration(10_000);
+const ABSTAIN: Duration = Duration::from_secs(10);
 
 impl Leadership {
     /// A node that has just started.
@@ -106,29 +106,29 @@
             rng,
             calls: 0,
             in_flight: None,
-            next: Time(0),
+            next: Timestamp::ZERO,
             lease: None,
             format: Format::One,
             moves: false,
             replace: 0,
             claimed: None,
             token: None,
-            valid_until: Time(0),
+            valid_until: Timestamp::ZERO,
             known: None,
-            heard: Token(0),
-            eager_until: Time(0),
-            abstains_until: Time(0),
+            heard: FencingToken(0),
+            eager_until: Timestamp::ZERO,
+            abstains_until: Timestamp::ZERO,
             answered: None,
         }
     }
 
     /// The token, while this node leads (perhaps in doubt).
-    pub fn token(&self) -> Option<Token> {
+    pub fn token(&self) -> Option<FencingToken> {
         self.token
     }
 
     /// Whether no other node can have been elected yet, by this node's own clock.
-    pub fn certain(&self, now: Time) -> bool {
+    pub fn certain(&self, now: Timestamp) -> bool {
         self.token.is_some() && now < self.valid_until
     }
 
@@ -150,21 +150,21 @@
     }
 
     /// The highest token of another node that was heard of.
-    pub fn heard(&self) -> Token {
+    pub fn heard(&self) -> FencingToken {
         self.heard
     }
 
     /// Look at the key soon, because the leader's link broke.
-    pub fn hurry(&mut self, now: Time) {
+    pub fn hurry(&mut self, now: Timestamp) {
         if self.token.is_none() {
-            self.next = self.next.min(now + Duration(20));
-            self.eager_until = now + self.ttl + Duration(500);
+            self.next = self.next.min(now + Duration::from_millis(20));
+            self.eager_until = now + self.ttl + Duration::from_millis(500);
         }
     }
 
     /// Another node says that it leads. It may know sooner than the state service tells, or this node
     /// may have no answer from there at all.
-    pub fn told(&mut self, now: Time, node: String, token: Token, out: &mut Vec<Event>) {
+    pub fn told(&mut self, now: Timestamp, node: String, token: FencingToken, out: &mut Vec<Event>) {
         if token <= self.heard || node == self.me.node || self.token.is_some_and(|mine| mine > token) {
             return;
         }
@@ -176,7 +176,7 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Event>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         if let Some(call) = self.in_flight {
             if now.since(call.sent) < CALL_TIMEOUT {
                 return;
@@ -194,31 +194,32 @@
         }
     }
 
-    fn renew(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn renew(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         match self.lease {
             Some((lease, _)) => self.call(now, Kind::Renew, StateCall::Renew(lease), out),
             None => self.step_down(now, "no lease", out),
         }
     }
 
-    fn call(&mut self, now: Time, kind: Kind, call: StateCall, out: &mut Vec<Event>) {
+    fn call(&mut self, now: Timestamp, kind: Kind, call: StateCall, out: &mut Vec<Event>) {
         self.calls += 1;
         self.in_flight = Some(InFlight { id: self.calls, kind, sent: now });
         out.push(Event::Call(self.calls, call));
     }
 
     fn pause(&mut self, low: u64, high: u64) -> Duration {
-        Duration(self.rng.random_range(low..=high))
+        Duration::from_millis(self.rng.random_range(low..=high))
     }
 
-    fn failed(&mut self, now: Time, kind: Kind) {
+    fn failed(&mut self, now: Timestamp, kind: Kind) {
         // A renewal is urgent; everything else waits with jitter, so that nodes do not march in step.
-        let pause = if matches!(kind, Kind::Renew | Kind::Move) { Duration(150) } else { self.pause(200, 500) };
+        let pause =
+            if matches!(kind, Kind::Renew | Kind::Move) { Duration::from_millis(150) } else { self.pause(200, 500) };
         self.next = now + pause;
     }
 
     /// Gives the leadership up.
-    pub fn step_down(&mut self, now: Time, why: &'static str, out: &mut Vec<Event>) {
+    pub fn step_down(&mut self, now: Timestamp, why: &'static str, out: &mut Vec<Event>) {
         self.claimed = None;
         self.lease = None;
         self.in_flight = None;
@@ -236,7 +237,7 @@
 
     /// Makes room for another node, which most likely reaches what this one does not: the lease is ended, so
     /// that nobody has to wait for it.
-    pub fn make_room(&mut self, now: Time, why: &'static str, out: &mut Vec<Event>) {
+    pub fn make_room(&mut self, now: Timestamp, why: &'static str, out: &mut Vec<Event>) {
         self.abstains_until = now + ABSTAIN;
         if let Some((lease, _)) = self.lease {
             self.calls += 1;
@@ -246,7 +247,7 @@
     }
 
     /// Takes an answer of the state service.
-    pub fn reply(&mut self, now: Time, id: u64, reply: &Reply, out: &mut Vec<Event>) {
+    pub fn reply(&mut self, now: Timestamp, id: u64, reply: &Reply, out: &mut Vec<Event>) {
         let Some(call) = self.in_flight.filter(|c| c.id == id) else { return };
         self.in_flight = None;
         if matches!(reply.status, 200 | 404 | 409) {
@@ -274,7 +275,7 @@
             },
             (Kind::Campaign, 200) => match (reply.parse::<TxnAnswer>(), self.lease) {
                 (Some(answer), Some((_, granted))) => {
-                    self.valid_until = granted + Duration(self.ttl.0.saturating_sub(MARGIN.0));
+                    self.valid_until = granted + self.ttl.saturating_sub(MARGIN);
                     self.elected(now, Revision(answer.revision), out);
                 }
                 _ => self.failed(now, call.kind),
@@ -285,12 +286,12 @@
                 self.next = now + self.pause(20, 80);
             }
             (Kind::Renew, 200) => {
-                self.valid_until = call.sent + Duration(self.ttl.0.saturating_sub(MARGIN.0));
+                self.valid_until = call.sent + self.ttl.saturating_sub(MARGIN);
                 match self.claimed.take() {
                     Some(revision) => self.elected(now, revision, out),
                     None if self.moves => self.send_move(now, out),
                     // Counted from the sending, so that slow answers don't leave a leader in doubt in between.
-                    None => self.next = call.sent + Duration(self.ttl.0 / 4),
+                    None => self.next = call.sent + self.ttl / 4,
                 }
             }
             (Kind::Renew, 404) => self.step_down(now, "lease lost", out),
@@ -314,7 +315,7 @@
     }
 
     /// The key exists: it is ours, our predecessor's, or another node's.
-    fn saw(&mut self, now: Time, kv: KeyValue, out: &mut Vec<Event>) {
+    fn saw(&mut self, now: Timestamp, kv: KeyValue, out: &mut Vec<Event>) {
         if serde_json::from_value::<Moved>(kv.value.clone()).is_ok_and(|m| m.moved_to == Format::Two.leader_key()) {
             self.format = Format::Two;
             self.next = now;
@@ -339,7 +340,7 @@
         } else {
             // What the key said may be older than what its next holder told.
             if kv.version >= self.heard.0 {
-                self.heard = Token(kv.version);
+                self.heard = FencingToken(kv.version);
                 self.set_known(Some(holder.node), out);
             }
             // With its link gone the leader is likely dead: its lease ends soon.
@@ -355,11 +356,11 @@
         }
     }
 
-    fn campaign(&mut self, now: Time, replace: u64, out: &mut Vec<Event>) {
+    fn campaign(&mut self, now: Timestamp, replace: u64, out: &mut Vec<Event>) {
         self.replace = replace;
         // It must live until the campaign is carried out. With a quarter of its life as the limit nobody was elected for as long
         // as the state service took 0.4 s over an answer: each lease was old when it was granted.
-        let fresh = self.lease.filter(|(_, granted)| now.since(*granted).0 < self.ttl.0 / 2);
+        let fresh = self.lease.filter(|(_, granted)| now.since(*granted).as_millis() < self.ttl.as_millis() / 2);
         let Some((lease, _)) = fresh else {
             self.lease = None;
             return self.call(now, Kind::Grant, StateCall::Grant(self.ttl), out);
@@ -385,7 +386,7 @@
     ///
     /// Carried out late it changes nothing, or it is this node's own move: the conditions name this term's revision, and the new key
     /// hangs on this term's lease.
-    fn send_move(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn send_move(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         let (Some(token), Some((lease, _))) = (self.token, self.lease) else { return };
         let (old, new) = (Format::One.leader_key(), Format::Two.leader_key());
         let moved = serde_json::to_value(Moved { moved_to: new.into() }).unwrap_or_default();
@@ -396,8 +397,8 @@
         self.call(now, Kind::Move, StateCall::Txn(txn), out);
     }
 
-    fn elected(&mut self, now: Time, revision: Revision, out: &mut Vec<Event>) {
-        let token = Token(revision.0);
+    fn elected(&mut self, now: Timestamp, revision: Revision, out: &mut Vec<Event>) {
+        let token = FencingToken(revision.0);
         self.token = Some(token);
         self.claimed = None;
         self.known = None;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use caperstile_units as units;
+pub use caperstile_types as types;
 
 pub mod arrivals;
 pub mod cli;
--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -1,6 +1,6 @@
 //! `caperstile admission`: shows what the controllers refuse.
 
-use crate::units::Wall;
+use crate::types::WallClock;
 use caperstile_admission::{AdmissionStatus, RefusedPair, STATUS_KEY};
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
@@ -42,19 +42,19 @@
     }
 }
 
-fn now() -> Wall {
-    Wall(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64))
+fn now() -> WallClock {
+    WallClock::from_millis(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64))
 }
 
 /// What is shown.
 struct Shown {
     status: Option<AdmissionStatus>,
-    now: Wall,
+    now: WallClock,
 }
 
 impl Shown {
     fn age_s(&self, status: &AdmissionStatus) -> f64 {
-        self.now.0.saturating_sub(status.at.0) as f64 / 1000.0
+        self.now.as_millis().saturating_sub(status.at.as_millis()) as f64 / 1000.0
     }
 
     /// What is refused now: nothing, if the last that was written is old.
--- a/src/operator/drain.rs
+++ b/src/operator/drain.rs
@@ -2,7 +2,7 @@
 
 use super::report;
 use super::request::{CommandError, Requests, Shown};
-use crate::units::{self, MachineId};
+use crate::types::{self, MachineId};
 use caperstile_disruption::records::{Filter, Mode, Phase, Request, Selector, Wanted, valid_name};
 use clap::{ArgGroup, Args, Subcommand};
 use serde_json::json;
@@ -86,7 +86,7 @@
             Selector::Matching(Filter {
                 zone: self.zone.clone(),
                 kind: self.kind.clone(),
-                older_than: self.older_than.map(|age| units::Duration(age.as_millis() as u64)),
+                older_than: self.older_than.map(|age| types::Duration::from_millis(age.as_millis() as u64)),
                 count: self.count,
             })
         } else {
--- a/src/operator/request.rs
+++ b/src/operator/request.rs
@@ -2,7 +2,7 @@
 
 use crate::runtime::StateClient;
 use crate::store::{Reply, StateCall, condition};
-use crate::units::Revision;
+use crate::types::Revision;
 use crate::wire::{Change, KeyPage, KeyValue, Txn, TxnAnswer};
 use caperstile_disruption::records::{REQUESTS, Request, STATUSES, Status, request_key, status_key};
 use std::collections::BTreeMap;
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -13,7 +13,7 @@
 pub use model::{Entry, Image, Order, Profile, Server, World, Zones};
 use simulation::{late_by_entry, outcome, position, walk};
 
-use crate::units::{Duration, JobId, MachineId, Resources, Time};
+use crate::types::{Duration, JobId, MachineId, Resources, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 
@@ -32,7 +32,7 @@
 pub const PUSHING_RANKS: usize = 3;
 
 /// What pushing lower tasks aside costs a service or gang; more than `FINE`, so that free room is preferred.
-const PUSH_ASIDE: Duration = Duration(400);
+const PUSH_ASIDE: Duration = Duration::from_millis(400);
 
 /// What inserting a task would do, in the order in which machines are preferred: whether it misses its
 /// deadline, how many others it pushes past theirs, its end, and the machine's bias.
@@ -100,13 +100,13 @@
 
     /// Adds new machines. Tasks that would start later elsewhere are submitted again; if there are very
     /// many of them the most important ones, as many as the new machines take in two turns.
-    pub fn admit(&mut self, now: Time, fresh: Vec<Server>) {
+    pub fn admit(&mut self, now: Timestamp, fresh: Vec<Server>) {
         let Some(ready) = fresh.iter().map(|s| s.ready).min() else { return };
         let mut room = 2 * fresh.iter().map(|s| s.free.cpus).sum::<u64>();
         let mut later: Vec<(Entry, MachineId)> = Vec::new();
         for server in self.servers.values().filter(|s| !s.queue.is_empty()) {
             walk(server, now, None, |entry, start, _| {
-                if start.is_none_or(|at| at > ready + Duration(1000)) {
+                if start.is_none_or(|at| at > ready + Duration::from_secs(1)) {
                     later.push((*entry, server.id));
                 }
             });
@@ -128,13 +128,13 @@
     /// Takes tasks out of these machines' queues that will never start where they wait, because
     /// services have taken the room, and services that would wait for room on a machine that is up:
     /// room may have come up elsewhere, or may be made there.
-    pub fn release_stuck(&mut self, now: Time, ids: impl Iterator<Item = MachineId>) {
+    pub fn release_stuck(&mut self, now: Timestamp, ids: impl Iterator<Item = MachineId>) {
         for id in ids {
             let Some(server) = self.servers.get(&id).filter(|s| !s.queue.is_empty()) else { continue };
             let mut stuck = Vec::new();
-            let up = server.start_time(now) <= now + Duration(500);
+            let up = server.start_time(now) <= now + Duration::from_millis(500);
             walk(server, now, None, |entry, start, _| {
-                if start.is_none_or(|at| up && entry.endless && at > now + Duration(1000)) {
+                if start.is_none_or(|at| up && entry.endless && at > now + Duration::from_secs(1)) {
                     stuck.push(entry.job);
                 }
             });
@@ -259,7 +259,7 @@
     /// Among machines that meet the deadline the one with fewest fallbacked tasks is taken, then
     /// the one that is done sooner; if none meets it, the one that is done soonest. Each machine is
     /// looked at once, and again only when it has received a task.
-    pub fn place(&mut self, now: Time, task: Entry, count: u32, world: &dyn World) -> u32 {
+    pub fn place(&mut self, now: Timestamp, task: Entry, count: u32, world: &dyn World) -> u32 {
         let Some(profile) = world.profile(task.job) else { return 0 };
         let mut zones =
             if task.constrained { world.zones(task.job, &self.planned_by_zone(task.job)) } else { Zones::default() };
@@ -283,7 +283,7 @@
                 continue;
             }
             let Some(run) = profile.predict(server) else { continue };
-            let pushes = server.queue.iter().any(|e| e.deadline != Time::NEVER);
+            let pushes = server.queue.iter().any(|e| e.deadline != Timestamp::NEVER);
             let late_before = if pushes { late_by_entry(server, now) } else { Vec::new() };
             zones.take(server.zone);
             self.add(id, Entry { run, count: 1, ..task });
@@ -297,20 +297,20 @@
         placed
     }
 
-    fn rate(&self, server: &Server, now: Time, task: &Entry, profile: &Profile) -> Option<Rating> {
+    fn rate(&self, server: &Server, now: Timestamp, task: &Entry, profile: &Profile) -> Option<Rating> {
         let run = profile.predict(server)?;
         let outcome = outcome(server, now, Entry { run, count: 1, ..*task })?;
         let misses = outcome.finish > task.deadline;
         let pushed = if misses || !self.parts.fewest_fallbacked { 0 } else { outcome.pushed };
         let (bias, grain) = if task.endless { (server.bias.0, FINE) } else { (server.bias.1, COARSE) };
-        Some((misses, pushed, outcome.finish.0 / grain, bias))
+        Some((misses, pushed, outcome.finish.as_millis() / grain, bias))
     }
 
     /// Submits again, once, what an insertion pushed past its deadline; what finds no machine that
     /// meets its deadline stays where it is. Returns the machines that received tasks.
     fn resubmit(
         &mut self,
-        now: Time,
+        now: Timestamp,
         id: MachineId,
         inserted: JobId,
         late_before: &[(JobId, u32)],
@@ -326,7 +326,7 @@
                 if entry.job == inserted || entry.constrained || entry.endless || entry.gang {
                     break;
                 }
-                let mut best: Option<((u32, Time), MachineId, Duration)> = None;
+                let mut best: Option<((u32, Timestamp), MachineId, Duration)> = None;
                 for server in self.servers.values().filter(|s| s.id != id) {
                     let Some(run) = profile.predict(server) else { continue };
                     let Some(outcome) = outcome(server, now, Entry { run, count: 1, ..entry }) else { continue };
@@ -364,7 +364,7 @@
     }
 
     /// Predicted starts of all waiting tasks of a machine: the entry and when its first task starts.
-    pub fn starts(&self, id: MachineId, now: Time) -> Vec<(Entry, Option<Time>)> {
+    pub fn starts(&self, id: MachineId, now: Timestamp) -> Vec<(Entry, Option<Timestamp>)> {
         let Some(server) = self.servers.get(&id) else { return Vec::new() };
         let mut found = Vec::new();
         walk(server, now, None, |entry, start, _| found.push((Entry { count: 1, ..*entry }, start)));
--- a/src/plan/correction.rs
+++ b/src/plan/correction.rs
@@ -1,6 +1,6 @@
 //! Algorithm 2 of the paper: the error ratio that estimates are scaled by.
 
-use crate::units::Duration;
+use crate::types::Duration;
 
 /// CorrecFAST: the average of actual over predicted time, in percent (Algorithm 2).
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -20,16 +20,16 @@
 impl Correction {
     /// The next prediction: the estimate scaled by what was learnt.
     pub fn predict(&self, estimate: Duration) -> Duration {
-        estimate.times(self.percent / 100.0)
+        estimate.mul_f64(self.percent / 100.0)
     }
 
     /// Learns from an execution that was predicted to take `predicted`.
     pub fn learn(&mut self, actual: Duration, predicted: Duration) {
-        if predicted.0 == 0 {
+        if predicted.as_millis() == 0 {
             return;
         }
         let n = self.executions as f64;
-        let ratio = 100.0 * actual.0 as f64 / predicted.0 as f64;
+        let ratio = 100.0 * actual.as_millis() as f64 / predicted.as_millis() as f64;
         self.percent = (n * self.percent + ratio) / (n + 1.0);
         self.executions += 1;
     }
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -5,10 +5,10 @@
 //! tasks past theirs is taken, then the one whose common end is sooner; without a complete trial nothing is planned.
 
 use super::{
-    Duration, Entry, FINE, MachineId, Plans, Profile, QUEUE_LIMIT, Server, Time, World, Zones, late_by_entry, outcome,
-    position,
+    Duration, Entry, FINE, MachineId, Plans, Profile, QUEUE_LIMIT, Server, Timestamp, World, Zones, late_by_entry,
+    outcome, position,
 };
-use crate::units::JobId;
+use crate::types::JobId;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -19,7 +19,7 @@
     /// Predicted time of the task on this machine.
     run: Duration,
     /// Predicted end.
-    finish: Time,
+    finish: Timestamp,
 }
 
 /// A way to place all tasks of a gang.
@@ -34,13 +34,13 @@
 
 impl Trial {
     /// When all tasks are predicted to be over.
-    fn finish(&self) -> Time {
-        self.slots.iter().map(|s| s.finish).max().unwrap_or(Time::NEVER)
+    fn finish(&self) -> Timestamp {
+        self.slots.iter().map(|s| s.finish).max().unwrap_or(Timestamp::NEVER)
     }
 
     /// The paper's order of preference; smaller is better.
     fn rating(&self) -> (bool, u32, u64, usize) {
-        (self.misses_deadline, self.pushed, self.finish().0 / FINE, self.machines)
+        (self.misses_deadline, self.pushed, self.finish().as_millis() / FINE, self.machines)
     }
 }
 
@@ -50,7 +50,7 @@
 
 impl Plans {
     /// Plans all `count` tasks of a gang, or none; whether it did.
-    pub fn place_gang(&mut self, now: Time, task: Entry, count: u32, world: &dyn World) -> bool {
+    pub fn place_gang(&mut self, now: Timestamp, task: Entry, count: u32, world: &dyn World) -> bool {
         let Some(profile) = world.profile(task.job) else { return false };
         let zones = world.zones(task.job, &BTreeMap::new());
         let trials =
@@ -71,17 +71,17 @@
     }
 
     /// Places all tasks of a gang in copies of the queues.
-    fn trial(&self, now: Time, task: &Entry, count: u32, profile: &Profile, mut zones: Zones) -> Option<Trial> {
+    fn trial(&self, now: Timestamp, task: &Entry, count: u32, profile: &Profile, mut zones: Zones) -> Option<Trial> {
         let mut copies: BTreeMap<MachineId, Server> = BTreeMap::new();
-        let rate = |server: &Server, left: u32| -> Option<(SlotRating, Time)> {
+        let rate = |server: &Server, left: u32| -> Option<(SlotRating, Timestamp)> {
             let run = profile.predict(server)?;
             let outcome = outcome(server, now, Entry { run, count: 1, ..*task })?;
             let misses = outcome.finish > task.deadline;
-            let no_room = u64::from(left).saturating_sub(task.need.times_in(&server.free));
+            let no_room = u64::from(left).saturating_sub(task.need.copies_in(&server.free));
             let pushed = if misses { 0 } else { outcome.pushed };
-            Some(((misses, pushed, outcome.finish.0 / FINE, no_room, server.bias.1), outcome.finish))
+            Some(((misses, pushed, outcome.finish.as_millis() / FINE, no_room, server.bias.1), outcome.finish))
         };
-        let mut best: BinaryHeap<Reverse<(SlotRating, MachineId, Time)>> = self
+        let mut best: BinaryHeap<Reverse<(SlotRating, MachineId, Timestamp)>> = self
             .servers
             .values()
             .filter(|server| zones.room(server.zone))
@@ -116,7 +116,7 @@
     }
 
     /// When all planned tasks of a job are predicted to have room at once; `None` if some never have.
-    pub fn common_start(&self, job: JobId, now: Time) -> Option<Time> {
+    pub fn common_start(&self, job: JobId, now: Timestamp) -> Option<Timestamp> {
         let mut latest = now;
         for (id, _) in self.planned_at(job) {
             for (_, start) in self.starts(id, now).into_iter().filter(|(entry, _)| entry.job == job) {
--- a/src/plan/model.rs
+++ b/src/plan/model.rs
@@ -1,7 +1,7 @@
 //! What is planned: tasks and machines as the plan sees them, and what it asks about jobs.
 
 use super::PUSHING_RANKS;
-use crate::units::{Duration, JobId, MachineId, Resources, Time};
+use crate::types::{Duration, JobId, MachineId, Resources, Timestamp};
 use std::collections::BTreeMap;
 
 /// Where an entry stands in a queue: rank first, then the order of arrival.
@@ -28,8 +28,8 @@
     pub run: Duration,
     /// Whether the tasks run until cancelled.
     pub endless: bool,
-    /// When they should be complete; `Time::NEVER` without a deadline.
-    pub deadline: Time,
+    /// When they should be complete; `Timestamp::NEVER` without a deadline.
+    pub deadline: Timestamp,
     /// Whether placement of the job's tasks depends on each other (`Spread`, `Together`).
     pub constrained: bool,
     /// Whether all tasks of the job start at the same time.
@@ -45,7 +45,7 @@
     pub fn room_in(&self, free: &Resources, kept: &Resources) -> Resources {
         let mut room = *free;
         if !self.takes_kept {
-            room.sub(kept);
+            room.saturating_sub(kept);
         }
         room
     }
@@ -63,7 +63,7 @@
     /// Spot or ordinary.
     pub spot: bool,
     /// When it can start tasks (later than now while it boots).
-    pub ready: Time,
+    pub ready: Timestamp,
     /// It starts nothing before this time from now on: an overdue boot is not over at once.
     pub slack: Duration,
     /// Among machines that are as good, the one with the smaller value is taken, for endless and
@@ -76,7 +76,7 @@
     /// Room of tasks that may be pushed aside, by the rank of what pushes them: the most important services, and gangs.
     pub soft: [Resources; PUSHING_RANKS],
     /// Room that running tasks are predicted to give back.
-    pub releases: Vec<(Time, Resources)>,
+    pub releases: Vec<(Timestamp, Resources)>,
     /// Images that it holds, in order.
     pub images: Vec<Image>,
     /// Tasks that wait for this machine, most important first.
--- a/src/plan/simulation.rs
+++ b/src/plan/simulation.rs
@@ -4,12 +4,12 @@
 
 /// What inserting a task would do to a machine's plan.
 pub(super) struct Outcome {
-    pub(super) finish: Time,
+    pub(super) finish: Timestamp,
     /// Tasks that it pushes past their deadline.
     pub(super) pushed: u32,
 }
 
-pub(super) fn outcome(server: &Server, now: Time, task: Entry) -> Option<Outcome> {
+pub(super) fn outcome(server: &Server, now: Timestamp, task: Entry) -> Option<Outcome> {
     if server.waiting >= QUEUE_LIMIT {
         return None;
     }
@@ -24,7 +24,7 @@
 
 impl Server {
     /// When it could start something, given the room.
-    pub(super) fn start_time(&self, now: Time) -> Time {
+    pub(super) fn start_time(&self, now: Timestamp) -> Timestamp {
         self.ready.max(now + self.slack)
     }
 }
@@ -34,30 +34,30 @@
 }
 
 pub(super) struct Simulated {
-    finish: Option<Time>,
+    finish: Option<Timestamp>,
     late: u32,
 }
 
-pub(super) fn simulate(server: &Server, now: Time, insert: Option<&Entry>) -> Simulated {
+pub(super) fn simulate(server: &Server, now: Timestamp, insert: Option<&Entry>) -> Simulated {
     let mut result = Simulated { finish: None, late: 0 };
-    if insert.is_none() && server.queue.iter().all(|e| e.deadline == Time::NEVER) {
+    if insert.is_none() && server.queue.iter().all(|e| e.deadline == Timestamp::NEVER) {
         return result;
     }
     walk(server, now, insert, |entry, start, is_new| {
         let finish = start.map(|s| s + entry.run);
         if is_new {
             result.finish = finish;
-        } else if entry.deadline != Time::NEVER && finish.is_none_or(|f| f > entry.deadline) {
+        } else if entry.deadline != Timestamp::NEVER && finish.is_none_or(|f| f > entry.deadline) {
             result.late += 1;
         }
     });
     result
 }
 
-pub(super) fn late_by_entry(server: &Server, now: Time) -> Vec<(JobId, u32)> {
+pub(super) fn late_by_entry(server: &Server, now: Timestamp) -> Vec<(JobId, u32)> {
     let mut late: Vec<(JobId, u32)> = Vec::new();
     walk(server, now, None, |entry, start, _| {
-        if entry.deadline != Time::NEVER && start.is_none_or(|s| s + entry.run > entry.deadline) {
+        if entry.deadline != Timestamp::NEVER && start.is_none_or(|s| s + entry.run > entry.deadline) {
             match late.iter_mut().find(|(job, _)| *job == entry.job) {
                 Some((_, n)) => *n += 1,
                 None => late.push((entry.job, 1)),
@@ -68,18 +68,18 @@
 }
 
 /// Room that is given back at some time: CPUs, GPUs and memory.
-pub(super) type Release = (Time, u64, u64, u64);
+pub(super) type Release = (Timestamp, u64, u64, u64);
 
-pub(super) fn release(at: Time, room: &Resources) -> Release {
+pub(super) fn release(at: Timestamp, room: &Resources) -> Release {
     (at, room.cpus, room.gpus, room.memory)
 }
 
 /// Lets a machine's queue start in order as room frees and tells each task's start.
 pub(super) fn walk(
     server: &Server,
-    now: Time,
+    now: Timestamp,
     insert: Option<&Entry>,
-    mut tell: impl FnMut(&Entry, Option<Time>, bool),
+    mut tell: impl FnMut(&Entry, Option<Timestamp>, bool),
 ) {
     let mut free = server.free;
     let mut kept = server.kept;
@@ -106,9 +106,9 @@
                 all.add(&soft[rank]);
                 if entry.need.fits(&all) {
                     let mut from_soft = entry.need;
-                    from_soft.sub(&free);
-                    free.sub(&entry.need);
-                    soft.iter_mut().for_each(|room| room.sub(&from_soft));
+                    from_soft.saturating_sub(&free);
+                    free.saturating_sub(&entry.need);
+                    soft.iter_mut().for_each(|room| room.saturating_sub(&from_soft));
                     let start = clock + PUSH_ASIDE;
                     if entry.gang {
                         gang_releases.push(release(start + entry.run, &entry.need));
@@ -127,9 +127,9 @@
                 tell(entry, None, is_new);
                 continue;
             }
-            free.sub(&entry.need);
+            free.saturating_sub(&entry.need);
             if entry.takes_kept {
-                kept.sub(&entry.need);
+                kept.saturating_sub(&entry.need);
             }
             let ends = release(clock + entry.run, &entry.need);
             if entry.gang {
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -17,7 +17,10 @@
 impl World for Table {
     fn profile(&self, job: JobId) -> Option<Profile> {
         let times = TIMES[job.0 as usize - 1];
-        let kinds = times.iter().map(|t| t.map(|t| (Duration(t * COARSE), Duration(t * COARSE)))).collect();
+        let kinds = times
+            .iter()
+            .map(|t| t.map(|t| (Duration::from_millis(t * COARSE), Duration::from_millis(t * COARSE))))
+            .collect();
         Some(Profile { kinds, zone: None, spot: true, avoid: Vec::new(), image: 0 })
     }
     fn zones(&self, _: JobId, _: &BTreeMap<usize, u32>) -> Zones {
@@ -31,9 +34,9 @@
         order: Order { rank: 10 - priority, seq: number },
         count: 1,
         need: ONE,
-        run: Duration(0),
+        run: Duration::ZERO,
         endless: false,
-        deadline: Time(deadline * COARSE),
+        deadline: Timestamp::from_millis(deadline * COARSE),
         constrained: false,
         gang: false,
         pushes_aside: None,
@@ -53,7 +56,7 @@
 fn figure_2_of_the_paper_step_by_step() {
     let mut plans = Plans::default();
     for id in 1..=3 {
-        plans.admit(Time(0), vec![server(id)]);
+        plans.admit(Timestamp::ZERO, vec![server(id)]);
     }
     let steps = [
         (task(1, 3, 15), "T1 |  | "),
@@ -63,7 +66,7 @@
         (task(5, 5, 15), "T2,T4 | T5 | T1,T3"), // T1 is fallbacked again and goes to S3
     ];
     for (task, expected) in steps {
-        assert_eq!(plans.place(Time(0), task, 1, &Table), 1);
+        assert_eq!(plans.place(Timestamp::ZERO, task, 1, &Table), 1);
         assert_eq!(shown(&plans), expected);
     }
     assert_eq!(plans.planned(JobId(1)), 1);
@@ -73,20 +76,20 @@
 fn without_a_machine_that_meets_the_deadline_the_soonest_finish_wins() {
     let mut plans = Plans::default();
     for id in 1..=3 {
-        plans.admit(Time(0), vec![server(id)]);
+        plans.admit(Timestamp::ZERO, vec![server(id)]);
     }
-    plans.place(Time(0), task(3, 2, 1), 1, &Table);
+    plans.place(Timestamp::ZERO, task(3, 2, 1), 1, &Table);
     assert_eq!(shown(&plans), "T3 |  | ");
 }
 
 #[test]
 fn an_idle_machine_takes_the_highest_priority_task_that_fits() {
     let mut plans = Plans::default();
-    plans.admit(Time(0), vec![server(1)]);
+    plans.admit(Timestamp::ZERO, vec![server(1)]);
     for t in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
-        plans.place(Time(0), t, 1, &Table);
+        plans.place(Timestamp::ZERO, t, 1, &Table);
     }
-    plans.admit(Time(0), vec![Server { ready: Time(1_000_000), ..server(2) }]);
+    plans.admit(Timestamp::ZERO, vec![Server { ready: Timestamp::from_millis(1_000_000), ..server(2) }]);
     let taken = plans.steal(MachineId(2), &|e, s| Table.profile(e.job)?.predict(s)).unwrap();
     assert_eq!(taken.job, JobId(2));
     assert_eq!(shown(&plans), "T4,T1 | T2");
@@ -95,23 +98,23 @@
 #[test]
 fn tasks_behind_services_that_took_their_room_are_planned_anew() {
     let mut plans = Plans::default();
-    plans.admit(Time(0), vec![server(1)]);
-    plans.place(Time(0), task(1, 3, 1000), 1, &Table);
+    plans.admit(Timestamp::ZERO, vec![server(1)]);
+    plans.place(Timestamp::ZERO, task(1, 3, 1000), 1, &Table);
     plans.refresh(Server { free: Resources::default(), ..server(1) });
-    plans.release_stuck(Time(0), [MachineId(1)].into_iter());
+    plans.release_stuck(Timestamp::ZERO, [MachineId(1)].into_iter());
     assert_eq!((shown(&plans).as_str(), plans.planned(JobId(1))), ("", 0));
 }
 
 #[test]
 fn correcfast_follows_its_formula() {
     let mut c = Correction::default();
-    c.learn(Duration(150), Duration(100));
+    c.learn(Duration::from_millis(150), Duration::from_millis(100));
     assert_eq!(c, Correction { percent: 150.0, executions: 1 });
-    c.learn(Duration(50), Duration(100));
+    c.learn(Duration::from_millis(50), Duration::from_millis(100));
     assert_eq!(c, Correction { percent: 100.0, executions: 2 });
-    c.learn(Duration(250), Duration(100));
+    c.learn(Duration::from_millis(250), Duration::from_millis(100));
     assert_eq!(c.percent, 150.0);
-    assert_eq!(c.predict(Duration(10)), Duration(15));
+    assert_eq!(c.predict(Duration::from_millis(10)), Duration::from_millis(15));
 }
 
 /// Gangs: three zones of machines; a gang's tasks take a second each.
@@ -122,7 +125,7 @@
 
 impl World for Cluster {
     fn profile(&self, _: JobId) -> Option<Profile> {
-        let time = Duration(10 * COARSE);
+        let time = Duration::from_millis(10 * COARSE);
         Some(Profile { kinds: vec![Some((time, time))], zone: None, spot: true, avoid: Vec::new(), image: 0 })
     }
     fn zones(&self, _: JobId, _: &BTreeMap<usize, u32>) -> Zones {
@@ -135,7 +138,7 @@
 }
 
 fn gang(number: u64) -> Entry {
-    Entry { gang: true, constrained: true, deadline: Time::NEVER, ..task(number, 5, 0) }
+    Entry { gang: true, constrained: true, deadline: Timestamp::NEVER, ..task(number, 5, 0) }
 }
 
 #[test]
@@ -145,9 +148,9 @@
     {
         let mut plans = Plans::default();
         let machines = sizes.iter().enumerate().map(|(zone, cpus)| machine(zone as u64 + 1, zone, *cpus)).collect();
-        plans.admit(Time(0), machines);
+        plans.admit(Timestamp::ZERO, machines);
         let world = Cluster { together };
-        assert_eq!(plans.place_gang(Time(0), gang(1), 4, &world), placed, "{together} {sizes:?}");
+        assert_eq!(plans.place_gang(Timestamp::ZERO, gang(1), 4, &world), placed, "{together} {sizes:?}");
         assert_eq!(plans.planned(JobId(1)), if placed { 4 } else { 0 });
         if together && placed {
             assert_eq!(plans.planned_at(JobId(1)), [(MachineId(2), 4)]);
@@ -159,27 +162,27 @@
 #[test]
 fn tasks_of_a_gang_do_not_wait_for_each_other() {
     let mut plans = Plans::default();
-    plans.admit(Time(0), vec![machine(1, 0, 2)]);
-    assert!(!plans.place_gang(Time(0), gang(1), 3, &Cluster { together: false }));
+    plans.admit(Timestamp::ZERO, vec![machine(1, 0, 2)]);
+    assert!(!plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
     // Behind what ends in time there is room for all at once.
     let mut busy = machine(2, 0, 1);
-    busy.releases = vec![(Time(5000), Resources { cpus: 2000, gpus: 0, memory: 0 })];
-    plans.admit(Time(0), vec![busy]);
+    busy.releases = vec![(Timestamp::from_millis(5000), Resources { cpus: 2000, gpus: 0, memory: 0 })];
+    plans.admit(Timestamp::ZERO, vec![busy]);
     plans.remove(MachineId(1));
-    assert!(plans.place_gang(Time(0), gang(1), 3, &Cluster { together: false }));
-    assert_eq!(plans.common_start(JobId(1), Time(0)), Some(Time(5000)));
+    assert!(plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
+    assert_eq!(plans.common_start(JobId(1), Timestamp::ZERO), Some(Timestamp::from_millis(5000)));
 }
 
 /// Like the paper's best server: where fewest others are pushed past their deadline, then the soonest common end.
 #[test]
 fn a_gang_goes_where_it_pushes_fewest_past_their_deadline() {
     let mut plans = Plans::default();
-    plans.admit(Time(0), vec![machine(1, 0, 2), machine(2, 1, 2)]);
+    plans.admit(Timestamp::ZERO, vec![machine(1, 0, 2), machine(2, 1, 2)]);
     // Low tasks with a deadline that holds only if they start at once, in the first zone.
     for number in 5..7 {
-        let waits = Entry { run: Duration(10 * COARSE), ..task(number, 1, 11) };
+        let waits = Entry { run: Duration::from_millis(10 * COARSE), ..task(number, 1, 11) };
         plans.add(MachineId(1), waits);
     }
-    assert!(plans.place_gang(Time(0), gang(1), 2, &Cluster { together: true }));
+    assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { together: true }));
     assert_eq!(plans.planned_at(JobId(1)), [(MachineId(2), 2)]);
 }
--- a/src/provisioning.rs
+++ b/src/provisioning.rs
@@ -10,7 +10,7 @@
 use crate::scheduling::order_of;
 use crate::settings::Objective;
 use crate::term::Term;
-use crate::units::{Duration, JobId, MachineId, Resources, Time, Wall};
+use crate::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
 use crate::workers::Hold;
 use caperstile_disruption::Coordinator;
 use log::{debug, info};
@@ -22,15 +22,15 @@
 
 /// Tasks that may use spot machines wait so long for one before an ordinary one is rented: it costs
 /// several times as much, and spot machines become free.
-const SPOT_PATIENCE: Duration = Duration(200_000);
+const SPOT_PATIENCE: Duration = Duration::from_secs(200);
 /// So long nothing is rented in a zone that most machines have fallen silent in: what is rented there
 /// most likely cannot report either.
-const AVOID_ZONE: Duration = Duration(40_000);
+const AVOID_ZONE: Duration = Duration::from_secs(40);
 impl Term {
     /// What waits too long on the machines that there are, as classes.
-    fn demands(&mut self, now: Time) -> Vec<Demand> {
+    fn demands(&mut self, now: Timestamp) -> Vec<Demand> {
         let boots = self.inventory.flavors().into_iter().flatten().map(|f| f.boot_s).fold(f64::MAX, f64::min);
-        let boot = Duration::secs(if boots == f64::MAX { 30.0 } else { boots });
+        let boot = Duration::from_secs_f64(if boots == f64::MAX { 30.0 } else { boots });
         // Apart are those for which ordinary machines are rented too.
         let no_spot = self.inventory.spot_refused(now);
         let mut counts: BTreeMap<(Order, JobId, bool), u32> = BTreeMap::new();
@@ -39,10 +39,10 @@
                 // A machine rented now would be up after `boot`: only what it would start sooner counts.
                 let late = match start {
                     None => true,
-                    Some(at) if entry.endless => at > now + boot + Duration(5000),
+                    Some(at) if entry.endless => at > now + boot + Duration::from_secs(5),
                     Some(at) => {
-                        let goal = self.jobs.get(entry.job).map_or(Time::NEVER, |j| self.goal(j));
-                        at > now + boot + Duration(3000) && at + entry.run > goal
+                        let goal = self.jobs.get(entry.job).map_or(Timestamp::NEVER, |j| self.goal(j));
+                        at > now + boot + Duration::from_secs(3) && at + entry.run > goal
                     }
                 };
                 if late {
@@ -53,7 +53,7 @@
             }
         }
         // What was not looked at lately may find room yet.
-        const LATELY: Duration = Duration(5000);
+        const LATELY: Duration = Duration::from_secs(5);
         let tried = |j: &&Job| now.since(j.looked) < LATELY;
         for job in self.jobs.waiting().filter(|j| self.startable(j, now)).filter(tried) {
             let left = job.pending.len().saturating_sub(self.plans.planned(job.record.id));
@@ -71,7 +71,7 @@
                 let limit = self.limit_left(job);
                 // An ordinary machine has to be worth its price: one runs several of these tasks in turn.
                 let turns = if long && job.record.spot {
-                    (100_000 / job.record.estimate.0.max(1)).clamp(1, 4) as u32
+                    (100_000 / job.record.estimate.as_millis().max(1)).clamp(1, 4) as u32
                 } else {
                     1
                 };
@@ -104,25 +104,25 @@
     /// Whether ordinary machines may be rented for a task that could wait for a spot machine: several
     /// times as dear, they are for what would else miss an aim that nearly all must meet, and for what
     /// has waited very long.
-    fn worth(&self, job: &Job, now: Time, start: Option<Time>, run: Duration, boot: Duration) -> bool {
+    fn worth(&self, job: &Job, now: Timestamp, start: Option<Timestamp>, run: Duration, boot: Duration) -> bool {
         let waited = now.since(job.submitted);
         if start.is_none_or(|at| at > now + SPOT_PATIENCE / 4) && waited >= SPOT_PATIENCE {
             return true;
         }
         let Some(due) = self.due(job) else { return start.is_some_and(|at| at > now + SPOT_PATIENCE) };
         // Predictions made at once are poor: most backlogs are over sooner.
-        let settled = waited.0 * 3 >= due.since(job.submitted).0;
+        let settled = waited.as_millis() * 3 >= due.since(job.submitted).as_millis();
         settled && start.is_none_or(|at| at + run > due) && now + boot + run <= due
     }
 
     /// When a job must be over for an aim that allows few misses.
-    fn due(&self, job: &Job) -> Option<Time> {
+    fn due(&self, job: &Job) -> Option<Timestamp> {
         let strict = |o: &Objective| o.share >= self.settings.tuning.strict_aim;
         if job.record.deadline.is_some() && self.aims(job, "deadline").any(strict) {
             return Some(job.deadline());
         }
         let within = self.aims(job, "finished").filter(|o| strict(o)).filter_map(|o| o.within_s);
-        within.reduce(f64::min).map(|within| job.submitted + Duration::secs(within))
+        within.reduce(f64::min).map(|within| job.submitted + Duration::from_secs_f64(within))
     }
 
     /// What the settings aim at for a job's class.
@@ -131,12 +131,12 @@
     }
 
     /// When a job's tasks should be over: its deadline, or what the settings aim at for its class.
-    fn goal(&self, job: &Job) -> Time {
+    fn goal(&self, job: &Job) -> Timestamp {
         if job.record.deadline.is_some() {
             return job.deadline();
         }
         let within = self.aims(job, "finished").filter_map(|o| o.within_s).reduce(f64::min);
-        within.map_or(Time(0), |within| job.submitted + Duration::secs(within * 0.25))
+        within.map_or(Timestamp::ZERO, |within| job.submitted + Duration::from_secs_f64(within * 0.25))
     }
 
     /// How many tasks of a job its team's limit lets run at once.
@@ -150,8 +150,8 @@
             .min(u64::from(u32::MAX)) as u32
     }
 
-    pub(crate) fn rent(&mut self, now: Time, wall: Wall, out: &mut Vec<Effect>) {
-        if self.inventory.renting() || (!self.open() && now.since(self.since) < Duration(3000)) {
+    pub(crate) fn rent(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
+        if self.inventory.renting() || (!self.open() && now.since(self.since) < Duration::from_secs(3)) {
             return;
         }
         let demands = self.demands(now);
