--- a/src/provisioning/headroom.rs
+++ b/src/provisioning/headroom.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// From a job's coming until a machine for it is asked for, and from its boot until it can be used.
-const COMMIT_AND_RENT: Duration = Duration(5000);
+const COMMIT_AND_RENT: Duration = Duration::from_secs(5);
 /// Share of the tasks expected within a boot for which room is kept ahead; the others find that of jobs that end.
 const CLASS_ROOM_SHARE: f64 = 0.5;
 /// Room is kept for so many of the largest jobs of a class, whatever is expected.
@@ -20,9 +20,9 @@
 impl FreeRoom {
     /// Takes free room for tasks, so many at the most; how many fit.
     fn take(&mut self, need: &Resources, most: u64) -> u64 {
-        let count = need.times_in(&self.free).min(most);
+        let count = need.copies_in(&self.free).min(most);
         for _ in 0..count {
-            self.free.sub(need);
+            self.free.saturating_sub(need);
         }
         count
     }
@@ -31,12 +31,12 @@
     fn take_with_soft(&mut self, need: &Resources, most: u64) -> u64 {
         let mut all = self.free;
         all.add(&self.soft);
-        let count = need.times_in(&all).min(most);
+        let count = need.copies_in(&all).min(most);
         for _ in 0..count {
             let mut from_free = *need;
-            from_free.sub(&self.soft);
-            self.soft.sub(need);
-            self.free.sub(&from_free);
+            from_free.saturating_sub(&self.soft);
+            self.soft.saturating_sub(need);
+            self.free.saturating_sub(&from_free);
         }
         count
     }
@@ -45,7 +45,7 @@
 impl Term {
     /// Ordinary machines for what is likely to come before a machine rented for it would be up and must not wait so long: services,
     /// and jobs whose class has an aim at starting. Notes the machines whose room is kept for the latter.
-    pub(super) fn headroom(&mut self, now: Time, boot: Duration) -> Vec<Demand> {
+    pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<Demand> {
         let mut rooms = self.free_rooms();
         let mut demands: Vec<Demand> = self.service_headroom(now, boot, &mut rooms).into_iter().collect();
         self.prompt_classes = self.settings.deployment.classes_to_start_within(boot);
@@ -72,8 +72,8 @@
     }
 
     /// Without room, even that of lower tasks, services would wait for the boot.
-    fn service_headroom(&self, now: Time, boot: Duration, rooms: &mut [FreeRoom]) -> Option<Demand> {
-        let (job, wanted) = self.expected_services(boot.as_secs())?;
+    fn service_headroom(&self, now: Timestamp, boot: Duration, rooms: &mut [FreeRoom]) -> Option<Demand> {
+        let (job, wanted) = self.expected_services(boot.as_secs_f64())?;
         let wanted = wanted + self.stranded(now) + self.held_back(now);
         let profile = self.parts().profile_of(job);
         let need = job.record.need;
@@ -100,7 +100,7 @@
     /// largest one must find room at any time.
     fn class_headroom(
         &self,
-        now: Time,
+        now: Timestamp,
         boot: Duration,
         class: &ClassArrivals,
         rooms: &mut [FreeRoom],
@@ -138,8 +138,8 @@
 
     /// How many tasks of services are likely to come within a boot, and a job like them.
     pub(super) fn expected_services(&self, boot_s: f64) -> Option<(&Job, u64)> {
-        const WINDOW: Duration = Duration(120_000);
-        const SLOT: Duration = Duration(10_000);
+        const WINDOW: Duration = Duration::from_secs(120);
+        const SLOT: Duration = Duration::from_secs(10);
         // Jobs that come all at once, as at a start, say little of what comes next: a slot counts for no
         // more than this, or than three ordinary ones.
         const SLOT_LIMIT: u32 = 6;
@@ -149,25 +149,26 @@
         for job in self.jobs.live().filter(|j| j.record.service && j.record.rank == 0 && j.record.zone.is_none()) {
             let age = now.since(job.submitted);
             if age < WINDOW {
-                *slots.entry(age.0 / SLOT.0).or_insert(0) += job.record.tasks;
+                *slots.entry(age.as_millis() / SLOT.as_millis()).or_insert(0) += job.record.tasks;
             }
             if typical.is_none_or(|t| t.record.need.cpus < job.record.need.cpus) {
                 typical = Some(job);
             }
         }
         let job = typical?;
-        let mut sizes: Vec<u32> = (0..WINDOW.0 / SLOT.0).map(|n| slots.get(&n).copied().unwrap_or(0)).collect();
+        let mut sizes: Vec<u32> =
+            (0..WINDOW.as_millis() / SLOT.as_millis()).map(|n| slots.get(&n).copied().unwrap_or(0)).collect();
         sizes.sort_unstable();
         let limit = SLOT_LIMIT.max(3 * sizes[sizes.len() / 2]);
-        let rate = sizes.iter().map(|n| f64::from((*n).min(limit))).sum::<f64>() / WINDOW.as_secs();
+        let rate = sizes.iter().map(|n| f64::from((*n).min(limit))).sum::<f64>() / WINDOW.as_secs_f64();
         Some((job, ((rate * (boot_s + 10.0) * self.settings.tuning.room_ahead).ceil() as u64).max(3)))
     }
 
     /// Replicas that a new leader holds back because a zone does not answer: they are most likely lost with it, and
     /// the machines for them should be up when that is sure.
-    pub(super) fn held_back(&self, now: Time) -> u64 {
+    pub(super) fn held_back(&self, now: Timestamp) -> u64 {
         if self.open()
-            || now.since(self.since) < Duration(3000)
+            || now.since(self.since) < Duration::from_secs(3)
             || self.unfenced_zones().is_subset(&self.led_from_within)
         {
             return 0;
@@ -178,7 +179,7 @@
 
     /// Replicas in zones that are cut off and may run elsewhere. They go on until their leases end; room for
     /// them should be up by then.
-    pub(super) fn stranded(&self, now: Time) -> u64 {
+    pub(super) fn stranded(&self, now: Timestamp) -> u64 {
         let mut jobs: HashMap<JobId, u32> = HashMap::new();
         for m in self.machines.values().filter(|m| self.lost_since(&m.record.zone, now).is_some()) {
             for hold in m.holds.values().filter(|h| h.claimed && h.predicted.is_none() && h.occupies()) {
--- a/src/provisioning/returns.rs
+++ b/src/provisioning/returns.rs
@@ -8,9 +8,9 @@
 impl Term {
     /// Empties an ordinary machine whose services fit on others that hold their images: a replica is
     /// moved within a fraction of a second, and an ordinary machine is dear.
-    pub(crate) fn consolidate(&mut self, now: Time, wall: Wall) {
+    pub(crate) fn consolidate(&mut self, now: Timestamp, wall: WallClock) {
         // A start counts only if the task is not stopped within 30 s.
-        const SETTLED: Duration = Duration(40_000);
+        const SETTLED: Duration = Duration::from_secs(40);
         let draining = self.machines.values().any(|m| m.draining == Some(CONSOLIDATED))
             || self.drains.as_ref().is_some_and(Coordinator::consolidates);
         if !self.open() || draining || now.since(self.since) < SETTLED || self.inventory.renting() {
@@ -26,7 +26,9 @@
             if services.is_empty() || !others.is_empty() || !services.iter().all(|h| settled(h)) {
                 continue;
             }
-            if now.since(m.since) < Duration(60_000) || self.plans.server(*id).is_some_and(|s| !s.queue.is_empty()) {
+            if now.since(m.since) < Duration::from_secs(60)
+                || self.plans.server(*id).is_some_and(|s| !s.queue.is_empty())
+            {
                 continue;
             }
             let price = self.inventory.flavor(&m.record.kind).map_or(0.0, |f| f.price);
@@ -64,8 +66,8 @@
     }
 
     /// Gives back what has been idle: a machine costs a minimum that is better used than wasted.
-    pub(crate) fn return_idle(&mut self, now: Time) {
-        const MINIMUM_CHARGE: Duration = Duration(60_000);
+    pub(crate) fn return_idle(&mut self, now: Timestamp) {
+        const MINIMUM_CHARGE: Duration = Duration::from_secs(60);
         let overdue = self.settings.deployment.workers.overdue();
         let mut idle = Vec::new();
         for (id, m) in &mut self.machines {
--- a/src/provisioning/zones.rs
+++ b/src/provisioning/zones.rs
@@ -4,7 +4,7 @@
 
 impl Term {
     /// Whether most machines of a zone were seen silent, or not coming up, so lately.
-    pub(super) fn lost_within(&self, zone: &str, now: Time, span: Duration) -> bool {
+    pub(super) fn lost_within(&self, zone: &str, now: Timestamp, span: Duration) -> bool {
         self.lost_zones.get(zone).is_some_and(|z| now.since(z.seen) < span)
     }
 
@@ -18,9 +18,9 @@
     /// Such a zone looks the emptiest and would get everything that is rented, although it may be cut off;
     /// a new leader cannot know. One machine at a time is rented there; and where machines fell silent or
     /// do not come up, nothing is planned on those on their way.
-    pub(crate) fn doubt_zones(&mut self, now: Time) {
+    pub(crate) fn doubt_zones(&mut self, now: Timestamp) {
         const SEVERAL: usize = 4;
-        const REMEMBERED: Duration = Duration(120_000);
+        const REMEMBERED: Duration = Duration::from_secs(120);
         let overdue = self.settings.deployment.workers.overdue();
         let mut up: HashMap<&str, usize> = HashMap::new();
         for m in self.machines.values().filter(|m| m.fenced && now.since(m.reached) < overdue) {
@@ -33,7 +33,7 @@
         }
         for (_, b) in self.inventory.booting().filter(|(_, b)| empty.contains(&b.zone)) {
             let boot = self.inventory.flavor(&b.kind).map_or(60.0, |f| f.boot_s);
-            if now.since(b.since) > Duration::secs(boot * 1.6 + 3.0) {
+            if now.since(b.since) > Duration::from_secs_f64(boot * 1.6 + 3.0) {
                 self.lost_zones.entry(b.zone.clone()).or_insert(LostZone { since: now, seen: now }).seen = now;
             }
         }
@@ -47,7 +47,7 @@
     }
 
     /// One machine for each doubtful zone that has none on its way: it shows whether the zone is there.
-    pub(super) fn probes(&self, now: Time) -> Vec<Place> {
+    pub(super) fn probes(&self, now: Timestamp) -> Vec<Place> {
         let none_coming = |zone: &&String| !self.lost_within(zone, now, AVOID_ZONE) && !self.coming(zone);
         let cheapest = |zone: &String| {
             let here = self.inventory.flavors().into_iter().flatten().filter(|f| f.zones.contains(zone));
--- a/src/records.rs
+++ b/src/records.rs
@@ -8,7 +8,9 @@
 
 use crate::intake::JobRecord;
 use crate::store::{Reply, StateCall, condition};
-use crate::units::{Duration, EntryNo, JobId, MachineId, Ranges, Revision, TaskId, Time, Token, Wall};
+use crate::types::{
+    Duration, FencingToken, JobId, LogIndex, MachineId, Revision, TaskId, TaskIndexSet, Timestamp, WallClock,
+};
 use crate::upgrade::Format;
 use crate::wire::{Change, KeyPage, KeyValue, Txn, TxnAnswer};
 use serde::{Deserialize, Serialize};
@@ -34,7 +36,7 @@
     pub spot: bool,
     /// When it was rented, or first heard of.
     #[serde(rename = "a", default)]
-    pub at: Wall,
+    pub at: WallClock,
 }
 
 /// One durable fact. Applying a fact twice is the same as applying it once.
@@ -45,7 +47,7 @@
     Job(JobRecord),
     /// Tasks of a job finished.
     #[serde(rename = "d")]
-    Done(JobId, Ranges),
+    Done(JobId, TaskIndexSet),
     /// A job was cancelled.
     #[serde(rename = "c")]
     Cancelled(JobId),
@@ -77,7 +79,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Manifest {
     generation: String,
-    covers: EntryNo,
+    covers: LogIndex,
 }
 
 /// What the slice wants done or made known.
@@ -110,8 +112,8 @@
     id: u64,
     purpose: Purpose,
     call: StateCall,
-    sent: Time,
-    retry_at: Option<Time>,
+    sent: Timestamp,
+    retry_at: Option<Timestamp>,
 }
 
 impl InFlight {
@@ -133,7 +135,7 @@
 /// State of the slice; made anew at each election.
 #[derive(Debug)]
 pub struct Records {
-    token: Token,
+    token: FencingToken,
     /// What may be written, and which leader key every write is conditional on.
     format: Format,
     value_bytes: usize,
@@ -143,7 +145,7 @@
     /// What `refill` falls to when the state service says that changes are too many.
     lowered: f64,
     budget: f64,
-    refilled: Time,
+    refilled: Timestamp,
     calls: u64,
     loaded: bool,
     manifest: Option<Manifest>,
@@ -160,8 +162,8 @@
     /// Chunks of the snapshot in force; the next one makes them stray.
     kept: Vec<String>,
     chunks: Vec<(String, serde_json::Value)>,
-    next: EntryNo,
-    oldest: EntryNo,
+    next: LogIndex,
+    oldest: LogIndex,
     /// What users, finished tasks and new machines wait for; a machine that is gone would hold the next leader up.
     queue: VecDeque<Record>,
     /// What nobody waits for: it goes along where room is left. When a thousand machines came up together, their
@@ -169,14 +171,14 @@
     later: VecDeque<Record>,
     committing: Vec<Record>,
     in_flight: Vec<InFlight>,
-    last_commit: Time,
+    last_commit: Timestamp,
     snapshot: Option<Snapshot>,
     since_snapshot: u64,
     snapshot_every: u64,
     snapshots: u64,
 }
 
-const CALL_TIMEOUT: Duration = Duration(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 const MANIFEST: &str = "snap/manifest";
 /// Ranges of tasks in one fact: it fits into a value of 2 KiB.
 pub const RANGES_LIMIT: usize = 60;
@@ -188,16 +190,16 @@
 const OVERHEAD: usize = 2048;
 const TXN_BYTES: usize = 64 * 1024 - OVERHEAD;
 
-fn log_key(no: EntryNo) -> String {
+fn log_key(no: LogIndex) -> String {
     format!("log/{:012}", no.0)
 }
 
 impl Records {
     /// Begins to read back what earlier leaders wrote.
     pub fn new(
-        token: Token,
+        token: FencingToken,
         format: Format,
-        now: Time,
+        now: Timestamp,
         limits: &crate::settings::StateLimits,
         tuning: &crate::settings::Tuning,
     ) -> Records {
@@ -222,13 +224,13 @@
             assembly: parts::Assembly::default(),
             kept: Vec::new(),
             chunks: Vec::new(),
-            next: EntryNo(1),
-            oldest: EntryNo(1),
+            next: LogIndex(1),
+            oldest: LogIndex(1),
             queue: VecDeque::new(),
             later: VecDeque::new(),
             committing: Vec::new(),
             in_flight: Vec::new(),
-            last_commit: Time(0),
+            last_commit: Timestamp::ZERO,
             snapshot: None,
             since_snapshot: 0,
             snapshot_every: tuning.snapshot_every,
@@ -265,24 +267,24 @@
     pub fn push_done(&mut self, task: TaskId) {
         for record in self.queue.iter_mut().rev().take(64) {
             match record {
-                Record::Done(job, tasks) if *job == task.job && tasks.parts() < RANGES_LIMIT => {
+                Record::Done(job, tasks) if *job == task.job && tasks.range_count() < RANGES_LIMIT => {
                     tasks.insert(task.index);
                     return;
                 }
                 _ => {}
             }
         }
-        let mut tasks = Ranges::default();
+        let mut tasks = TaskIndexSet::default();
         tasks.insert(task.index);
         self.queue.push_back(Record::Done(task.job, tasks));
     }
 
     /// Begins reading.
-    pub fn start(&mut self, now: Time, out: &mut Vec<Event>) {
+    pub fn start(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         self.call(now, Purpose::LoadSnapshot, StateCall::Scan { prefix: "snap/".into(), after: None }, out);
     }
 
-    fn call(&mut self, now: Time, purpose: Purpose, call: StateCall, out: &mut Vec<Event>) {
+    fn call(&mut self, now: Timestamp, purpose: Purpose, call: StateCall, out: &mut Vec<Event>) {
         self.calls += 1;
         self.in_flight.push(InFlight { id: self.calls, purpose, call: call.clone(), sent: now, retry_at: None });
         out.push(Event::Call(self.calls, call));
@@ -301,9 +303,9 @@
     }
 
     /// Lets time pass: repeats what got no answer, commits what is due.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Event>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         let limit = self.refill.max(2.0);
-        self.budget = (self.budget + now.since(self.refilled).as_secs() * self.refill).min(limit);
+        self.budget = (self.budget + now.since(self.refilled).as_secs_f64() * self.refill).min(limit);
         self.refilled = now;
         for i in 0..self.in_flight.len() {
             let flight = &mut self.in_flight[i];
@@ -361,7 +363,7 @@
     }
 
     /// Writes what waits: as many entries in one transaction as it may hold, each as full as a value may be.
-    fn commit(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn commit(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         let most = self.txn_ops.min(TXN_BYTES / self.value_bytes).min(self.budget as usize).max(1);
         let mut txn = self.txn(Vec::new());
         let (mut size, mut values) = (2, Vec::new());
@@ -391,14 +393,14 @@
     /// Adds the next entry of the log to a transaction.
     fn entry(&mut self, txn: &mut Txn, values: Vec<serde_json::Value>) {
         let key = log_key(self.next);
-        self.next = EntryNo(self.next.0 + 1);
+        self.next = LogIndex(self.next.0 + 1);
         self.since_snapshot += 1;
         txn.conditions.push(condition(&key, Revision(0)));
         txn.changes.push(Change::Put { key, value: values.into(), lease: None });
     }
 
     /// Takes an answer of the state service.
-    pub fn reply(&mut self, now: Time, id: u64, reply: &Reply, out: &mut Vec<Event>) {
+    pub fn reply(&mut self, now: Timestamp, id: u64, reply: &Reply, out: &mut Vec<Event>) {
         let Some(at) = self.in_flight.iter().position(|f| f.id == id) else { return };
         let purpose = self.in_flight[at].purpose.clone();
         let ok = match (&purpose, reply.status) {
@@ -446,16 +448,16 @@
         }
         if !ok && let Some(flight) = self.in_flight.get_mut(at) {
             let pause = match (reply.status, &purpose) {
-                (0, _) => Duration(50),
+                (0, _) => Duration::from_millis(50),
                 // Users' commits go first.
-                (429, Purpose::Snapshot) => Duration(1000),
-                _ => Duration(250),
+                (429, Purpose::Snapshot) => Duration::from_secs(1),
+                _ => Duration::from_millis(250),
             };
             flight.retry_at = Some(now + pause);
         }
     }
 
-    fn done(&mut self, now: Time, purpose: &Purpose, out: &mut Vec<Event>) {
+    fn done(&mut self, now: Timestamp, purpose: &Purpose, out: &mut Vec<Event>) {
         if *purpose == Purpose::Commit {
             out.push(Event::Durable(std::mem::take(&mut self.committing)));
             self.tick(now, out);
@@ -464,7 +466,7 @@
         }
     }
 
-    fn page(&mut self, now: Time, purpose: Purpose, page: KeyPage, out: &mut Vec<Event>) {
+    fn page(&mut self, now: Timestamp, purpose: Purpose, page: KeyPage, out: &mut Vec<Event>) {
         let last = page.items.last().map(|kv| kv.key.clone());
         for kv in page.items {
             match purpose {
@@ -475,7 +477,7 @@
                 Purpose::LoadSnapshot => self.chunks.push((kv.key, kv.value)),
                 _ => {
                     let no = kv.key.strip_prefix("log/").and_then(|n| n.parse().ok()).unwrap_or(0);
-                    self.next = self.next.max(EntryNo(no + 1));
+                    self.next = self.next.max(LogIndex(no + 1));
                     if self.manifest.as_ref().is_some_and(|m| no <= m.covers.0) {
                         self.stray.push(kv.key);
                     } else {
@@ -502,11 +504,11 @@
                 }
             }
             if let Some(manifest) = &self.manifest {
-                self.next = EntryNo(manifest.covers.0 + 1);
+                self.next = LogIndex(manifest.covers.0 + 1);
             }
             return self.call(now, Purpose::LoadLog, StateCall::Scan { prefix: "log/".into(), after: None }, out);
         }
-        self.oldest = self.manifest.as_ref().map_or(EntryNo(1), |m| EntryNo(m.covers.0 + 1));
+        self.oldest = self.manifest.as_ref().map_or(LogIndex(1), |m| LogIndex(m.covers.0 + 1));
         self.loaded = true;
         if !self.stray.is_empty() {
             let steps = removals(std::mem::take(&mut self.stray), self.step_ops());
@@ -566,7 +568,7 @@
         };
         self.snapshots += 1;
         let generation = format!("{}-{}", self.token, self.snapshots);
-        let covers = EntryNo(self.next.0 - 1);
+        let covers = LogIndex(self.next.0 - 1);
         let mut chunks: Vec<Vec<serde_json::Value>> = Vec::new();
         let mut size = usize::MAX;
         for value in values {
@@ -600,7 +602,7 @@
             value: serde_json::to_value(&manifest).unwrap_or_default(),
             lease: None,
         }]);
-        let mut old: Vec<String> = (self.oldest.0..=covers.0).map(|n| log_key(EntryNo(n))).collect();
+        let mut old: Vec<String> = (self.oldest.0..=covers.0).map(|n| log_key(LogIndex(n))).collect();
         old.append(&mut self.kept);
         steps.extend(removals(old, self.step_ops()));
         self.kept = keys;
--- a/src/records/tests.rs
+++ b/src/records/tests.rs
@@ -14,10 +14,16 @@
 
 /// A leader under these limits that has read an empty log back.
 fn with_empty_log(format: Format, limits: &StateLimits) -> Records {
-    let (mut records, mut out) = (Records::new(Token(5), format, Time(0), limits, &Tuning::default()), Vec::new());
-    records.start(Time(0), &mut out);
+    let (mut records, mut out) =
+        (Records::new(FencingToken(5), format, Timestamp::ZERO, limits, &Tuning::default()), Vec::new());
+    records.start(Timestamp::ZERO, &mut out);
     for id in 1..=2 {
-        records.reply(Time(1), id, &answer(200, json!({"Pairs": [], "More": false, "Ledger": 5})), &mut out);
+        records.reply(
+            Timestamp::from_millis(1),
+            id,
+            &answer(200, json!({"Pairs": [], "More": false, "Ledger": 5})),
+            &mut out,
+        );
     }
     assert!(records.loaded());
     records
@@ -33,7 +39,7 @@
     }
     records.push(Record::Cancelled(JobId(1)));
     assert_eq!(records.backlog(), 1, "images keep no user out");
-    records.tick(Time(1000), &mut out);
+    records.tick(Timestamp::from_millis(1000), &mut out);
     let Some(Event::Call(_, StateCall::Txn(txn))) = out.pop() else { panic!("{out:?}") };
     assert_eq!((txn.changes.len(), txn.conditions.len()), (7, 8));
     for change in &txn.changes {
@@ -56,7 +62,7 @@
         records.push(Record::Image(MachineId(n), "an-image-with-a-long-name".into()));
     }
     out.clear();
-    records.tick(Time(1000), &mut out);
+    records.tick(Timestamp::from_millis(1000), &mut out);
     let Some(Event::Call(id, StateCall::Txn(txn))) = out.pop() else { panic!("{out:?}") };
     assert_eq!((txn.changes.len(), txn.conditions.len()), (5, 6));
     for change in &txn.changes {
@@ -64,9 +70,9 @@
         assert!(value.to_string().len() <= 2 * 1024);
     }
     assert_eq!(records.refill, 50.0 * 0.75);
-    records.reply(Time(1010), id, &answer(429, json!({})), &mut out);
+    records.reply(Timestamp::from_millis(1010), id, &answer(429, json!({})), &mut out);
     assert_eq!((records.refill, records.budget), (15.0 * 0.75, 0.0));
-    records.tick(Time(1300), &mut out);
+    records.tick(Timestamp::from_millis(1300), &mut out);
     let Some(Event::Call(_, StateCall::Txn(again))) = out.pop() else { panic!("{out:?}") };
     assert_eq!(serde_json::to_string(&again).unwrap(), serde_json::to_string(&txn).unwrap(), "repeated as it was");
 }
@@ -75,7 +81,7 @@
 fn large_job() -> Record {
     let mut body = crate::intake::tests::submission("job-000007");
     body["Builds"] = (0..64).map(|n| format!("\"{n}\u{e9}\\{}", "x".repeat(190))).collect::<Vec<_>>().into();
-    Record::Job(crate::intake::parse_job(body.to_string().as_bytes(), Wall(3)).unwrap())
+    Record::Job(crate::intake::parse_job(body.to_string().as_bytes(), WallClock::from_millis(3)).unwrap())
 }
 
 /// A leader with an empty log that writes values of 2 KiB at the most.
@@ -98,9 +104,14 @@
     }
     let (mut next, mut out) = (lowered(Format::Two), Vec::new());
     (next.loaded, next.in_flight) = (false, Vec::new());
-    next.start(Time(5), &mut out);
+    next.start(Timestamp::from_millis(5), &mut out);
     let id = next.calls;
-    next.reply(Time(6), id, &answer(200, json!({"Pairs": pairs, "More": false, "Ledger": 7})), &mut out);
+    next.reply(
+        Timestamp::from_millis(6),
+        id,
+        &answer(200, json!({"Pairs": pairs, "More": false, "Ledger": 7})),
+        &mut out,
+    );
     let read: Vec<&Record> = out.iter().filter_map(|e| if let Event::Loaded(r) = e { Some(r) } else { None }).collect();
     assert_eq!(read, facts.iter().collect::<Vec<_>>());
 }
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 use crate::store::{Reply, StateCall};
 use crate::term::COMMAND_TIMEOUT;
-use crate::units::MachineId;
+use crate::types::MachineId;
 use crate::wire::{Commands, LeaseRequest, MachineNames};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -83,7 +83,7 @@
     /// Sends commands to a worker.
     pub fn command(&self, token: u64, machine: MachineId, endpoint: &str, id: u64, body: &Commands) {
         let what = (Method::POST, "/commands".into(), Some(json(body)));
-        let patience = Duration::from_millis(COMMAND_TIMEOUT.0);
+        let patience = Duration::from_millis(COMMAND_TIMEOUT.as_millis());
         let wrap = move |reply| Input::Command(token, machine, id, reply);
         send(&self.workers, endpoint, what, patience, self.tell.clone(), wrap);
     }
@@ -184,7 +184,9 @@
             (Method::GET, format!("/keys?Under={prefix}{since}&Limit=1000"), None)
         }
         StateCall::Txn(txn) => (Method::POST, "/txn".into(), Some(json(&txn))),
-        StateCall::Grant(ttl) => (Method::POST, "/leases".into(), Some(json(&LeaseRequest { ttl_ms: ttl.0 }))),
+        StateCall::Grant(ttl) => {
+            (Method::POST, "/leases".into(), Some(json(&LeaseRequest { ttl_ms: ttl.as_millis() })))
+        }
         StateCall::Renew(lease) => (Method::POST, format!("/leases/{lease}/extend"), Some(b"{}".to_vec())),
         StateCall::Revoke(lease) => (Method::DELETE, format!("/leases/{lease}"), None),
     }
--- a/src/runtime/inbox.rs
+++ b/src/runtime/inbox.rs
@@ -3,7 +3,7 @@
 use super::{Message, http};
 use crate::controller::Input;
 use crate::peers::UserCall;
-use crate::units::Time;
+use crate::types::Timestamp;
 use caperstile_admission::{Popped, RequestClass, RequestQueue, Shed};
 use tokio::sync::mpsc;
 
@@ -49,7 +49,7 @@
     }
 
     /// The next message; waits for one if there is none. `None` once nobody can send any more.
-    pub async fn next(&mut self, now: Time) -> Option<Next> {
+    pub async fn next(&mut self, now: Timestamp) -> Option<Next> {
         while let Ok(message) = self.channel.try_recv() {
             if let Some(refused) = self.enter(now, message) {
                 return Some(refused);
@@ -65,7 +65,7 @@
         })
     }
 
-    fn enter(&mut self, now: Time, message: Message) -> Option<Next> {
+    fn enter(&mut self, now: Timestamp, message: Message) -> Option<Next> {
         let class = class_of(&message);
         let refused = self.queue.push(now, class, message).err()?;
         Some(Next::Refuse(refused, Shed::Overload))
--- a/src/runtime/links.rs
+++ b/src/runtime/links.rs
@@ -4,7 +4,7 @@
 use crate::controller::{Input, Origin};
 use crate::peers::{Frame, HEADER_BYTES};
 use crate::settings::Seed;
-use crate::units::Token;
+use crate::types::FencingToken;
 use caperstile_admission::{AdmissionTable, DecodeError, DemandReport};
 use log::debug;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -96,7 +96,7 @@
     let request = |frame: Frame| match frame {
         hello if hello.is_hello() => Some(Message::TakesTables(link)),
         Frame::Request(id, call) => Some(Message::Input(Input::User(Origin::Peer(link, id), call))),
-        Frame::Leads(token, node) => Some(Message::Input(Input::Leads(node, Token(token)))),
+        Frame::Leads(token, node) => Some(Message::Input(Input::Leads(node, FencingToken(token)))),
         Frame::Refused(bytes) => demand_report(&bytes),
         Frame::Answer(..) | Frame::Admission(_) => None,
     };
--- a/src/runtime/load.rs
+++ b/src/runtime/load.rs
@@ -1,7 +1,7 @@
 //! How busy this node is: what it took and did, and by how much it is late.
 
 use crate::controller::{Effect, Input};
-use crate::units::{Duration as Milliseconds, Time};
+use crate::types::{Duration as CoreDuration, Timestamp};
 use caperstile_admission::Utilization;
 use log::{debug, warn};
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use std::time::Instant;
 
 /// How often a node says how busy it is.
-const SAY_EVERY: Milliseconds = Milliseconds(10_000);
+const SAY_EVERY: CoreDuration = CoreDuration::from_secs(10);
 /// A node is behind whose ticks are late, or whose inputs wait, for so long.
-const BEHIND: Milliseconds = Milliseconds(400);
+const BEHIND: CoreDuration = CoreDuration::from_millis(400);
 
 /// Measures how long what is ready waits for its turn: a task that is started now has it after all the others.
 #[derive(Debug)]
 pub struct Probe {
     asked: Option<Instant>,
     answer: Arc<AtomicU64>,
-    told: Milliseconds,
+    told: CoreDuration,
 }
 
 /// The probe has not had its turn.
@@ -29,11 +29,11 @@
 impl Probe {
     /// A probe that has measured nothing yet.
     pub fn new() -> Probe {
-        Probe { asked: None, answer: Arc::new(AtomicU64::new(WAITING)), told: Milliseconds(0) }
+        Probe { asked: None, answer: Arc::new(AtomicU64::new(WAITING)), told: CoreDuration::ZERO }
     }
 
     /// Starts a measurement unless one is under way; how long inputs wait, if that has changed.
-    pub fn look(&mut self) -> Option<Milliseconds> {
+    pub fn look(&mut self) -> Option<CoreDuration> {
         let wait = match (self.asked, self.answer.load(Ordering::Relaxed)) {
             (Some(asked), WAITING) => asked.elapsed().as_millis() as u64,
             (_, WAITING) => 0,
@@ -46,9 +46,9 @@
             tokio::spawn(async move { answer.store(asked.elapsed().as_millis() as u64, Ordering::Relaxed) });
         }
         // It falls slowly, so that one quiet moment does not bring all the work back.
-        let wait = wait.max(self.told.0 * 3 / 4);
-        (wait.abs_diff(self.told.0) >= GRAIN || (wait < GRAIN && self.told.0 > 0)).then(|| {
-            self.told = Milliseconds(if wait < GRAIN { 0 } else { wait });
+        let wait = wait.max(self.told.as_millis() * 3 / 4);
+        (wait.abs_diff(self.told.as_millis()) >= GRAIN || (wait < GRAIN && self.told.as_millis() > 0)).then(|| {
+            self.told = CoreDuration::from_millis(if wait < GRAIN { 0 } else { wait });
             self.told
         })
     }
@@ -76,11 +76,11 @@
 /// What a node took and did since it said so last.
 #[derive(Debug)]
 pub struct Load {
-    every: Milliseconds,
-    said: Time,
-    ticked: Time,
-    late: Milliseconds,
-    behind: Milliseconds,
+    every: CoreDuration,
+    said: Timestamp,
+    ticked: Timestamp,
+    late: CoreDuration,
+    behind: CoreDuration,
     reports: u32,
     users: u32,
     answers: u32,
@@ -179,11 +179,11 @@
     /// Of a node that ticks this often.
     pub fn new(every: std::time::Duration) -> Load {
         Load {
-            every: Milliseconds(every.as_millis() as u64),
-            said: Time::START,
-            ticked: Time::START,
-            late: Milliseconds(0),
-            behind: Milliseconds(0),
+            every: CoreDuration::from_millis(every.as_millis() as u64),
+            said: Timestamp::START,
+            ticked: Timestamp::START,
+            late: CoreDuration::ZERO,
+            behind: CoreDuration::ZERO,
             reports: 0,
             users: 0,
             answers: 0,
@@ -196,7 +196,7 @@
     }
 
     /// Counts an input; a tick tells how late the node is.
-    pub fn took(&mut self, now: Time, input: &Input) {
+    pub fn took(&mut self, now: Timestamp, input: &Input) {
         match input {
             Input::Tick => self.tick(now),
             Input::Behind(by) => self.behind = self.behind.max(*by),
@@ -228,20 +228,20 @@
     }
 
     /// Notes how late a tick is, and says from time to time how busy the node is.
-    fn tick(&mut self, now: Time) {
-        let late = Milliseconds(now.since(self.ticked).0.saturating_sub(self.every.0));
+    fn tick(&mut self, now: Timestamp) {
+        let late = CoreDuration::from_millis(now.since(self.ticked).as_millis().saturating_sub(self.every.as_millis()));
         self.late = self.late.max(late);
         self.ticked = now;
         if now.since(self.said) < SAY_EVERY {
             return;
         }
-        let seconds = now.since(self.said).as_secs();
+        let seconds = now.since(self.said).as_secs_f64();
         let core: Vec<String> =
             InputKind::ALL.iter().map(|kind| format!("{kind:?}:{}", self.core[*kind as usize] / 1000)).collect();
         let told = format!(
             "load seconds={seconds} late_ms={} behind_ms={} busy={} reports={} users={} answers={} calls={} commands={} shed={} core_ms={}",
-            self.late.0,
-            self.behind.0,
+            self.late.as_millis(),
+            self.behind.as_millis(),
             self.busy,
             self.reports,
             self.users,
@@ -256,6 +256,6 @@
         } else {
             debug!("{told}");
         }
-        *self = Load { said: now, ticked: now, ..Load::new(std::time::Duration::from_millis(self.every.0)) };
+        *self = Load { said: now, ticked: now, ..Load::new(std::time::Duration::from_millis(self.every.as_millis())) };
     }
 }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -13,7 +13,7 @@
 use crate::controller::{Controller, Input, Origin};
 use crate::peers::{Answer, Frame};
 use crate::settings::Settings;
-use crate::units::{Duration as Milliseconds, Time, Wall};
+use crate::types::{Duration as CoreDuration, Timestamp, WallClock};
 use inbox::Inbox;
 use load::{IdleMeter, Load, Probe};
 use log::info;
@@ -32,7 +32,7 @@
 /// How often time passes for the core.
 const TICK: Duration = Duration::from_millis(50);
 /// An input that comes so long after the last tick takes the next one along: waking up costs more than a tick does.
-const TICK_ALONG: Milliseconds = Milliseconds(40);
+const TICK_ALONG: CoreDuration = CoreDuration::from_millis(40);
 
 /// The core is told how long an input took if it took at least this long.
 const SLOW_INPUT: Duration = Duration::from_millis(20);
@@ -75,7 +75,7 @@
     outputs: Outputs,
     requests: u64,
     tick: tokio::time::Interval,
-    ticked: Time,
+    ticked: Timestamp,
     /// Inputs about this node itself, which go before all others.
     own: Vec<Input>,
     in_a_row: u32,
@@ -116,7 +116,7 @@
             outputs: Outputs::new(settings.node.clone(), clients, links, tell),
             requests: 0,
             tick,
-            ticked: Time::START,
+            ticked: Timestamp::START,
             own: Vec::new(),
             in_a_row: 0,
             load: Load::new(TICK),
@@ -135,8 +135,8 @@
         }
     }
 
-    fn now(&self) -> Time {
-        Time::START + Milliseconds(self.start.elapsed().as_millis() as u64)
+    fn now(&self) -> Timestamp {
+        Timestamp::START + CoreDuration::from_millis(self.start.elapsed().as_millis() as u64)
     }
 
     /// What is to be done next: first what is about the node itself, then answers of the state service, time, and what waits by its
@@ -208,14 +208,15 @@
             self.tick.reset();
             self.own.push(Input::Tick);
         }
-        let wall = Wall(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64));
+        let wall =
+            WallClock::from_millis(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64));
         let kind = load::InputKind::of(&input);
         let began = Instant::now();
         let effects = self.controller.handle(now, wall, input);
         let took = began.elapsed();
         self.load.spent(kind, took);
         if took >= SLOW_INPUT {
-            self.own.push(Input::Spent(Milliseconds(took.as_millis() as u64)));
+            self.own.push(Input::Spent(CoreDuration::from_millis(took.as_millis() as u64)));
         }
         for effect in effects {
             self.load.does(&effect);
--- a/src/scheduling.rs
+++ b/src/scheduling.rs
@@ -5,7 +5,7 @@
 use crate::inventory;
 use crate::plan::{self, Entry, Order, Profile, Server, World, Zones};
 use crate::term::Term;
-use crate::units::{Duration, JobId, MachineId, Resources, TaskAttempt, TaskId, Time, Wall};
+use crate::types::{AttemptId, Duration, JobId, MachineId, Resources, TaskId, Timestamp, WallClock};
 use crate::workers::{Doubt, Hold, Machine, Phase};
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -21,12 +21,12 @@
 pub(crate) use view::{Names, View};
 
 /// Least time between two rounds of drains, beside those that follow a write.
-const DRAIN_EVERY: Duration = Duration(1000);
+const DRAIN_EVERY: Duration = Duration::from_secs(1);
 /// Tasks of one job that are planned at once.
 const BATCH: u32 = 128;
 
 /// A job of which nothing has begun for so long is promoted, so that it begins within four minutes.
-const STARVED_AFTER: Duration = Duration(120_000);
+const STARVED_AFTER: Duration = Duration::from_secs(120);
 /// To this rank, for its first task: before all but services, which it must not push aside.
 const PROMOTED: u8 = 1;
 
@@ -48,7 +48,7 @@
         order: order_of(job),
         count: 1,
         need: job.record.need,
-        run: Duration(0),
+        run: Duration::ZERO,
         endless: job.record.service,
         deadline: job.deadline(),
         constrained: job.record.together || job.record.spread,
@@ -60,14 +60,14 @@
 }
 
 /// When a hold is predicted to give its room back.
-fn release(hold: &Hold, now: Time) -> Option<Time> {
+fn release(hold: &Hold, now: Timestamp) -> Option<Timestamp> {
     if hold.stop.is_some() {
-        return Some(now + Duration(100));
+        return Some(now + Duration::from_millis(100));
     }
     let predicted = hold.predicted?;
     let end = hold.since + predicted;
     // Overdue: most likely it ends soon, but not at once.
-    Some(end.max(now + Duration((predicted.0 / 10).max(300))))
+    Some(end.max(now + (predicted / 10).max(Duration::from_millis(300))))
 }
 
 /// Whether a task may be stopped to make room for one of this rank: it must be of a lower one, end by
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(crate) fn maybe_schedule(&mut self, now: Time, wall: Wall, certain: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn maybe_schedule(&mut self, now: Timestamp, wall: WallClock, certain: bool, out: &mut Vec<Effect>) {
         if !self.loaded()
             || self.inventory.flavors().is_none()
             || now.since(self.scheduled) < self.pacing.schedule_every()
@@ -122,7 +122,7 @@
     }
 
     /// A round of planning: what changed since the last one, and everything when it is time to look.
-    fn schedule(&mut self, now: Time, look: bool) {
+    fn schedule(&mut self, now: Timestamp, look: bool) {
         self.refresh(now);
         self.drain_noticed(now);
         self.tend_gangs(now);
@@ -175,7 +175,7 @@
     ///
     /// Its report is about to be answered, and what is ordered with the answer needs no command: each of those took a
     /// connection, and at 980 machines they were more than half of a leader's work.
-    pub(crate) fn start_next(&mut self, now: Time, id: MachineId) {
+    pub(crate) fn start_next(&mut self, now: Timestamp, id: MachineId) {
         if self.plans.server(id).is_none() || !self.machines.get(&id).is_some_and(Machine::usable) {
             return;
         }
@@ -194,7 +194,7 @@
     }
 
     /// Brings the plan's machines up to date, as far as something changed.
-    fn refresh(&mut self, now: Time) {
+    fn refresh(&mut self, now: Timestamp) {
         if self.inventory.take_news() {
             self.changed.extend(self.inventory.booting().map(|(id, _)| *id));
         }
@@ -212,7 +212,7 @@
     }
 
     /// A machine as the plan sees it; `None` if nothing may be planned there.
-    fn server_of(&mut self, now: Time, id: MachineId) -> Option<Server> {
+    fn server_of(&mut self, now: Timestamp, id: MachineId) -> Option<Server> {
         if self.inventory.is_returning(id) {
             return None;
         }
@@ -231,7 +231,7 @@
             if m.draining.is_some() || m.notice.is_some() || !m.in_reach(now, overdue) {
                 return None;
             }
-            let mut releases: Vec<(Time, Resources)> = Vec::new();
+            let mut releases: Vec<(Timestamp, Resources)> = Vec::new();
             let mut soft = [Resources::default(); plan::PUSHING_RANKS];
             for hold in m.holds.values().filter(|h| h.occupies()) {
                 releases.extend(release(hold, now).map(|at| (at, hold.need)));
@@ -249,7 +249,7 @@
                 kind: self.names.kind_index(&m.record.kind),
                 spot: m.record.spot,
                 ready: now,
-                slack: if m.usable() { Duration(0) } else { Duration(500) },
+                slack: if m.usable() { Duration::ZERO } else { Duration::from_millis(500) },
                 // What is to be emptied soon is filled last.
                 bias: if leaves { (u64::MAX, u64::MAX) } else { bias(flavor, m.record.spot, &free) },
                 free,
@@ -268,8 +268,8 @@
             zone: self.names.zone_index(&b.zone),
             kind: self.names.kind_index(&b.kind),
             spot: b.spot,
-            ready: b.since + Duration::secs(flavor.boot_s * 1.05),
-            slack: Duration(2000),
+            ready: b.since + Duration::from_secs_f64(flavor.boot_s * 1.05),
+            slack: Duration::from_secs(2),
             bias: bias(flavor, b.spot, &free),
             free,
             ..Server::default()
@@ -280,7 +280,7 @@
     ///
     /// The paper's priorities are absolute: under a lasting overload of a higher one, a lower one would
     /// never start (docs/design.md, exception 8).
-    fn promote_starved(&mut self, now: Time) {
+    fn promote_starved(&mut self, now: Timestamp) {
         let starved: Vec<JobId> = self
             .jobs
             .waiting()
@@ -302,7 +302,7 @@
     /// Half of a round begins with the most important job, the other half where the last round stopped. When all began
     /// with the most important one, some services that found no room anywhere kept everything else from being
     /// looked at, for as long as they waited.
-    fn plan_waiting(&mut self, now: Time, used: &HashMap<String, Resources>) {
+    fn plan_waiting(&mut self, now: Timestamp, used: &HashMap<String, Resources>) {
         self.jobs.settle_waiting();
         let waiting: Vec<(JobId, u32)> = self
             .jobs
@@ -338,7 +338,7 @@
     /// Places jobs in this order until so many machines were looked at; returns how many jobs had their turn.
     fn plan_some(
         &mut self,
-        now: Time,
+        now: Timestamp,
         waiting: &[(JobId, u32)],
         most: usize,
         looks: &mut usize,
--- a/src/scheduling/gangs.rs
+++ b/src/scheduling/gangs.rs
@@ -5,7 +5,7 @@
 use crate::gang;
 
 /// How long the tasks of a gang wait for one that was lost before all are stopped and tried again.
-const REPLACE_WITHIN: Duration = Duration(5000);
+const REPLACE_WITHIN: Duration = Duration::from_secs(5);
 /// Share of `gang_wait_s` after which a gang that is not complete is stopped: its workers would give up at the end of it.
 const GATHER_SHARE: f64 = 0.6;
 
@@ -23,7 +23,7 @@
 
 impl Term {
     /// Plans a gang as a whole.
-    pub(super) fn plan_gang(&mut self, now: Time, entry: Entry) {
+    pub(super) fn plan_gang(&mut self, now: Timestamp, entry: Entry) {
         let Some(job) = self.jobs.get(entry.job) else { return };
         let tasks = job.record.tasks;
         // Part of it may have lost its machine since it was planned.
@@ -43,7 +43,7 @@
     }
 
     /// Whether all tasks of a gang have room now where they are planned.
-    pub(super) fn gang_may_start(&self, job: &Job, now: Time, used: &HashMap<String, Resources>) -> bool {
+    pub(super) fn gang_may_start(&self, job: &Job, now: Timestamp, used: &HashMap<String, Resources>) -> bool {
         let tasks = job.record.tasks;
         if self.plans.planned(job.record.id) != tasks
             || !self.startable(job, now)
@@ -56,12 +56,12 @@
             let Some(machine) = self.machines.get(&id).filter(|m| m.usable()) else { return false };
             parts.allowed(job, id)
                 && !machine.knows_job(job.record.id)
-                && job.record.need.times_in(&machine.free()) >= u64::from(count)
+                && job.record.need.copies_in(&machine.free()) >= u64::from(count)
         })
     }
 
     /// Starts all tasks of a gang where they are planned, under one attempt.
-    pub(super) fn start_gang(&mut self, now: Time, id: JobId, used: &mut HashMap<String, Resources>) {
+    pub(super) fn start_gang(&mut self, now: Timestamp, id: JobId, used: &mut HashMap<String, Resources>) {
         let slots = self.plans.planned_at(id);
         let Some(job) = self.jobs.get(id) else { return };
         let profile = self.parts().profile_of(job);
@@ -75,7 +75,7 @@
         };
         debug!(
             "gang starts {id} waited={}s machines={} cached={}",
-            now.since(job.submitted).as_secs(),
+            now.since(job.submitted).as_secs_f64(),
             slots.len(),
             slots.iter().filter(cached).count()
         );
@@ -86,7 +86,7 @@
             gang.start(now, attempt, machines.iter().copied());
         }
         for (index, machine) in (0..).zip(machines) {
-            let key = TaskAttempt { attempt, task: TaskId { job: id, index } };
+            let key = AttemptId { attempt, task: TaskId { job: id, index } };
             self.start_attempt(now, machine, key, predicted, used);
         }
         if promoted {
@@ -95,7 +95,7 @@
     }
 
     /// Stops lower tasks where a gang is planned that would have to wait for room, if that makes room for all of it.
-    pub(super) fn make_room_for_gangs(&mut self, now: Time) {
+    pub(super) fn make_room_for_gangs(&mut self, now: Timestamp) {
         let mut stops = Vec::new();
         // What is left on each machine after the gangs that are ahead.
         let mut rooms: BTreeMap<MachineId, PressedMachine> = BTreeMap::new();
@@ -134,8 +134,8 @@
     }
 
     /// Does for each gang what its state asks for.
-    pub(super) fn tend_gangs(&mut self, now: Time) {
-        let gather_limit = self.settings.deployment.workers.gang_wait().times(GATHER_SHARE);
+    pub(super) fn tend_gangs(&mut self, now: Timestamp) {
+        let gather_limit = self.settings.deployment.workers.gang_wait().mul_f64(GATHER_SHARE);
         let acts: Vec<(JobId, Act)> = self
             .jobs
             .gangs()
@@ -146,13 +146,13 @@
             match act {
                 Act::Nothing => {}
                 Act::Replace => self.replace_lost(now, id),
-                Act::Stop => self.stop_gang(id, Duration(0)),
+                Act::Stop => self.stop_gang(id, Duration::ZERO),
                 Act::Requeue => self.requeue_gang(id),
             }
         }
     }
 
-    fn gang_act(&self, job: &Job, now: Time, gather_limit: Duration) -> Act {
+    fn gang_act(&self, job: &Job, now: Timestamp, gather_limit: Duration) -> Act {
         let Some(gang) = &job.gang else { return Act::Nothing };
         if job.cancelling || job.done.len() == job.record.tasks {
             return Act::Nothing;
@@ -191,13 +191,13 @@
     }
 
     /// Starts the tasks of a gathering gang that were lost with their machines again, under the attempt of the others.
-    fn replace_lost(&mut self, now: Time, id: JobId) {
+    fn replace_lost(&mut self, now: Timestamp, id: JobId) {
         let mut used = self.team_use();
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(gang) = &mut job.gang else { return };
         gang.missing_since.get_or_insert(now);
         let Some(attempt) = gang.attempt else { return };
-        let Some(index) = job.pending.first() else { return };
+        let Some(index) = job.pending.smallest() else { return };
         let Some(job) = self.jobs.get(id) else { return };
         if !self.within_limit(&used, job, 1) {
             return;
@@ -214,7 +214,7 @@
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
             gang.former.insert(machine);
         }
-        self.start_attempt(now, machine, TaskAttempt { attempt, task }, predicted, &mut used);
+        self.start_attempt(now, machine, AttemptId { attempt, task }, predicted, &mut used);
     }
 
     /// Stops all tasks of a gang with the same time for saving; what is told to stop already is left to do so.
@@ -227,7 +227,7 @@
         for placed in placed {
             let hold = self.machines.get(&placed.machine).and_then(|m| m.holds.get(&placed.key));
             if hold.is_some_and(|hold| hold.stop.is_none()) {
-                self.stop(placed.machine, placed.key, grace.as_secs());
+                self.stop(placed.machine, placed.key, grace.as_secs_f64());
             }
         }
     }
--- a/src/scheduling/limits.rs
+++ b/src/scheduling/limits.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether tasks of this job may be started at all now.
-    pub(crate) fn startable(&self, job: &Job, now: Time) -> bool {
+    pub(crate) fn startable(&self, job: &Job, now: Timestamp) -> bool {
         job.durable
             && !job.cancelling
             && !job.pending.is_empty()
--- a/src/scheduling/pacing.rs
+++ b/src/scheduling/pacing.rs
@@ -1,11 +1,11 @@
 //! How often rounds of planning come, and how much each looks at, so that planning never takes a busy controller's whole time.
 
-use crate::units::Duration;
+use crate::types::Duration;
 
 /// Least time between two plannings: a controller has a tenth of a core.
-const SCHEDULE_EVERY: Duration = Duration(100);
+const SCHEDULE_EVERY: Duration = Duration::from_millis(100);
 /// Least time between two looks at what to rent and return.
-const DEMAND_EVERY: Duration = Duration(500);
+const DEMAND_EVERY: Duration = Duration::from_millis(500);
 /// However far behind a node is, it plans at least this often, and looks at everything at least that often.
 const SCHEDULE_EVERY_AT_MOST: u64 = 1000;
 const DEMAND_EVERY_AT_MOST: u64 = 3000;
@@ -17,7 +17,7 @@
 /// Or, in a fleet of more than 2,000 machines, so many jobs' looks at all of them.
 const JOBS_LOOKED_AT: usize = 10;
 /// A round that takes longer than this is followed by one that looks at fewer machines: with full queues a look costs many times as much.
-const ROUND_TARGET: Duration = Duration(150);
+const ROUND_TARGET: Duration = Duration::from_millis(150);
 /// The share of the looks of a full round that is left at the least, and its growth after each round that was quick enough.
 const LEAST_LOOK_SHARE: f64 = 0.02;
 const LOOK_SHARE_GROWTH: f64 = 1.25;
@@ -34,7 +34,7 @@
 
 impl Default for Pacing {
     fn default() -> Self {
-        Pacing { behind: Duration(0), round_took: Duration(0), look_share: 1.0 }
+        Pacing { behind: Duration::ZERO, round_took: Duration::ZERO, look_share: 1.0 }
     }
 }
 
@@ -46,23 +46,23 @@
 
     /// Least time from one round to the next.
     pub(super) fn schedule_every(&self) -> Duration {
-        let paced = (SCHEDULE_EVERY.0 + 2 * self.behind.0).min(SCHEDULE_EVERY_AT_MOST);
-        Duration(paced.max(self.round_took.0 * (1 + REST_AFTER_ROUND)))
+        let paced = (SCHEDULE_EVERY.as_millis() + 2 * self.behind.as_millis()).min(SCHEDULE_EVERY_AT_MOST);
+        Duration::from_millis(paced.max(self.round_took.as_millis() * (1 + REST_AFTER_ROUND)))
     }
 
     /// Least time between two looks at what to rent and return.
     pub(super) fn demand_every(&self) -> Duration {
-        Duration((DEMAND_EVERY.0 + 2 * self.behind.0).min(DEMAND_EVERY_AT_MOST))
+        Duration::from_millis((DEMAND_EVERY.as_millis() + 2 * self.behind.as_millis()).min(DEMAND_EVERY_AT_MOST))
     }
 
     /// A round begins: its size follows from the time that the last one took.
     pub(super) fn begin_round(&mut self) {
-        let too_long = self.round_took.0 as f64 / ROUND_TARGET.0 as f64;
+        let too_long = self.round_took.as_millis() as f64 / ROUND_TARGET.as_millis() as f64;
         self.look_share = match too_long > 1.0 {
             true => (self.look_share / too_long).max(LEAST_LOOK_SHARE),
             false => (self.look_share * LOOK_SHARE_GROWTH).min(1.0),
         };
-        self.round_took = Duration(0);
+        self.round_took = Duration::ZERO;
     }
 
     /// How many machines this round looks at, in a fleet of so many.
--- a/src/scheduling/pacing/tests.rs
+++ b/src/scheduling/pacing/tests.rs
@@ -5,9 +5,9 @@
 fn planning_takes_a_third_of_the_time_at_the_most_however_long_rounds_are() {
     for took in [10, 100, 400, 800, 3000] {
         let mut pacing = Pacing::default();
-        pacing.spent(Duration(took));
+        pacing.spent(Duration::from_millis(took));
         assert!(
-            pacing.schedule_every().0 >= 3 * took,
+            pacing.schedule_every().as_millis() >= 3 * took,
             "a round of {took} ms, the next after {:?}",
             pacing.schedule_every()
         );
@@ -24,7 +24,7 @@
     assert_eq!(full, 20_000);
     // Each look costs 40 microseconds, 800 ms for a full round.
     for _ in 0..10 {
-        pacing.spent(Duration(pacing.looks(700) as u64 * 40 / 1000));
+        pacing.spent(Duration::from_millis(pacing.looks(700) as u64 * 40 / 1000));
         pacing.begin_round();
     }
     let took = pacing.looks(700) * 40 / 1000;
@@ -35,7 +35,7 @@
     }
     assert_eq!(pacing.looks(700), full);
     for _ in 0..50 {
-        pacing.spent(Duration(60_000));
+        pacing.spent(Duration::from_secs(60));
         pacing.begin_round();
     }
     assert!(pacing.looks(700) >= 2, "some jobs are always looked at");
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_node_that_is_behind_plans_less_often() {
-    let behind = |ms| Pacing { behind: Duration(ms), ..Pacing::default() };
-    assert_eq!((behind(0).schedule_every().0, behind(0).demand_every().0), (100, 500));
-    assert_eq!((behind(300).schedule_every().0, behind(300).demand_every().0), (700, 1100));
-    assert_eq!((behind(9000).schedule_every().0, behind(9000).demand_every().0), (1000, 3000));
+    let behind = |ms| Pacing { behind: Duration::from_millis(ms), ..Pacing::default() };
+    assert_eq!((behind(0).schedule_every().as_millis(), behind(0).demand_every().as_millis()), (100, 500));
+    assert_eq!((behind(300).schedule_every().as_millis(), behind(300).demand_every().as_millis()), (700, 1100));
+    assert_eq!((behind(9000).schedule_every().as_millis(), behind(9000).demand_every().as_millis()), (1000, 3000));
 }
--- a/src/scheduling/room.rs
+++ b/src/scheduling/room.rs
@@ -5,7 +5,7 @@
 /// A task that may be stopped to make room.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Victim {
-    pub(super) key: TaskAttempt,
+    pub(super) key: AttemptId,
     pub(super) need: Resources,
     /// Importance of its job, 0 first.
     pub(super) rank: u8,
@@ -53,7 +53,7 @@
     }
 
     /// Takes room for so many tasks; what has to be stopped for it, or `None` if that is not enough.
-    pub(super) fn make_room(&mut self, need: &Resources, count: u32) -> Option<Vec<TaskAttempt>> {
+    pub(super) fn make_room(&mut self, need: &Resources, count: u32) -> Option<Vec<AttemptId>> {
         let mut stopped = Vec::new();
         for _ in 0..count {
             let enough = victims_needed(need, self.free, &self.victims)?;
@@ -61,7 +61,7 @@
                 self.free.add(&victim.need);
                 stopped.push(victim.key);
             }
-            self.free.sub(need);
+            self.free.saturating_sub(need);
         }
         Some(stopped)
     }
@@ -72,8 +72,8 @@
     ///
     /// The plan counts such room as free for services, so they are planned where it can be made; those
     /// that lose least work go first.
-    pub(super) fn make_room(&mut self, now: Time) {
-        let mut stops: Vec<(MachineId, TaskAttempt, JobId)> = Vec::new();
+    pub(super) fn make_room(&mut self, now: Timestamp) {
+        let mut stops: Vec<(MachineId, AttemptId, JobId)> = Vec::new();
         let pressed: BTreeSet<MachineId> =
             self.plans.waiting().take_while(|(order, ..)| order.rank == 0).flat_map(|(.., at)| at).collect();
         for server in pressed.iter().filter_map(|id| self.plans.server(*id)) {
@@ -95,7 +95,7 @@
     }
 
     /// Stops tasks to make room for a job.
-    pub(super) fn preempt(&mut self, stops: Vec<(MachineId, TaskAttempt, JobId)>) {
+    pub(super) fn preempt(&mut self, stops: Vec<(MachineId, AttemptId, JobId)>) {
         for (id, key, job) in stops {
             info!("preempted {} machine={id} for={job}", key.task);
             self.stop(id, key, 0.0);
@@ -103,15 +103,15 @@
     }
 
     /// What may be stopped on this machine for a job of this rank, with the work it would lose, least first.
-    pub(super) fn victims(&self, machine: &Machine, now: Time, rank: u8) -> Vec<Victim> {
+    pub(super) fn victims(&self, machine: &Machine, now: Timestamp, rank: u8) -> Vec<Victim> {
         let mut victims: Vec<Victim> = machine
             .holds
             .iter()
             .filter(|(_, h)| pushable(h, rank))
             .map(|(key, h)| {
-                let ran = h.running_since.map_or(Duration(0), |r| now.since(r));
-                let every = self.jobs.get(h.task.job).map_or(0, |j| j.record.checkpoint.0);
-                let lost = if every > 0 { Duration(ran.0 % every) } else { ran };
+                let ran = h.running_since.map_or(Duration::ZERO, |r| now.since(r));
+                let every = self.jobs.get(h.task.job).map_or(0, |j| j.record.checkpoint.as_millis());
+                let lost = if every > 0 { Duration::from_millis(ran.as_millis() % every) } else { ran };
                 Victim { key: *key, need: h.need, rank: h.rank, lost }
             })
             .collect();
@@ -120,23 +120,23 @@
     }
 
     /// Saves what can be saved on machines that the cloud takes back.
-    pub(super) fn drain_noticed(&mut self, now: Time) {
-        let slack = Duration::secs(self.settings.deployment.workers.report_s * 0.5 + 1.0);
+    pub(super) fn drain_noticed(&mut self, now: Timestamp) {
+        let slack = Duration::from_secs_f64(self.settings.deployment.workers.report_s * 0.5 + 1.0);
         let mut stops = Vec::new();
         let mut gangs = Vec::new();
         self.noticed.retain(|id| self.machines.contains_key(id));
         for machine in self.noticed.iter().filter_map(|id| self.machines.get(id)) {
             let Some(until) = machine.notice else { continue };
-            let left = Duration(until.0.saturating_sub(now.0));
+            let left = until.since(now);
             for (key, hold) in machine.holds.iter().filter(|(_, h)| h.claimed && h.occupies() && h.stop.is_none()) {
                 let Some(job) = self.jobs.get(hold.task.job) else { continue };
-                let ends = release(hold, now).unwrap_or(Time::NEVER);
+                let ends = release(hold, now).unwrap_or(Timestamp::NEVER);
                 if ends < until {
                     continue;
                 }
                 let save = job.record.save;
-                let grace = if job.record.checkpoint.0 == 0 { Duration(0) } else { save };
-                if grace.0 > 0 && left > save + slack + Duration(500) {
+                let grace = if job.record.checkpoint.as_millis() == 0 { Duration::ZERO } else { save };
+                if grace.as_millis() > 0 && left > save + slack + Duration::from_millis(500) {
                     continue;
                 }
                 match job.gang {
@@ -146,7 +146,7 @@
             }
         }
         for (id, key, grace) in stops {
-            self.stop(id, key, grace.as_secs());
+            self.stop(id, key, grace.as_secs_f64());
         }
         for (id, grace) in gangs {
             self.stop_gang(id, grace);
@@ -154,7 +154,7 @@
     }
 
     /// Orders an attempt to stop and sees to it that the machine is told.
-    pub(crate) fn stop(&mut self, id: MachineId, key: TaskAttempt, grace_s: f64) {
+    pub(crate) fn stop(&mut self, id: MachineId, key: AttemptId, grace_s: f64) {
         if self.machines.get_mut(&id).is_some_and(|m| m.stop(key, grace_s)) {
             self.wanting.insert(id);
             self.changed.insert(id);
--- a/src/scheduling/starts.rs
+++ b/src/scheduling/starts.rs
@@ -5,7 +5,13 @@
 
 impl Term {
     /// Whether a task of this job may start on this machine at this moment.
-    pub(super) fn may_start(&self, job: &Job, machine: &Machine, now: Time, used: &HashMap<String, Resources>) -> bool {
+    pub(super) fn may_start(
+        &self,
+        job: &Job,
+        machine: &Machine,
+        now: Timestamp,
+        used: &HashMap<String, Resources>,
+    ) -> bool {
         let startable = job.gang.is_none() && self.startable(job, now);
         machine.usable()
             && startable
@@ -18,7 +24,7 @@
     fn leaves_kept_room(&self, job: &Job, machine: &Machine) -> bool {
         let Some(kept) = self.headroom.get(&machine.id()) else { return true };
         let mut room = machine.free();
-        room.sub(kept);
+        room.saturating_sub(kept);
         job.record.need.fits(&room) || takes_kept_room(job, &self.prompt_classes)
     }
 
@@ -40,7 +46,7 @@
     }
 
     /// Starts what has room on the machine that it was planned for.
-    pub(super) fn start_planned(&mut self, now: Time, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
+    pub(super) fn start_planned(&mut self, now: Timestamp, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
         for id in ids.iter().copied() {
             let mut at = 0;
             let mut kept = Reservation::default();
@@ -73,13 +79,19 @@
         }
     }
 
-    pub(super) fn start_task(&mut self, now: Time, id: MachineId, entry: Entry, used: &mut HashMap<String, Resources>) {
+    pub(super) fn start_task(
+        &mut self,
+        now: Timestamp,
+        id: MachineId,
+        entry: Entry,
+        used: &mut HashMap<String, Resources>,
+    ) {
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.get(entry.job) else { return };
         let Some(machine) = self.machines.get(&id) else { return };
         let known = |index: &u32| machine.knows(TaskId { job: entry.job, index: *index });
         let Some(index) = job.pending.iter().take(64).find(|index| !known(index)) else { return };
-        let key = TaskAttempt { attempt, task: TaskId { job: entry.job, index } };
+        let key = AttemptId { attempt, task: TaskId { job: entry.job, index } };
         self.start_attempt(now, id, key, (!entry.endless).then_some(entry.run), used);
         let Some(job) = self.jobs.get(entry.job) else { return };
         let (promoted, rank) = (job.promoted(), job.record.rank);
@@ -91,9 +103,9 @@
     /// Orders an attempt at a task that is on no machine to start on this one.
     pub(super) fn start_attempt(
         &mut self,
-        now: Time,
+        now: Timestamp,
         id: MachineId,
-        key: TaskAttempt,
+        key: AttemptId,
         predicted: Option<Duration>,
         used: &mut HashMap<String, Resources>,
     ) {
@@ -101,7 +113,7 @@
         let Some(machine) = self.machines.get_mut(&id) else { return };
         job.pending.remove(key.task.index);
         job.placed.insert(key.task.index, intake::Placed { machine: id, key, running: false });
-        debug!("start {key} machine={id} predicted={:?}s", predicted.map(Duration::as_secs));
+        debug!("start {key} machine={id} predicted={:?}s", predicted.map(Duration::as_secs_f64));
         self.admission.started(&Pair::new(&job.record.team, &job.record.class));
         used.entry(job.record.team.clone()).or_default().add(&job.record.need);
         machine.idle_since = None;
@@ -135,7 +147,7 @@
     }
 
     /// Machines with nothing planned take the highest-priority fitting task from other plans.
-    pub(super) fn steal(&mut self, now: Time, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
+    pub(super) fn steal(&mut self, now: Timestamp, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
         for id in ids.iter().copied() {
             for _ in 0..64 {
                 if self.plans.waiting().next().is_none() {
@@ -170,12 +182,12 @@
 struct Reservation {
     room: Resources,
     /// When the first of them is predicted to need it.
-    from: Option<Time>,
+    from: Option<Timestamp>,
 }
 
 impl Reservation {
     /// Keeps room for a gang's tasks from its common start on; nothing for one that is not known to start.
-    fn add(&mut self, entry: &Entry, start: Option<Time>) {
+    fn add(&mut self, entry: &Entry, start: Option<Timestamp>) {
         let Some(start) = start else { return };
         for _ in 0..entry.count {
             self.room.add(&entry.need);
@@ -185,10 +197,10 @@
 
     /// Whether a task that is behind them in the queue may start now: beside what is kept, or because it is predicted to be over
     /// before that is needed. So kept room does not lie idle while a gang waits long, and no gang is starved by short tasks.
-    fn leaves_room(&self, entry: &Entry, free: &Resources, now: Time) -> bool {
+    fn leaves_room(&self, entry: &Entry, free: &Resources, now: Timestamp) -> bool {
         let Some(from) = self.from else { return true };
         let mut left = *free;
-        left.sub(&self.room);
+        left.saturating_sub(&self.room);
         entry.need.fits(&left) || (!entry.endless && now + entry.run <= from)
     }
 }
--- a/src/scheduling/view.rs
+++ b/src/scheduling/view.rs
@@ -48,9 +48,9 @@
                 return None;
             }
             let fetch = if flavor.fetch_gb_per_s > 0.0 {
-                Duration((record.image_mb as f64 / flavor.fetch_gb_per_s) as u64)
+                Duration::from_millis((record.image_mb as f64 / flavor.fetch_gb_per_s) as u64)
             } else {
-                Duration(0)
+                Duration::ZERO
             };
             let estimate = record.estimate;
             Some((self.correction.predict(estimate), self.correction.predict(estimate + fetch)))
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start: the platform's TOML and the operators' INI.
 
-use crate::units::Duration;
+use crate::types::Duration;
 use caperstile_admission::{AdmissionPolicy, AdmissionPolicyError};
 use caperstile_disruption::{Policy, PolicyError, Section, policy};
 use serde::Deserialize;
@@ -125,7 +125,9 @@
 impl Deployment {
     /// Classes with an aim at starting within less than this.
     pub fn classes_to_start_within(&self, limit: Duration) -> BTreeSet<String> {
-        let soon = |o: &&Objective| o.kind == "wait" && o.within_s.is_some_and(|within| Duration::secs(within) < limit);
+        let soon = |o: &&Objective| {
+            o.kind == "wait" && o.within_s.is_some_and(|within| Duration::from_secs_f64(within) < limit)
+        };
         self.objectives.iter().filter(soon).map(|o| o.class.clone()).collect()
     }
 }
@@ -222,7 +224,7 @@
             .map(|(name, properties)| Section { name: name.unwrap_or("").into(), entries: entries(properties) })
             .filter(|section| policy::is_section(&section.name))
             .collect();
-        let clock_error = Duration::secs(self.deployment.clock_error_ms / 1000.0);
+        let clock_error = Duration::from_secs_f64(self.deployment.clock_error_ms / 1000.0);
         Ok(policy::parse(&sections, &self.team_names(), clock_error)?)
     }
 
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -1,6 +1,6 @@
 //! Worker timing, and the limits of the state service, the cloud and this process.
 
-use crate::units::Duration;
+use crate::types::Duration;
 use serde::Deserialize;
 
 /// Worker timing.
@@ -23,25 +23,25 @@
 impl WorkerTimes {
     /// A machine that nothing has reached for so long gets no further tasks: two reports and a little.
     pub fn overdue(&self) -> Duration {
-        Duration::secs(self.report_s * 2.0 + 2.0)
+        Duration::from_secs_f64(self.report_s * 2.0 + 2.0)
     }
 
     /// When so many workers that report regularly are silent for so long, it is not by chance: each reports
     /// within the longest interval, and of many some do in a small part of it.
     pub fn silence(&self, workers: usize) -> Duration {
         let gaps = 20.0 * self.report_s / workers.max(1) as f64;
-        Duration::secs(gaps.clamp(1.5, (self.report_s * 1.25 + 0.5).max(1.5)))
+        Duration::from_secs_f64(gaps.clamp(1.5, (self.report_s * 1.25 + 0.5).max(1.5)))
     }
 
     /// How long the tasks of a gang wait for each other.
     pub fn gang_wait(&self) -> Duration {
-        Duration::secs(self.gang_wait_s)
+        Duration::from_secs_f64(self.gang_wait_s)
     }
 
     /// A copy of a message may come well over a lease late; after this time none is expected any more. With two leases a copy of a start
     /// that came 35 s late, at a lease of 16 s, found its attempt forgotten and ran it again.
     pub fn copies_over(&self) -> Duration {
-        Duration::secs(self.lease_s * 2.5)
+        Duration::from_secs_f64(self.lease_s * 2.5)
     }
 }
 
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -100,7 +100,7 @@
 #[test]
 fn the_operators_ini_is_checked() {
     let tuning = Tuning::parse("[fleet]\nidle_spot_s = 5\n").unwrap();
-    assert_eq!(tuning.idle_spot, Duration(5000));
+    assert_eq!(tuning.idle_spot, Duration::from_secs(5));
     assert!(Tuning::parse("[fleet]\nidle_spt_s = 5\n").unwrap_err().to_string().contains("fleet.idle_spt_s"));
     assert_eq!(Tuning::parse("[fleet]\nstrict_aim = 0.95\n").unwrap().strict_aim, 0.95);
     assert!(Tuning::parse("[fleet]\nstrict_aim = 95\n").unwrap_err().to_string().contains("fleet.strict_aim"));
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -25,10 +25,10 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            leader_lease: Duration(1500),
-            commit_every: Duration(150),
-            idle_ordinary: Duration(25_000),
-            idle_spot: Duration(12_000),
+            leader_lease: Duration::from_millis(1500),
+            commit_every: Duration::from_millis(150),
+            idle_ordinary: Duration::from_secs(25),
+            idle_spot: Duration::from_secs(12),
             snapshot_every: 200,
             strict_aim: 0.875,
             room_ahead: 3.0,
@@ -55,7 +55,8 @@
                     }
                 };
                 let number = |low, high| within("number", low, high);
-                let seconds = |low, high| Ok::<_, SettingsError>(Duration::secs(within("time in seconds", low, high)?));
+                let seconds =
+                    |low, high| Ok::<_, SettingsError>(Duration::from_secs_f64(within("time in seconds", low, high)?));
                 match path.as_str() {
                     "leadership.lease_s" => tuning.leader_lease = seconds(0.5, 60.0)?,
                     "records.commit_every_s" => tuning.commit_every = seconds(0.02, 2.0)?,
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,6 +1,6 @@
 //! Calls to the state service, as the slices ask for them.
 
-use crate::units::{Duration, LeaseId, Revision};
+use crate::types::{Duration, LeaseId, Revision};
 use crate::wire::{Condition, Txn};
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
--- a/src/term.rs
+++ b/src/term.rs
@@ -12,7 +12,9 @@
 use crate::scheduling::{Names, Pacing};
 use crate::settings::Settings;
 use crate::store::Reply;
-use crate::units::{Attempt, Duration, JobId, MachineId, Resources, TaskAttempt, TaskId, Time, Token, Wall};
+use crate::types::{
+    AttemptId, AttemptNumber, Duration, FencingToken, JobId, MachineId, Resources, TaskId, Timestamp, WallClock,
+};
 use crate::upgrade::Format;
 use crate::wire::{Cause, Report, ReportAnswer};
 use crate::workers::{self, Enrolment, Machine};
@@ -31,9 +33,9 @@
 pub(crate) use users::too_many;
 
 /// Direct commands are given up after this time; they may still be executed later.
-pub const COMMAND_TIMEOUT: Duration = Duration(1500);
+pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a commit may take before its users are told to come back.
-const COMMIT_PATIENCE: Duration = Duration(1800);
+const COMMIT_PATIENCE: Duration = Duration::from_millis(1800);
 
 /// Executions between two records of what CorrecFAST has learnt.
 const LEARNT_EVERY: u64 = 20;
@@ -69,16 +71,16 @@
 #[derive(Debug, Clone, Copy)]
 struct Waiter {
     origin: Origin,
-    until: Time,
+    until: Timestamp,
 }
 
 /// One node's time as leader.
 pub struct Term {
     pub(crate) settings: Settings,
-    pub(crate) token: Token,
+    pub(crate) token: FencingToken,
     /// What may be written: gangs are taken only under a format that has them.
     format: Format,
-    pub(crate) since: Time,
+    pub(crate) since: Timestamp,
     records: Records,
     pub(crate) jobs: JobStore,
     pub(crate) machines: BTreeMap<MachineId, Machine>,
@@ -114,7 +116,7 @@
     /// Enrolled by an earlier leader and not known to have seen this token.
     pub(crate) unfenced: BTreeSet<MachineId>,
     /// When an earlier leader's machine was fenced last.
-    pub(crate) wave: Time,
+    pub(crate) wave: Timestamp,
     opened: bool,
     attempts: u64,
     pub(crate) commands: u64,
@@ -123,13 +125,13 @@
     accepting: HashMap<JobId, Vec<Waiter>>,
     cancelling: HashMap<JobId, Vec<Waiter>>,
     /// Finished attempts that may be reaped once their finish is durable.
-    finished: HashMap<TaskId, (MachineId, Attempt)>,
+    finished: HashMap<TaskId, (MachineId, AttemptNumber)>,
     /// Started early because the plan may have changed.
     pub(crate) dirty: bool,
-    pub(crate) scheduled: Time,
-    pub(crate) demanded: Time,
-    watched: Time,
-    ticked: Time,
+    pub(crate) scheduled: Timestamp,
+    pub(crate) demanded: Timestamp,
+    watched: Timestamp,
+    ticked: Timestamp,
     /// How long nothing of ours has reached any worker, counted in ticks, so that a process that stood still
     /// does not take its own absence for silence.
     pub(crate) silent_for: Duration,
@@ -140,12 +142,12 @@
     pub(crate) over: Option<Over>,
     pub(crate) drains: Option<Coordinator>,
     /// When drains had their round last.
-    pub(crate) drained: Time,
+    pub(crate) drained: Timestamp,
 }
 
 impl Term {
     /// Begins a term.
-    pub fn new(token: Token, format: Format, now: Time, settings: &Settings) -> Term {
+    pub fn new(token: FencingToken, format: Format, now: Timestamp, settings: &Settings) -> Term {
         Term {
             token,
             format,
@@ -180,22 +182,22 @@
             cancelling: HashMap::new(),
             finished: HashMap::new(),
             dirty: true,
-            scheduled: Time(0),
-            demanded: Time(0),
+            scheduled: Timestamp::ZERO,
+            demanded: Timestamp::ZERO,
             watched: now,
             ticked: now,
-            silent_for: Duration(0),
+            silent_for: Duration::ZERO,
             reaches: false,
             pacing: Pacing::default(),
             over: None,
             drains: drains::coordinator(settings, now),
-            drained: Time(0),
+            drained: Timestamp::ZERO,
             settings: settings.clone(),
         }
     }
 
     /// Reads back what is durable and asks the cloud for its machine types.
-    pub fn start(&mut self, now: Time, wall: Wall, out: &mut Vec<Effect>) {
+    pub fn start(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.records.start(now, &mut events);
         self.recorded(now, wall, events, out);
@@ -205,7 +207,7 @@
     }
 
     /// The token of this term.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
     /// What may be written.
@@ -241,15 +243,23 @@
     }
 
     /// An attempt number that no leader has used or will use.
-    pub(crate) fn next_attempt(&mut self) -> Attempt {
+    pub(crate) fn next_attempt(&mut self) -> AttemptNumber {
         self.attempts += 1;
-        Attempt((self.token.0 << 24) + self.attempts)
+        AttemptNumber((self.token.0 << 24) + self.attempts)
     }
 
     // ---- cloud ----
 
     /// The cloud answered.
-    pub fn cloud(&mut self, now: Time, wall: Wall, certain: bool, id: u64, reply: &Reply, out: &mut Vec<Effect>) {
+    pub fn cloud(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        certain: bool,
+        id: u64,
+        reply: &Reply,
+        out: &mut Vec<Effect>,
+    ) {
         let mut events = Vec::new();
         let machines = &self.machines;
         let knew = self.inventory.flavors().is_some();
@@ -262,7 +272,13 @@
         self.flush(now, out);
     }
 
-    pub(crate) fn hired(&mut self, now: Time, wall: Wall, events: Vec<inventory::Event>, out: &mut Vec<Effect>) {
+    pub(crate) fn hired(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        events: Vec<inventory::Event>,
+        out: &mut Vec<Effect>,
+    ) {
         for event in events {
             match event {
                 inventory::Event::Call(id, call) => out.push(Effect::Cloud(self.token.0, id, call)),
@@ -276,7 +292,7 @@
                 inventory::Event::Rented(ids) => {
                     for id in ids {
                         if let Some(b) = self.inventory.booting_one(id) {
-                            self.records.push(rented(id, b, wall.of(now, b.since)));
+                            self.records.push(rented(id, b, wall.at_timestamp(now, b.since)));
                         }
                     }
                 }
@@ -301,11 +317,11 @@
     // ---- time ----
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Time, wall: Wall, certain: bool, out: &mut Vec<Effect>) {
+    pub fn tick(&mut self, now: Timestamp, wall: WallClock, certain: bool, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.records.tick(now, &mut events);
         self.recorded(now, wall, events, out);
-        let passed = now.since(self.ticked).min(Duration(200));
+        let passed = now.since(self.ticked).min(Duration::from_millis(200));
         self.ticked = now;
         if !self.loaded() {
             return;
@@ -321,7 +337,7 @@
             for m in self.machines.values().filter(|m| m.enrolment == Enrolment::Durable) {
                 facts.extend(m.images.iter().map(|image| Record::Image(m.id(), image.clone())));
             }
-            facts.extend(self.inventory.booting().map(|(id, b)| rented(*id, b, wall.of(now, b.since))));
+            facts.extend(self.inventory.booting().map(|(id, b)| rented(*id, b, wall.at_timestamp(now, b.since))));
             facts.push(Record::Learnt(self.correction.percent, self.correction.executions));
             facts.extend(self.jobs.facts());
             debug!("snapshot facts={}", facts.len());
@@ -332,7 +348,7 @@
             self.inventory.tick(now, &mut events);
             self.hired(now, wall, events, out);
         }
-        if now.since(self.watched) >= Duration(250) {
+        if now.since(self.watched) >= Duration::from_millis(250) {
             self.watched = now;
             self.watch(now, certain, out);
         }
@@ -350,7 +366,7 @@
         if !self.opened && self.open() {
             self.opened = true;
             self.dirty = true;
-            info!("open token={} after={}s", self.token, now.since(self.since).as_secs());
+            info!("open token={} after={}s", self.token, now.since(self.since).as_secs_f64());
         }
         self.maybe_schedule(now, wall, certain, out);
         self.sync_drains(now, certain, out);
@@ -360,11 +376,11 @@
     /// Direct commands that may be under way: fewer when behind, since reports do the same, only later.
     pub(crate) fn commands_at_once(&self) -> usize {
         let most = self.settings.deployment.resources.commands_at_once();
-        (most / (1 + self.pacing.behind.0 as usize / 50)).max(FEW_COMMANDS)
+        (most / (1 + self.pacing.behind.as_millis() as usize / 50)).max(FEW_COMMANDS)
     }
 
     /// Sends what is to be sent at once: direct commands and due commits.
-    pub(crate) fn flush(&mut self, now: Time, out: &mut Vec<Effect>) {
+    pub(crate) fn flush(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.records.tick(now, &mut events);
         for event in events {
@@ -382,7 +398,7 @@
 }
 
 /// The fact that a machine was rented; where its worker is will be told by its first report.
-fn rented(id: MachineId, b: &inventory::Booting, at: Wall) -> Record {
+fn rented(id: MachineId, b: &inventory::Booting, at: WallClock) -> Record {
     let (kind, zone, endpoint) = (b.kind.clone(), b.zone.clone(), String::new());
     Record::Rented(MachineRecord { id, endpoint, kind, zone, spot: b.spot, at })
 }
--- a/src/term/admission.rs
+++ b/src/term/admission.rs
@@ -2,23 +2,23 @@
 
 use super::*;
 use crate::store::{StateCall, condition};
-use crate::units::Revision;
+use crate::types::Revision;
 use crate::wire::{Change, Txn};
 use caperstile_admission::{AdmissionStatus, Pair, PairBacklog, RefusedPair, STATUS_KEY};
 
 /// Jobs of a class with an aim at finishing may wait for this part of its time; the rest is for running.
 const WAIT_SHARE: f64 = 1.0 / 3.0;
 /// How long jobs of other classes may wait.
-const DEFAULT_WAIT: Duration = Duration(120_000);
+const DEFAULT_WAIT: Duration = Duration::from_secs(120);
 /// How often what operators can read is written, while something is refused.
-const STATUS_EVERY: Duration = Duration(10_000);
+const STATUS_EVERY: Duration = Duration::from_secs(10);
 /// Bytes of a value that are not the status.
 const VALUE_MARGIN: usize = 64;
 
 /// What was written last for operators.
 #[derive(Debug, Default)]
 pub(super) struct StatusWritten {
-    at: Time,
+    at: Timestamp,
     /// Whether it said that something is refused.
     refusing: bool,
     calls: u64,
@@ -26,7 +26,7 @@
 
 impl Term {
     /// Makes a new admission table if one is due.
-    pub(crate) fn admission_table(&mut self, now: Time) -> Option<&AdmissionTable> {
+    pub(crate) fn admission_table(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
         if self.admission.wants_backlog(now) {
             let waiting = self.backlog_by_pair(now);
             self.admission.observe_backlog(now, waiting);
@@ -48,7 +48,7 @@
 
     /// Writes what operators can read, now and then while something is refused and once when that is over. Nobody waits for it: what is
     /// lost is written again, or is old enough to be told from a refusal that goes on.
-    pub(crate) fn write_admission_status(&mut self, now: Time, wall: Wall, out: &mut Vec<Effect>) {
+    pub(crate) fn write_admission_status(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let told = !self.admission.is_refusing() && !self.admission_written.refusing;
         if told || now.since(self.admission_written.at) < STATUS_EVERY {
             return;
@@ -79,7 +79,7 @@
     }
 
     /// What waits of each team's classes whose jobs end by themselves. Services are left out: they wait for machines that boot.
-    pub(super) fn backlog_by_pair(&self, now: Time) -> BTreeMap<Pair, PairBacklog> {
+    pub(super) fn backlog_by_pair(&self, now: Timestamp) -> BTreeMap<Pair, PairBacklog> {
         let mut waiting: BTreeMap<(&str, &str), PairBacklog> = BTreeMap::new();
         for job in self.jobs.waiting().filter(|job| !job.record.service && job.durable && !job.cancelling) {
             if job.not_before > now {
@@ -100,6 +100,6 @@
     fn longest_wait(&self, class: &str) -> Duration {
         let of_class = self.settings.deployment.objectives.iter().filter(|o| o.kind == "finished" && o.class == class);
         let longest = of_class.filter_map(|o| o.within_s).reduce(f64::max);
-        longest.map_or(DEFAULT_WAIT, |within| Duration::secs(within * WAIT_SHARE))
+        longest.map_or(DEFAULT_WAIT, |within| Duration::from_secs_f64(within * WAIT_SHARE))
     }
 }
--- a/src/term/facts.rs
+++ b/src/term/facts.rs
@@ -4,14 +4,28 @@
 
 impl Term {
     /// The state service answered.
-    pub fn state(&mut self, now: Time, wall: Wall, certain: bool, id: u64, reply: &Reply, out: &mut Vec<Effect>) {
+    pub fn state(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        certain: bool,
+        id: u64,
+        reply: &Reply,
+        out: &mut Vec<Effect>,
+    ) {
         let mut events = Vec::new();
         self.records.reply(now, id, reply, &mut events);
         self.recorded(now, wall, events, out);
         self.maybe_schedule(now, wall, certain, out);
     }
 
-    pub(super) fn recorded(&mut self, now: Time, wall: Wall, events: Vec<records::Event>, out: &mut Vec<Effect>) {
+    pub(super) fn recorded(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        events: Vec<records::Event>,
+        out: &mut Vec<Effect>,
+    ) {
         for event in events {
             match event {
                 records::Event::Call(id, call) => out.push(Effect::State(Slot::Records(self.token.0), id, call)),
@@ -44,11 +58,11 @@
         }
     }
 
-    pub(super) fn restore(&mut self, now: Time, wall: Wall, record: &Record) {
+    pub(super) fn restore(&mut self, now: Timestamp, wall: WallClock, record: &Record) {
         match record {
             Record::Enrolled(machine) => {
                 let mut m = Machine::new(machine.clone(), Resources::default(), Enrolment::Durable, now);
-                m.since = wall.instant(now, machine.at);
+                m.since = wall.timestamp_of(now, machine.at);
                 self.inventory.up(machine.id);
                 self.unfenced.insert(machine.id);
                 self.machines.insert(machine.id, m);
@@ -58,7 +72,7 @@
                 if self.machines.contains_key(&machine.id) || self.inventory.is_gone(machine.id) => {}
             Record::Rented(machine) => {
                 let (kind, zone) = (machine.kind.clone(), machine.zone.clone());
-                let since = wall.instant(now, machine.at);
+                let since = wall.timestamp_of(now, machine.at);
                 self.inventory.inherit(machine.id, inventory::Booting { kind, zone, spot: machine.spot, since });
             }
             Record::Image(id, image) => {
@@ -81,7 +95,7 @@
     }
 
     /// A fact of this term became durable: now it may be told and acted on.
-    pub(super) fn durable(&mut self, now: Time, wall: Wall, record: &Record, out: &mut Vec<Effect>) {
+    pub(super) fn durable(&mut self, now: Timestamp, wall: WallClock, record: &Record, out: &mut Vec<Effect>) {
         self.dirty = true;
         match record {
             Record::Enrolled(machine) => {
@@ -115,7 +129,7 @@
         }
     }
 
-    pub(super) fn job_over(&mut self, now: Time, id: JobId, left: &[intake::Placed], out: &mut Vec<Effect>) {
+    pub(super) fn job_over(&mut self, now: Timestamp, id: JobId, left: &[intake::Placed], out: &mut Vec<Effect>) {
         info!("over {id} {}", if matches!(self.jobs.ended(id), Some(Final::Done(_))) { "done" } else { "cancelled" });
         self.plans.remove_job(id);
         for placed in left {
@@ -135,7 +149,7 @@
     pub(super) fn may_reap(&mut self, task: TaskId) {
         if let Some((machine, attempt)) = self.finished.remove(&task)
             && let Some(hold) =
-                self.machines.get_mut(&machine).and_then(|m| m.holds.get_mut(&TaskAttempt { attempt, task }))
+                self.machines.get_mut(&machine).and_then(|m| m.holds.get_mut(&AttemptId { attempt, task }))
         {
             hold.reapable = true;
         }
--- a/src/term/reports.rs
+++ b/src/term/reports.rs
@@ -6,8 +6,8 @@
     /// A worker reports.
     pub fn report(
         &mut self,
-        now: Time,
-        wall: Wall,
+        now: Timestamp,
+        wall: WallClock,
         certain: bool,
         origin: Origin,
         report: &Report,
@@ -44,7 +44,7 @@
             && let Some(machine) = self.machines.get_mut(&id)
         {
             machine.since = rented;
-            machine.record.at = wall.of(now, rented);
+            machine.record.at = wall.at_timestamp(now, rented);
         }
         let others = !self.settings.seeds.is_empty();
         if !self.machines.get_mut(&id).is_some_and(|m| m.report(now, report, others)) {
@@ -99,8 +99,8 @@
     #[allow(clippy::too_many_arguments)]
     pub fn command_answer(
         &mut self,
-        now: Time,
-        wall: Wall,
+        now: Timestamp,
+        wall: WallClock,
         certain: bool,
         id: MachineId,
         command: u64,
@@ -134,7 +134,7 @@
     }
 
     /// Takes a worker's message; true if it showed something.
-    pub(super) fn message(&mut self, now: Time, id: MachineId, report: &Report) -> bool {
+    pub(super) fn message(&mut self, now: Timestamp, id: MachineId, report: &Report) -> bool {
         let token = self.token;
         let Some(machine) = self.machines.get_mut(&id) else { return false };
         let had_notice = machine.notice.is_some();
@@ -152,7 +152,7 @@
         showed
     }
 
-    pub(crate) fn observed(&mut self, now: Time, id: MachineId, events: Vec<workers::Event>) {
+    pub(crate) fn observed(&mut self, now: Timestamp, id: MachineId, events: Vec<workers::Event>) {
         for event in events {
             match event {
                 workers::Event::Fenced => {
--- a/src/term/tasks.rs
+++ b/src/term/tasks.rs
@@ -12,11 +12,11 @@
 /// Longest pause between tries of a job that fails wherever it runs, in seconds.
 const LONGEST_PAUSE_S: u64 = 60;
 /// Pause after a worker refused a task.
-const REFUSED_PAUSE: Duration = Duration(500);
+const REFUSED_PAUSE: Duration = Duration::from_millis(500);
 
 impl Term {
     /// A task that an earlier leader started: taken over if its job is not over.
-    pub(super) fn found(&mut self, now: Time, id: MachineId, key: TaskAttempt, ended: bool) {
+    pub(super) fn found(&mut self, now: Timestamp, id: MachineId, key: AttemptId, ended: bool) {
         let task = key.task;
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let Some(hold) = machine.holds.get_mut(&key) else { return };
@@ -43,7 +43,7 @@
             {
                 // An earlier leader has begun to stop the gang: the others must be told in time, too.
                 gang.stop(job.record.save);
-                hold.stop = Some(job.record.save.as_secs());
+                hold.stop = Some(job.record.save.as_secs_f64());
                 hold.stop_sent = true;
             }
             if running {
@@ -71,14 +71,19 @@
     }
 
     /// A claimed attempt began to run.
-    pub(super) fn task_runs(&mut self, now: Time, key: TaskAttempt) {
+    pub(super) fn task_runs(&mut self, now: Timestamp, key: AttemptId) {
         let Some(job) = self.jobs.get_mut(key.task.job) else { return };
         if let Some(placed) = job.placed.get_mut(&key.task.index).filter(|p| p.key == key) {
             placed.running = true;
         }
         if let Some(gang) = &mut job.gang {
             if let Phase::Gathering { since } = gang.phase {
-                debug!("gang runs {} attempt={} gathered={}s", key.task.job, key.attempt, now.since(since).as_secs());
+                debug!(
+                    "gang runs {} attempt={} gathered={}s",
+                    key.task.job,
+                    key.attempt,
+                    now.since(since).as_secs_f64()
+                );
             }
             gang.task_runs(key.attempt);
         }
@@ -95,7 +100,7 @@
     }
 
     /// An attempt has ended.
-    pub(super) fn exited(&mut self, now: Time, id: MachineId, exit: Exit) {
+    pub(super) fn exited(&mut self, now: Timestamp, id: MachineId, exit: Exit) {
         let task = exit.key.task;
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let Some(hold) = machine.holds.get_mut(&exit.key) else { return };
@@ -125,7 +130,7 @@
     }
 
     /// A task is done; of a gang all are.
-    fn task_done(&mut self, now: Time, id: MachineId, exit: Exit, ours: bool) {
+    fn task_done(&mut self, now: Timestamp, id: MachineId, exit: Exit, ours: bool) {
         let task = exit.key.task;
         let inherited = exit.key.attempt.0 >> 24 != self.token.0;
         let Some(machine) = self.machines.get_mut(&id) else { return };
@@ -141,7 +146,7 @@
         for index in &news {
             job.pending.remove(*index);
         }
-        debug!("done {} machine={id} took={}s", exit.key, now.since(exit.since).as_secs());
+        debug!("done {} machine={id} took={}s", exit.key, now.since(exit.since).as_secs_f64());
         if let Some(hold) = machine.holds.get_mut(&exit.key) {
             hold.reapable = false;
         }
@@ -162,18 +167,18 @@
 
     /// A task has failed. A job that fails wherever it runs is tried less and less often; a machine that fails different jobs is at
     /// fault itself.
-    fn task_failed(&mut self, now: Time, id: MachineId, exit: Exit) {
+    fn task_failed(&mut self, now: Timestamp, id: MachineId, exit: Exit) {
         let task = exit.key.task;
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let Some(job) = self.jobs.get_mut(task.job) else { return };
-        info!("failed {task} machine={id} ran={:?}", exit.running_since.map(|r| now.since(r).as_secs()));
+        info!("failed {task} machine={id} ran={:?}", exit.running_since.map(|r| now.since(r).as_secs_f64()));
         job.failures += 1;
         if !job.failed_on.contains(&id) {
             job.failed_on.push(id);
         }
         if job.failed_on.len() >= FAILED_ON_LIMIT {
             let pause = 2u64.saturating_pow(job.failures.min(8)).min(LONGEST_PAUSE_S);
-            job.not_before = now + Duration(pause * 1000);
+            job.not_before = now + Duration::from_millis(pause * 1000);
             job.failed_on.clear();
             self.plans.remove_job(task.job);
         }
--- a/src/term/tests.rs
+++ b/src/term/tests.rs
@@ -5,7 +5,7 @@
 /// enrolled, or given back, is no machine on its way.
 #[test]
 fn a_rental_that_is_read_late_changes_nothing() {
-    let mut term = Term::new(Token(5), Format::One, Time::START, &Settings::parse(SAMPLE).unwrap());
+    let mut term = Term::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
     let (kind, zone, endpoint) = ("big".to_string(), "a".to_string(), String::new());
     let machine = |n| MachineRecord {
         id: MachineId(n),
@@ -13,7 +13,7 @@
         kind: kind.clone(),
         zone: zone.clone(),
         spot: false,
-        at: Wall(0),
+        at: WallClock::from_millis(0),
     };
     let facts = [
         Record::Enrolled(machine(1)),
@@ -24,7 +24,7 @@
         Record::Rented(machine(3)),
     ];
     for fact in &facts {
-        term.restore(Time::START, Wall(0), fact);
+        term.restore(Timestamp::START, WallClock::from_millis(0), fact);
     }
     let booting: Vec<MachineId> = term.inventory.booting().map(|(id, _)| *id).collect();
     assert_eq!(booting, [MachineId(3)]);
--- a/src/term/users.rs
+++ b/src/term/users.rs
@@ -6,8 +6,8 @@
     /// A user asks.
     pub fn user(
         &mut self,
-        now: Time,
-        wall: Wall,
+        now: Timestamp,
+        wall: WallClock,
         certain: bool,
         origin: Origin,
         call: &UserCall,
@@ -26,8 +26,8 @@
 
     pub(super) fn submit(
         &mut self,
-        now: Time,
-        wall: Wall,
+        now: Timestamp,
+        wall: WallClock,
         certain: bool,
         origin: Origin,
         body: &[u8],
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(super) fn cancel(&mut self, now: Time, certain: bool, origin: Origin, id: &str) -> Option<Answer> {
+    pub(super) fn cancel(&mut self, now: Timestamp, certain: bool, origin: Origin, id: &str) -> Option<Answer> {
         let Ok(job_id) = id.parse::<JobId>() else {
             return Some(Answer {
                 status: 400,
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -6,7 +6,7 @@
 //! transaction (`Leadership::move_key`); what it leaves under the old name keeps old processes from ever leading again.
 
 use crate::store::{Reply, StateCall, condition};
-use crate::units::{Duration, Revision, Time};
+use crate::types::{Duration, Revision, Timestamp};
 use crate::wire::{Change, KeyPage, Txn};
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -40,11 +40,11 @@
 /// The newest format that this version reads, as its key says it.
 const READS_FORMAT: u64 = 2;
 /// Without an answer for so long a request is repeated.
-const CALL_TIMEOUT: Duration = Duration(1500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a request that failed.
-const RETRY_AFTER: Duration = Duration(500);
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 /// How often a leader looks for the keys of the other controllers.
-const LOOK_EVERY: Duration = Duration(2000);
+const LOOK_EVERY: Duration = Duration::from_secs(2);
 
 /// What the slice wants done or made known.
 #[derive(Debug, PartialEq)]
@@ -65,7 +65,7 @@
 struct InFlight {
     id: u64,
     request: Request,
-    sent: Time,
+    sent: Timestamp,
 }
 
 /// State of the slice.
@@ -77,7 +77,7 @@
     announced: bool,
     calls: u64,
     in_flight: Option<InFlight>,
-    next: Time,
+    next: Timestamp,
 }
 
 impl Upgrade {
@@ -89,12 +89,12 @@
             announced: false,
             calls: 0,
             in_flight: None,
-            next: Time(0),
+            next: Timestamp::ZERO,
         }
     }
 
     /// Lets time pass. `looks`: this node leads under the old format and asks whether all are upgraded.
-    pub fn tick(&mut self, now: Time, looks: bool, out: &mut Vec<Event>) {
+    pub fn tick(&mut self, now: Timestamp, looks: bool, out: &mut Vec<Event>) {
         if self.in_flight.as_ref().is_some_and(|f| now.since(f.sent) >= CALL_TIMEOUT) {
             self.in_flight = None;
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    fn announce(&mut self, now: Time, out: &mut Vec<Event>) {
+    fn announce(&mut self, now: Timestamp, out: &mut Vec<Event>) {
         let key = format!("{VERSION_PREFIX}{}", self.node);
         let txn = Txn {
             conditions: vec![condition(&key, Revision(0))],
@@ -117,19 +117,19 @@
         self.call(now, Request::Announce, StateCall::Txn(txn), out);
     }
 
-    fn look(&mut self, now: Time, found: BTreeSet<String>, after: Option<String>, out: &mut Vec<Event>) {
+    fn look(&mut self, now: Timestamp, found: BTreeSet<String>, after: Option<String>, out: &mut Vec<Event>) {
         let call = StateCall::Scan { prefix: VERSION_PREFIX.into(), after };
         self.call(now, Request::Look { found }, call, out);
     }
 
-    fn call(&mut self, now: Time, request: Request, call: StateCall, out: &mut Vec<Event>) {
+    fn call(&mut self, now: Timestamp, request: Request, call: StateCall, out: &mut Vec<Event>) {
         self.calls += 1;
         self.in_flight = Some(InFlight { id: self.calls, request, sent: now });
         out.push(Event::Call(self.calls, call));
     }
 
     /// Takes an answer of the state service.
-    pub fn reply(&mut self, now: Time, id: u64, reply: &Reply, out: &mut Vec<Event>) {
+    pub fn reply(&mut self, now: Timestamp, id: u64, reply: &Reply, out: &mut Vec<Event>) {
         let Some(flight) = self.in_flight.take_if(|f| f.id == id) else { return };
         match (flight.request, reply.status) {
             // A key that exists is this node's own, written by this process or an earlier one.
@@ -142,7 +142,7 @@
         }
     }
 
-    fn page(&mut self, now: Time, mut found: BTreeSet<String>, page: KeyPage, out: &mut Vec<Event>) {
+    fn page(&mut self, now: Timestamp, mut found: BTreeSet<String>, page: KeyPage, out: &mut Vec<Event>) {
         let last = page.items.last().map(|item| item.key.clone());
         for item in page.items {
             let upgraded = item.value.get("format").and_then(|f| f.as_u64()).is_some_and(|f| f >= READS_FORMAT);
--- a/src/upgrade/tests.rs
+++ b/src/upgrade/tests.rs
@@ -20,10 +20,10 @@
 fn announced() -> Upgrade {
     let mut upgrade = Upgrade::new("n0", ["n1", "n2"].map(String::from).into_iter());
     let mut out = Vec::new();
-    upgrade.tick(Time(1), true, &mut out);
+    upgrade.tick(Timestamp::from_millis(1), true, &mut out);
     let (id, call) = only_call(&mut out);
     assert!(matches!(call, StateCall::Txn(_)));
-    upgrade.reply(Time(2), id, &answer(409, json!({"failed": ["version/n0"]})), &mut out);
+    upgrade.reply(Timestamp::from_millis(2), id, &answer(409, json!({"failed": ["version/n0"]})), &mut out);
     upgrade
 }
 
@@ -32,18 +32,18 @@
 fn the_own_key_is_written_until_it_is_known_to_exist() {
     let mut upgrade = Upgrade::new("n0", std::iter::empty());
     let mut out = Vec::new();
-    upgrade.tick(Time(1), true, &mut out);
+    upgrade.tick(Timestamp::from_millis(1), true, &mut out);
     let (first, _) = only_call(&mut out);
-    upgrade.tick(Time(1000), true, &mut out);
+    upgrade.tick(Timestamp::from_millis(1000), true, &mut out);
     assert_eq!(out, [], "one at a time");
-    upgrade.tick(Time(1600), true, &mut out);
+    upgrade.tick(Timestamp::from_millis(1600), true, &mut out);
     let (second, call) = only_call(&mut out);
     assert!(matches!(call, StateCall::Txn(_)));
-    upgrade.reply(Time(1610), first, &answer(200, json!({"Ledger": 4})), &mut out);
-    upgrade.tick(Time(1620), true, &mut out);
+    upgrade.reply(Timestamp::from_millis(1610), first, &answer(200, json!({"Ledger": 4})), &mut out);
+    upgrade.tick(Timestamp::from_millis(1620), true, &mut out);
     assert_eq!(out, [], "an answer to the first try comes too late to count");
-    upgrade.reply(Time(1630), second, &answer(409, json!({"failed": ["version/n0"]})), &mut out);
-    upgrade.tick(Time(1640), true, &mut out);
+    upgrade.reply(Timestamp::from_millis(1630), second, &answer(409, json!({"failed": ["version/n0"]})), &mut out);
+    upgrade.tick(Timestamp::from_millis(1640), true, &mut out);
     assert!(matches!(only_call(&mut out).1, StateCall::Scan { .. }));
 }
 
@@ -57,12 +57,12 @@
         (vec![page(&["n0", "n1", "n2"], 2, false)], true),
     ] {
         let (mut upgrade, mut out) = (announced(), Vec::new());
-        upgrade.tick(Time(10), true, &mut out);
+        upgrade.tick(Timestamp::from_millis(10), true, &mut out);
         let mut last = None;
         for body in pages {
             let (id, call) = only_call(&mut out);
             assert!(matches!(call, StateCall::Scan { .. }));
-            upgrade.reply(Time(20), id, &answer(200, body.clone()), &mut out);
+            upgrade.reply(Timestamp::from_millis(20), id, &answer(200, body.clone()), &mut out);
             last = Some(body);
         }
         assert_eq!(out == [Event::AllUpgraded], all, "{last:?}");
@@ -73,6 +73,6 @@
 #[test]
 fn only_a_leader_of_the_old_format_looks() {
     let (mut upgrade, mut out) = (announced(), Vec::new());
-    upgrade.tick(Time(10), false, &mut out);
+    upgrade.tick(Timestamp::from_millis(10), false, &mut out);
     assert_eq!(out, []);
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! Unknown fields are ignored everywhere and null equals omitted.
 
-use crate::units::TaskId;
+use crate::types::TaskId;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::borrow::Cow;
@@ -81,7 +81,7 @@
 
 /// A task's name as an id, without a string of its own in between.
 mod task_name {
-    use crate::units::TaskId;
+    use crate::types::TaskId;
     use serde::{Deserializer, Serializer, de};
     use std::fmt;
 
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -4,7 +4,10 @@
 //! then on nothing that an earlier leader sent can start or stop a task there.
 
 use crate::records::MachineRecord;
-use crate::units::{Attempt, Duration, JobId, MachineId, Resources, Seq, Session, TaskAttempt, TaskId, Time, Token};
+use crate::types::{
+    AgentEpoch, AttemptId, AttemptNumber, Duration, FencingToken, JobId, MachineId, MessageSequence, Resources, TaskId,
+    Timestamp,
+};
 use crate::wire::{Cause, Order, Report, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,7 +75,7 @@
     /// Whether a direct command started it, of which a copy may come late.
     pub direct: bool,
     /// When it ended.
-    pub ended: Time,
+    pub ended: Timestamp,
     /// The worker may forget it (its end is durable or does not matter).
     pub reapable: bool,
     /// The task counts as on this machine for its job.
@@ -84,9 +87,9 @@
     /// Its image.
     pub image: String,
     /// When it was ordered or found.
-    pub since: Time,
+    pub since: Timestamp,
     /// When it was first seen running.
-    pub running_since: Option<Time>,
+    pub running_since: Option<Timestamp>,
     /// Predicted time from order to end; `None` for services.
     pub predicted: Option<Duration>,
     /// Whether it is a task of a gang.
@@ -106,7 +109,7 @@
     /// Its number.
     pub id: u64,
     /// When it was sent.
-    pub sent: Time,
+    pub sent: Timestamp,
 }
 
 /// Orders to end what a report shows of jobs that are over.
@@ -128,43 +131,43 @@
     /// Whether its enrolment is durable.
     pub enrolment: Enrolment,
     /// Session of its last message.
-    pub session: Session,
+    pub session: AgentEpoch,
     /// Order of its last message.
-    pub seq: Seq,
+    pub seq: MessageSequence,
     /// Whether it has seen this leader's token.
     pub fenced: bool,
     /// Its last report, answers to direct commands not counted: it has one under way at a time, so that
     /// what is not newer is a late copy, to whose answer nobody listens.
-    pub last_report: (Session, Seq),
+    pub last_report: (AgentEpoch, MessageSequence),
     /// The last report that was answered.
-    pub told: (Session, Seq),
+    pub told: (AgentEpoch, MessageSequence),
     /// Whether it has come back to this node with the next report after an answered one.
     pub regular: bool,
     /// When it was heard of last.
-    pub heard: Time,
+    pub heard: Timestamp,
     /// When it was last certain that something of ours reaches it. A machine whose reports arrive while
     /// answers and commands do not reach it is as good as silent.
-    pub reached: Time,
+    pub reached: Timestamp,
     /// When a report of it was answered last.
-    pub answered: Time,
+    pub answered: Timestamp,
     /// When it came into this leader's view.
-    pub since: Time,
+    pub since: Timestamp,
     /// When the cloud takes it away.
-    pub notice: Option<Time>,
+    pub notice: Option<Timestamp>,
     /// Attempts that it holds or may hold.
-    pub holds: BTreeMap<TaskAttempt, Hold>,
+    pub holds: BTreeMap<AttemptId, Hold>,
     /// Images that it is believed to hold.
     pub images: BTreeSet<String>,
     /// Direct command under way.
     pub flight: Option<Flight>,
     /// Last direct attempt to reach it.
-    pub probed: Time,
+    pub probed: Timestamp,
     /// Direct attempts without answer since something reached it.
     pub unanswered: u32,
     /// Gets no new tasks; why.
     pub draining: Option<&'static str>,
     /// Idle since.
-    pub idle_since: Option<Time>,
+    pub idle_since: Option<Timestamp>,
     /// Different jobs that failed here since the last success.
     pub failed_jobs: BTreeSet<JobId>,
 }
@@ -173,13 +176,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Exit {
     /// The attempt.
-    pub key: TaskAttempt,
+    pub key: AttemptId,
     /// Why.
     pub cause: Cause,
     /// When it had been ordered.
-    pub since: Time,
+    pub since: Timestamp,
     /// When it was first seen running.
-    pub running_since: Option<Time>,
+    pub running_since: Option<Timestamp>,
     /// Predicted time from order to end.
     pub predicted: Option<Duration>,
 }
@@ -190,12 +193,12 @@
     /// An attempt that this leader did not know; it is to be claimed or stopped.
     Found {
         /// The attempt.
-        key: TaskAttempt,
+        key: AttemptId,
         /// Whether it has ended already.
         ended: bool,
     },
     /// A claimed attempt began to run.
-    Running(TaskAttempt),
+    Running(AttemptId),
     /// The machine now holds this image.
     Image(String),
     /// An attempt ended.
@@ -208,16 +211,16 @@
 
 impl Machine {
     /// A machine that came into view.
-    pub fn new(record: MachineRecord, capacity: Resources, enrolment: Enrolment, now: Time) -> Machine {
+    pub fn new(record: MachineRecord, capacity: Resources, enrolment: Enrolment, now: Timestamp) -> Machine {
         Machine {
             record,
             capacity,
             enrolment,
-            session: Session(0),
-            seq: Seq(0),
+            session: AgentEpoch(0),
+            seq: MessageSequence(0),
             fenced: false,
-            last_report: (Session(0), Seq(0)),
-            told: (Session(0), Seq(0)),
+            last_report: (AgentEpoch(0), MessageSequence(0)),
+            told: (AgentEpoch(0), MessageSequence(0)),
             regular: false,
             heard: now,
             reached: now,
@@ -227,7 +230,7 @@
             holds: BTreeMap::new(),
             images: BTreeSet::new(),
             flight: None,
-            probed: Time(0),
+            probed: Timestamp::ZERO,
             unanswered: 0,
             draining: None,
             idle_since: None,
@@ -246,7 +249,7 @@
     }
 
     /// Whether something of ours reached it within this time.
-    pub fn in_reach(&self, now: Time, within: Duration) -> bool {
+    pub fn in_reach(&self, now: Timestamp, within: Duration) -> bool {
         now.since(self.reached) <= within
     }
 
@@ -254,7 +257,7 @@
     pub fn free(&self) -> Resources {
         let mut free = self.capacity;
         for hold in self.holds.values().filter(|h| h.occupies()) {
-            free.sub(&hold.need);
+            free.saturating_sub(&hold.need);
         }
         free
     }
@@ -274,15 +277,15 @@
     ///
     /// A report that is older than the answer to a direct command is no copy: its worker may be waiting
     /// for it, and an answer would renew its lease.
-    pub fn report(&mut self, now: Time, report: &Report, others: bool) -> bool {
-        let order = (Session(report.session), Seq(report.seq));
+    pub fn report(&mut self, now: Timestamp, report: &Report, others: bool) -> bool {
+        let order = (AgentEpoch(report.session), MessageSequence(report.seq));
         if order <= self.last_report || order.0 < self.session {
             return false;
         }
         self.last_report = order;
         // A worker whose report got no answer goes to another node: one that comes back at once with
         // the next report has taken the last answer in.
-        if others && order == (self.told.0, Seq(self.told.1.0 + 1)) {
+        if others && order == (self.told.0, MessageSequence(self.told.1.0 + 1)) {
             self.reached(now);
             self.regular = true;
         }
@@ -290,7 +293,7 @@
     }
 
     /// Something of ours has surely reached the machine.
-    pub fn reached(&mut self, now: Time) {
+    pub fn reached(&mut self, now: Timestamp) {
         self.reached = now;
         self.unanswered = 0;
     }
@@ -298,8 +301,8 @@
     /// Takes a message (report or answer to a command) and says what it showed.
     ///
     /// Older messages than the last one change nothing: their task list is as old as they are.
-    pub fn message(&mut self, now: Time, report: &Report, token: Token, out: &mut Vec<Event>) {
-        let (session, seq) = (Session(report.session), Seq(report.seq));
+    pub fn message(&mut self, now: Timestamp, report: &Report, token: FencingToken, out: &mut Vec<Event>) {
+        let (session, seq) = (AgentEpoch(report.session), MessageSequence(report.seq));
         if (session, seq) <= (self.session, self.seq) {
             return;
         }
@@ -317,7 +320,7 @@
         self.seq = seq;
         self.heard = now;
         self.record.endpoint.clone_from(&report.endpoint);
-        self.notice = report.notice_s.map(|s| now + Duration::secs(s));
+        self.notice = report.notice_s.map(|s| now + Duration::from_secs_f64(s));
         if report.token == token.0 && !self.fenced {
             self.fenced = true;
             // An earlier leader may have renewed the lease up to now, but no longer.
@@ -332,12 +335,12 @@
         let mut shown = Vec::with_capacity(report.tasks.as_ref().map_or(0, Vec::len));
         for item in report.tasks.iter().flatten() {
             let Some(task) = item.task else { continue };
-            let key = TaskAttempt { attempt: Attempt(item.attempt), task };
+            let key = AttemptId { attempt: AttemptNumber(item.attempt), task };
             shown.push(key);
             self.shown(now, key, item.state, item.cause, out);
         }
         shown.sort_unstable();
-        let gone: Vec<TaskAttempt> =
+        let gone: Vec<AttemptId> =
             self.holds.iter().filter(|(a, h)| h.seen && shown.binary_search(a).is_err()).map(|(a, _)| *a).collect();
         for key in gone {
             // Reaped, as ordered; a claimed one that vanished is treated as lost.
@@ -349,7 +352,7 @@
         }
     }
 
-    fn shown(&mut self, now: Time, key: TaskAttempt, state: TaskState, cause: Option<Cause>, out: &mut Vec<Event>) {
+    fn shown(&mut self, now: Timestamp, key: AttemptId, state: TaskState, cause: Option<Cause>, out: &mut Vec<Event>) {
         let phase = match state {
             TaskState::Fetching | TaskState::Other => Phase::Fetching,
             TaskState::Gathering => Phase::Gathering,
@@ -433,7 +436,7 @@
     /// knows it, and a late copy of the direct `run` finds it exited. For the same reason the worker is
     /// left with an ended attempt that was started directly for `keep`: once it has forgotten it, a copy
     /// of the command, carried out late although the command was answered, would start it anew.
-    pub fn orders(&mut self, now: Time, keep: Duration) -> Vec<Order> {
+    pub fn orders(&mut self, now: Timestamp, keep: Duration) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut too_many = self.holds.values().filter(|h| !h.occupies()).count().saturating_sub(ENDED_LIMIT);
         for (key, hold) in &mut self.holds {
@@ -493,7 +496,7 @@
     }
 
     /// A direct command was answered (`answered`) or may still be executed.
-    pub fn command_over(&mut self, now: Time, command: u64, answered: bool) {
+    pub fn command_over(&mut self, now: Timestamp, command: u64, answered: bool) {
         if answered {
             self.reached(now);
         } else {
@@ -508,7 +511,7 @@
     }
 
     /// Orders an attempt to stop; true if the machine is to be told.
-    pub fn stop(&mut self, key: TaskAttempt, grace_s: f64) -> bool {
+    pub fn stop(&mut self, key: AttemptId, grace_s: f64) -> bool {
         if let Some(hold) = self.holds.get_mut(&key)
             && hold.occupies()
             && hold.stop.is_none_or(|g| g > grace_s)
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -9,7 +9,7 @@
 use caperstile::records::{Event, Record, Records};
 use caperstile::settings::{StateLimits, Tuning};
 use caperstile::store::Reply;
-use caperstile::units::{MachineId, Time, Token};
+use caperstile::types::{FencingToken, MachineId, Timestamp};
 use caperstile::upgrade::Format;
 use caperstile::wire::Report;
 use leading::{World, log, report};
@@ -81,9 +81,9 @@
 /// Each tick, report and request looks at the snapshot's next step. Copying it each time was a fifth of a leader's processor time.
 fn ticks_of_a_waiting_snapshot() -> f64 {
     let limits = StateLimits { rps: 400.0, write_rps: 30.0, value_kb: 8.0, txn_ops: 24, next: None };
-    let (now, mut out) = (Time(1_000), Vec::new());
-    let mut records = Records::new(Token(5), Format::Two, Time::START, &limits, &Tuning::default());
-    records.start(Time::START, &mut out);
+    let (now, mut out) = (Timestamp::from_millis(1_000), Vec::new());
+    let mut records = Records::new(FencingToken(5), Format::Two, Timestamp::START, &limits, &Tuning::default());
+    records.start(Timestamp::START, &mut out);
     let empty = Reply { status: 200, body: r#"{"Pairs": [], "More": false, "Ledger": 5}"#.into() };
     for id in 1..=2 {
         records.reply(now, id, &empty, &mut out);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -2,7 +2,7 @@
 
 use caperstile::intake::JobStore;
 use caperstile::records::Record;
-use caperstile::units::{JobId, Time, Wall};
+use caperstile::types::{JobId, Timestamp, WallClock};
 
 /// Resident memory in bytes.
 fn resident() -> usize {
@@ -20,7 +20,7 @@
         let start = book.finals() as u64 + 1;
         let mut part: Vec<(u64, u32)> = vec![(1, 14); 200];
         part[0].0 = start;
-        book.apply(&Record::Finals(part, vec![]), Time(0), Wall(0));
+        book.apply(&Record::Finals(part, vec![]), Timestamp::ZERO, WallClock::from_millis(0));
     }
     assert_eq!(book.finals(), JOBS);
     assert!(book.state(JobId(JOBS as u64)).is_some() && book.state(JobId(JOBS as u64 + 1)).is_none());
--- a/tests/support/admission.rs
+++ b/tests/support/admission.rs
@@ -1,13 +1,13 @@
 //! Users whose submissions are refused by an admission table, load as controllers measure it, and a check that nodes agree.
 
 use super::*;
-use caperstile::units::JobId;
+use caperstile::types::JobId;
 use caperstile_admission::{TableNumber, Utilization};
 
 /// Users give up this long after their first try.
 const GIVE_UP_MS: u64 = 60_000;
 /// What inputs wait for at an overloaded controller.
-const QUEUEING: Duration = Duration(800);
+const QUEUEING: Duration = Duration::from_millis(800);
 
 /// What nodes decided by their tables: the same table must give the same answer for a job on every node.
 #[derive(Debug, Default)]
--- a/tests/support/drains.rs
+++ b/tests/support/drains.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use caperstile::store::condition;
-use caperstile::units::Revision;
+use caperstile::types::Revision;
 
 /// What was stopped by command and does not run again yet, seen from the workers.
 #[derive(Debug, Default)]
--- a/tests/support/leading.rs
+++ b/tests/support/leading.rs
@@ -7,7 +7,7 @@
 use caperstile::records::{MachineRecord, Record};
 use caperstile::settings::Settings;
 use caperstile::store::{Reply, StateCall};
-use caperstile::units::{MachineId, Time, Wall};
+use caperstile::types::{Duration, MachineId, Timestamp, WallClock};
 use caperstile::wire::Report;
 use serde_json::{Value, json};
 
@@ -42,10 +42,11 @@
         kind: "big".into(),
         zone: ZONES[(id % 4) as usize].into(),
         spot: true,
-        at: Wall(0),
+        at: WallClock::from_millis(0),
     };
     let enrolled = (1..=machines).map(|id| Record::Enrolled(record(id)));
-    let jobs = (1..=machines).map(|id| Record::Job(parse_job(&job(id), Wall(0)).expect("a valid job")));
+    let jobs =
+        (1..=machines).map(|id| Record::Job(parse_job(&job(id), WallClock::from_millis(0)).expect("a valid job")));
     let facts: Vec<Value> = enrolled.chain(jobs).map(|r| serde_json::to_value(r).expect("JSON")).collect();
     facts.chunks(40).map(|part| part.to_vec().into()).collect()
 }
@@ -63,17 +64,17 @@
 pub struct World {
     pub node: Controller,
     log: Vec<Value>,
-    pub now: Time,
+    pub now: Timestamp,
 }
 
 impl World {
     pub fn new(log: &[Value]) -> World {
-        World { node: Controller::new(settings(), 7), log: log.to_vec(), now: Time::START }
+        World { node: Controller::new(settings(), 7), log: log.to_vec(), now: Timestamp::START }
     }
 
     /// Time passes, then an input and all that comes of it.
     pub fn later(&mut self, milliseconds: u64, input: Input) {
-        self.now.0 += milliseconds;
+        self.now = self.now + Duration::from_millis(milliseconds);
         self.feed(input);
     }
 
@@ -81,7 +82,7 @@
     pub fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for effect in self.node.handle(self.now, Wall(self.now.0), input) {
+            for effect in self.node.handle(self.now, WallClock::from_millis(self.now.as_millis()), input) {
                 inputs.extend(self.answer(effect));
             }
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -25,7 +25,7 @@
 use caperstile::inventory::CloudCall;
 use caperstile::peers::{Answer, UserCall};
 use caperstile::store::{Reply, StateCall};
-use caperstile::units::{Duration, MachineId, Time, Wall};
+use caperstile::types::{Duration, MachineId, Timestamp, WallClock};
 use caperstile::wire::{Change, Commands, Order, Report, ReportAnswer, ReportedTask, TaskState, Txn};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/tests/support/nodes.rs
+++ b/tests/support/nodes.rs
@@ -173,13 +173,13 @@
     }
 
     /// What a node's own clock says: it starts with the process.
-    pub fn clock(&self, node: usize) -> Time {
-        Time::START + Duration(self.now - self.born[node])
+    pub fn clock(&self, node: usize) -> Timestamp {
+        Timestamp::START + Duration::from_millis(self.now - self.born[node])
     }
 
     pub(super) fn feed(&mut self, node: usize, input: Input) {
         let now = self.clock(node);
-        let wall = Wall(1_700_000_000_000 + self.now);
+        let wall = WallClock::from_millis(1_700_000_000_000 + self.now);
         let Some(controller) = &mut self.nodes[node] else { return };
         let number = controller.admission_table(now).map(|table| table.number);
         let asked = admission::submission_of(controller, &input);
--- a/tests/support/old_node.rs
+++ b/tests/support/old_node.rs
@@ -3,7 +3,7 @@
 
 use super::State;
 use caperstile::store::StateCall;
-use caperstile::units::{Duration, LeaseId};
+use caperstile::types::{Duration, LeaseId};
 use caperstile::wire::{Change, Condition, KeyPage, Txn};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -147,7 +147,7 @@
             200 if body["V"]["node"] == self.name.as_str() => body["Stamp"].as_u64().expect("a revision"),
             _ => return,
         };
-        let (status, body) = state.handle(now, node, &StateCall::Grant(Duration(LEASE_MS)));
+        let (status, body) = state.handle(now, node, &StateCall::Grant(Duration::from_millis(LEASE_MS)));
         let Some(lease) = body["Permit"].as_u64().filter(|_| status == 200) else { return };
         let me = json!({"node": self.name, "incarnation": self.incarnation});
         let txn = Txn {
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -1,7 +1,7 @@
 //! The state service's stand-in: keys with revisions, leases, transactions and limits.
 
 use caperstile::store::StateCall;
-use caperstile::units::{Duration, LeaseId};
+use caperstile::types::{Duration, LeaseId};
 use caperstile::wire::{Change, LeaseRequest, Txn};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,9 @@
     if path == "/txn" {
         StateCall::Txn(serde_json::from_slice(body).expect("a transaction"))
     } else if path == "/leases" {
-        StateCall::Grant(Duration(serde_json::from_slice::<LeaseRequest>(body).expect("a lease request").ttl_ms))
+        StateCall::Grant(Duration::from_millis(
+            serde_json::from_slice::<LeaseRequest>(body).expect("a lease request").ttl_ms,
+        ))
     } else if let Some(rest) = path.strip_prefix("/leases/") {
         let lease = |id: &str| LeaseId(id.parse().expect("a lease"));
         rest.strip_suffix("/extend").map_or_else(|| StateCall::Revoke(lease(rest)), |id| StateCall::Renew(lease(id)))
@@ -96,7 +98,7 @@
             }
             StateCall::Grant(ttl) => {
                 self.ledger += 1;
-                self.leases.insert(self.ledger, (ttl.0, now + ttl.0));
+                self.leases.insert(self.ledger, (ttl.as_millis(), now + ttl.as_millis()));
                 (200, json!({"Permit": self.ledger}))
             }
             StateCall::Renew(lease) => match self.leases.get_mut(&lease.0) {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -309,5 +309,5 @@
     let leader = sim.leader().expect("somebody leads");
     let book = sim.nodes[leader].as_ref().and_then(|c| c.term()).expect("a term").jobs();
     let age = sim.clock(leader).since(book.get("job-000001".parse().unwrap()).expect("known").submitted);
-    assert!((63.0..66.0).contains(&age.as_secs()), "{} s", age.as_secs());
+    assert!((63.0..66.0).contains(&age.as_secs_f64()), "{} s", age.as_secs_f64());
 }
