--- a/benches/leader.rs
+++ b/benches/leader.rs
@@ -4,8 +4,8 @@
 #[path = "../tests/support/leading.rs"]
 mod leading;
 
-use caperstile::controller::{Input, Origin};
-use caperstile::peers::UserCall;
+use caperstile::api::UserRequest;
+use caperstile::effects::{Input, RequestOrigin};
 use criterion::{Criterion, criterion_group, criterion_main};
 use leading::{World, job, log, report};
 
@@ -18,25 +18,25 @@
     group.bench_function("an election until all are fenced", |b| b.iter(|| World::new(&log).elect()));
     let mut world = World::new(&log);
     world.elect();
-    let token = world.node.term().expect("it leads").token().0;
+    let token = world.node.leader().expect("it leads").token().0;
     let mut seq = 1;
     group.sample_size(100);
     group.bench_function("a report of 16 running tasks", |b| {
         b.iter(|| {
             seq += 1;
-            let (id, origin) = (1 + seq % MACHINES, Origin::Http(seq));
-            world.later(3, Input::Report(origin, Box::new(report(id, seq, token))));
+            let (id, origin) = (1 + seq % MACHINES, RequestOrigin::Http(seq));
+            world.later(3, Input::Heartbeat(origin, Box::new(report(id, seq, token))));
         });
     });
     group.bench_function("a poll of a running job", |b| {
         let name = "job-000412".to_string();
-        b.iter(|| world.feed(Input::User(Origin::Http(1), UserCall::Get(name.clone()))));
+        b.iter(|| world.feed(Input::User(RequestOrigin::Http(1), UserRequest::Get(name.clone()))));
     });
     group.bench_function("a submission until it is durable", |b| {
         let mut id = 100_000;
         b.iter(|| {
             id += 1;
-            world.later(200, Input::User(Origin::Http(id), UserCall::Submit(job(id))));
+            world.later(200, Input::User(RequestOrigin::Http(id), UserRequest::Submit(job(id))));
         });
     });
 }
--- a/benches/node.rs
+++ b/benches/node.rs
@@ -8,7 +8,7 @@
 mod support;
 
 use bytes::Bytes;
-use caperstile::wire::{Commands, Order, RentRequest, ReportAnswer};
+use caperstile::wire::{CommandBatch, HeartbeatResponse, ScaleOutRequest, WorkerCommand};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -61,20 +61,20 @@
             "Shift": 1, "Tally": self.seq, "Baton": self.token, "RecallS": null, "Pieces": tasks})
     }
 
-    fn obey(&mut self, orders: &[Order]) {
+    fn obey(&mut self, orders: &[WorkerCommand]) {
         self.changed |= !orders.is_empty();
         for order in orders {
             match order {
-                Order::Run { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let ends = Instant::now() + Duration::from_secs(RUN_S);
                     self.tasks.entry(*attempt).or_insert((task.clone(), ends, false));
                 }
-                Order::Kill { attempt, .. } => {
+                WorkerCommand::Stop { attempt, .. } => {
                     if let Some(t) = self.tasks.get_mut(attempt) {
                         t.2 = true;
                     }
                 }
-                Order::Reap { attempt, .. } => {
+                WorkerCommand::Forget { attempt, .. } => {
                     self.tasks.remove(attempt);
                 }
             }
@@ -138,12 +138,12 @@
     }));
     let obeying = worker.clone();
     let routes = warp::path("commands").and(warp::body::bytes()).map(move |body: Bytes| {
-        let commands: Commands = serde_json::from_slice(&body).unwrap();
+        let commands: CommandBatch = serde_json::from_slice(&body).unwrap();
         let mut worker = obeying.lock().unwrap();
-        let good = commands.token >= worker.token;
-        worker.token = worker.token.max(commands.token);
+        let good = commands.fencing_token >= worker.token;
+        worker.token = worker.token.max(commands.fencing_token);
         if good {
-            worker.obey(&commands.orders);
+            worker.obey(&commands.commands);
         }
         respond(if good { 200 } else { 409 }, &worker.report())
     });
@@ -171,11 +171,11 @@
         shared.lock().unwrap().reports += 1;
         match link.ask("POST", "/v1/report", &report).await {
             Some((200, body)) => {
-                let answer: ReportAnswer = serde_json::from_str(&body).unwrap();
+                let answer: HeartbeatResponse = serde_json::from_str(&body).unwrap();
                 let mut worker = worker.lock().unwrap();
-                if answer.token >= worker.token {
-                    worker.token = answer.token;
-                    worker.obey(&answer.orders);
+                if answer.fencing_token >= worker.token {
+                    worker.token = answer.fencing_token;
+                    worker.obey(&answer.commands);
                 }
             }
             _ => {
@@ -202,7 +202,7 @@
                         "Hourly": 2.0, "MarketPrice": 0.6, "BootS": 1, "Yards": ["a"]}]}),
                 ),
                 (_, "/hosts") if method == Method::POST => {
-                    let request: RentRequest = serde_json::from_slice(&body).unwrap();
+                    let request: ScaleOutRequest = serde_json::from_slice(&body).unwrap();
                     let n = u64::from(request.count).min(held.most - held.rented);
                     let names: Vec<String> = (held.rented + 1..=held.rented + n).map(|n| format!("m-{n:06}")).collect();
                     held.rented += n;
--- a/benches/plan.rs
+++ b/benches/plan.rs
@@ -1,9 +1,9 @@
 //! What a plan costs: a controller has a tenth of a core. `cargo bench` compares with the last run.
 
-use caperstile::intake::{JobStore, parse_job};
-use caperstile::plan::{Entry, Order, Plans, Profile, Server, World, Zones};
-use caperstile::records::Record;
+use caperstile::jobs::{JobStore, parse_submission};
+use caperstile::plan::{Entry, Plans, Profile, QueuePriority, Server, World, Zones};
 use caperstile::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
+use caperstile::write_ahead_log::LogRecord;
 use criterion::{Bencher, Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -38,7 +38,7 @@
 fn job(seq: u64) -> Entry {
     Entry {
         job: JobId(seq),
-        order: Order { rank: 1 + (seq % 3) as u8, seq },
+        order: QueuePriority { rank: 1 + (seq % 3) as u8, seq },
         count: 1,
         need: Resources { cpus: 2000, gpus: 0, memory: 6000 },
         run: Duration::ZERO,
@@ -97,15 +97,15 @@
         "Cores":8.0,"Cards":1.0,"MemoryGb":64.0,"Reel":"img-07","ImageGb":6.2,"Builds":["g8"],"Yard":null,"Together":true,
         "Spread":false,"Loaners":true,"RuntimeS":240.0,"BookmarkS":30.0,"StashS":4.0,"DueS":900.0}"#;
     c.bench_function("a submission's form", |b| {
-        b.iter(|| black_box(parse_job(body, WallClock::from_millis(0)).is_ok()))
+        b.iter(|| black_box(parse_submission(body, WallClock::default()).is_ok()))
     });
     let mut book = JobStore::default();
     book.apply(
-        &Record::Finals((0..10_000).map(|_| (1, 3)).collect(), vec![]),
+        &LogRecord::EndedJobs((0..10_000).map(|_| (1, 3)).collect(), vec![]),
         Timestamp::ZERO,
-        WallClock::from_millis(0),
+        WallClock::default(),
     );
-    c.bench_function("a poll of a job that is over", |b| b.iter(|| black_box(book.state(JobId(5000)))));
+    c.bench_function("a poll of a job that is over", |b| b.iter(|| black_box(book.status(JobId(5000)))));
 }
 
 criterion_group!(benches, plan, grown, intake);
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -9,7 +9,7 @@
     /// What the node itself waits for: answers of other services and nodes, links, the state of the leadership.
     Internal,
     /// Health checks and workers' reports: without an answer a worker's lease runs out.
-    Report,
+    Heartbeat,
     /// Cancellations.
     Cancellation,
     /// Questions about jobs.
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -65,7 +65,7 @@
 
 fn play(waiting: &mut dyn Waiting, load: usize) -> Run {
     let client = |class, patience, asks_at| Client { class, patience, asks_at, waits_for: None, answered_at: 0 };
-    let reporters = (0..REPORTERS as u64).map(|n| client(RequestClass::Report, 4_000, n * REPORT_EVERY / 60));
+    let reporters = (0..REPORTERS as u64).map(|n| client(RequestClass::Heartbeat, 4_000, n * REPORT_EVERY / 60));
     let askers = 200 * load as u64;
     let users = (0..askers).map(|n| {
         let first = if n < 200 { n * 25 } else { 10_000 + n % 5_000 };
@@ -114,10 +114,10 @@
             continue; // nobody reads this answer
         }
         client.waits_for = None;
-        let pause = if client.class == RequestClass::Report { REPORT_EVERY } else { 5_000 };
+        let pause = if client.class == RequestClass::Heartbeat { REPORT_EVERY } else { 5_000 };
         client.asks_at = now + if served { pause } else { 1_000 };
         if served {
-            if client.class == RequestClass::Report {
+            if client.class == RequestClass::Heartbeat {
                 run.longest_gap = run.longest_gap.max(now - client.answered_at);
             } else if index < REPORTERS + 200 {
                 run.answered[(now / 1000) as usize] += 1;
@@ -155,7 +155,7 @@
     let mut queue = RequestQueue::new(1_000);
     for n in 0..200 {
         for class in
-            [RequestClass::Submission, RequestClass::Question, RequestClass::Cancellation, RequestClass::Report]
+            [RequestClass::Submission, RequestClass::Question, RequestClass::Cancellation, RequestClass::Heartbeat]
         {
             queue.push(Timestamp::ZERO, class, (class, n)).expect("room");
         }
@@ -167,8 +167,8 @@
         })
         .collect();
     let count = |class| first.iter().filter(|c| **c == class).count();
-    assert_eq!(first[0], RequestClass::Report);
-    assert!(count(RequestClass::Report) > 60, "{first:?}");
+    assert_eq!(first[0], RequestClass::Heartbeat);
+    assert!(count(RequestClass::Heartbeat) > 60, "{first:?}");
     for (class, least) in [(RequestClass::Cancellation, 8), (RequestClass::Question, 8), (RequestClass::Submission, 4)]
     {
         assert!(count(class) >= least, "{class:?}: {}", count(class));
@@ -181,9 +181,9 @@
     for n in 0..50 {
         queue.push(Timestamp::ZERO, RequestClass::Internal, n).expect("it always has room");
     }
-    assert!(queue.push(Timestamp::ZERO, RequestClass::Report, 100).is_ok());
-    assert!(queue.push(Timestamp::ZERO, RequestClass::Report, 101).is_ok());
-    assert_eq!(queue.push(Timestamp::ZERO, RequestClass::Report, 102), Err(102));
+    assert!(queue.push(Timestamp::ZERO, RequestClass::Heartbeat, 100).is_ok());
+    assert!(queue.push(Timestamp::ZERO, RequestClass::Heartbeat, 101).is_ok());
+    assert_eq!(queue.push(Timestamp::ZERO, RequestClass::Heartbeat, 102), Err(102));
     // The reports have been given up, and take their least share of the turns.
     let popped: Vec<Popped<i32>> = std::iter::from_fn(|| queue.pop(Timestamp::from_millis(60_000))).collect();
     let served = popped.iter().filter(|popped| matches!(popped, Popped::Serve(n) if *n < 50)).count();
@@ -194,7 +194,7 @@
 #[test]
 fn a_request_whose_asker_has_given_up_is_not_worked_on() {
     let patience = [
-        (RequestClass::Report, 4_000),
+        (RequestClass::Heartbeat, 4_000),
         (RequestClass::Cancellation, 5_000),
         (RequestClass::Question, 2_000),
         (RequestClass::Submission, 5_000),
--- a/crates/disruption/src/choose.rs
+++ b/crates/disruption/src/choose.rs
@@ -5,7 +5,7 @@
 
 use crate::allowance::{Allowances, Load, by_scope};
 use crate::budget::Scope;
-use crate::fleet::Place;
+use crate::fleet::InstancePool;
 use caperstile_types::MachineId;
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
     /// What would be evicted at once.
     pub load: Load,
     /// Where a like machine must have been rented before, if at all.
-    pub replaced_at: Option<Place>,
+    pub replaced_at: Option<InstancePool>,
 }
 
 /// What a step may use.
@@ -34,14 +34,14 @@
     /// Machines.
     pub machines: u32,
     /// Replacements that are ready, by place.
-    pub ready: BTreeMap<Place, u32>,
+    pub ready: BTreeMap<InstancePool, u32>,
 }
 
 impl StepLimits<'_> {
     /// Whether all of these fit together.
     fn fit(&self, chosen: &[&Candidate]) -> bool {
         let mut load = Load::new();
-        let mut places: BTreeMap<&Place, u32> = BTreeMap::new();
+        let mut places: BTreeMap<&InstancePool, u32> = BTreeMap::new();
         for candidate in chosen {
             add(&mut load, &candidate.load);
             if let Some(place) = &candidate.replaced_at {
@@ -85,7 +85,7 @@
 }
 
 /// Machines that are alike for the solver.
-type Group<'a> = (&'a Load, Option<&'a Place>);
+type Group<'a> = (&'a Load, Option<&'a InstancePool>);
 
 fn groups(candidates: &[Candidate]) -> Vec<(Group<'_>, Vec<MachineId>)> {
     let mut order: Vec<(Group<'_>, Vec<MachineId>)> = Vec::new();
@@ -146,6 +146,6 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Row<'a> {
     Machines,
-    Ready(&'a Place),
+    Ready(&'a InstancePool),
     Budget(Scope),
 }
--- a/crates/disruption/src/coordinator.rs
+++ b/crates/disruption/src/coordinator.rs
@@ -11,7 +11,7 @@
 use crate::allowance::{Allowances, LastEvictions};
 use crate::budget::{Policy, TaskClass};
 use crate::drain::Drain;
-use crate::fleet::{ChargeState, Demand, Fleet, Place};
+use crate::fleet::{ChargeState, Demand, Fleet, InstancePool};
 use crate::records::{Charge, Phase, Status};
 use crate::store::Store;
 use caperstile_types::{AttemptId, JobId, MachineId, Timestamp, WallClock};
@@ -41,7 +41,7 @@
     /// Stop a task, or a gang.
     Stop(Stop),
     /// Rent so many machines.
-    Rent(Place, u32),
+    Rent(InstancePool, u32),
 }
 
 /// A machine that is being emptied.
@@ -161,7 +161,7 @@
     }
 
     /// Whether a machine was rented to replace one of a running drain, so that it is kept although it is idle.
-    pub fn keeps_idle(&self, id: MachineId, place: &Place, rented_at: WallClock) -> bool {
+    pub fn keeps_idle(&self, id: MachineId, place: &InstancePool, rented_at: WallClock) -> bool {
         let replaces = |drain: &Drain| {
             drain.runs()
                 && drain.replaces()
--- a/crates/disruption/src/coordinator/steps.rs
+++ b/crates/disruption/src/coordinator/steps.rs
@@ -5,7 +5,7 @@
 use crate::candidates::{self, Ready};
 use crate::choose::{self, Candidate, StepLimits};
 use crate::drain::Drain;
-use crate::fleet::{Fleet, Place, Supply, TaskView};
+use crate::fleet::{Fleet, InstancePool, Supply, TaskView};
 use caperstile_types::{MachineId, Timestamp, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
         self.rent_ahead(round, &replacements, most);
         let replaced =
             replacements.into_iter().map(|(place, state)| (place, state.supply.up.saturating_sub(state.used)));
-        let mut places: BTreeMap<Place, u32> = replaced.collect();
+        let mut places: BTreeMap<InstancePool, u32> = replaced.collect();
         let stalled = busy.iter().filter(|id| stalls(**id, round.fleet)).count() as u32;
         let working = busy.len() as u32 - stalled;
         // Machines that batch tasks hold up have as many places of their own, so that they do not hold up the others.
@@ -48,7 +48,7 @@
         round: &mut Round<'_>,
         ready: &[&Ready],
         most: u32,
-        places: &mut BTreeMap<Place, u32>,
+        places: &mut BTreeMap<InstancePool, u32>,
         allowances: &mut Allowances,
     ) {
         if ready.is_empty() || most == 0 {
@@ -98,7 +98,7 @@
         round: &Round<'_>,
         ready: &[&Ready],
         candidates: &[Candidate],
-        places: &mut BTreeMap<Place, u32>,
+        places: &mut BTreeMap<InstancePool, u32>,
         allowances: &Allowances,
     ) {
         let replaced = |candidate: &Candidate| match &candidate.replaced_at {
@@ -152,10 +152,10 @@
     ///
     /// Only machines that were there when the first of these drains was taken need a replacement: one that was rented since, and
     /// is drained by a later drain, takes its own share of the supply along when it goes.
-    fn replacements(&self, busy: &BTreeSet<MachineId>, fleet: &dyn Fleet) -> BTreeMap<Place, Replacement> {
+    fn replacements(&self, busy: &BTreeSet<MachineId>, fleet: &dyn Fleet) -> BTreeMap<InstancePool, Replacement> {
         let replacing: Vec<&Drain> = self.drains.values().filter(|drain| drain.runs() && drain.replaces()).collect();
         let Some(since) = replacing.iter().map(|drain| drain.status.accepted_at).min() else { return BTreeMap::new() };
-        let mut places: BTreeMap<Place, Replacement> = BTreeMap::new();
+        let mut places: BTreeMap<InstancePool, Replacement> = BTreeMap::new();
         let mut seen = BTreeSet::new();
         for (id, member) in replacing.iter().flat_map(|drain| &drain.members) {
             if !seen.insert(*id) {
@@ -175,7 +175,7 @@
     }
 
     /// Rents for the next step what is not on its way yet.
-    fn rent_ahead(&self, round: &mut Round<'_>, replacements: &BTreeMap<Place, Replacement>, most: u32) {
+    fn rent_ahead(&self, round: &mut Round<'_>, replacements: &BTreeMap<InstancePool, Replacement>, most: u32) {
         for (place, state) in replacements {
             let wanted = state.used + state.left.min(most);
             let missing = wanted.saturating_sub(state.supply.up + state.supply.booting);
@@ -190,7 +190,7 @@
         }
     }
 
-    fn wait_for_place(&self, round: &mut Round<'_>, place: &Place) {
+    fn wait_for_place(&self, round: &mut Round<'_>, place: &InstancePool) {
         let concerned = |drain: &&Drain| {
             drain.runs() && drain.replaces() && drain.members.values().any(|member| member.place == *place)
         };
@@ -203,7 +203,7 @@
 }
 
 /// A machine that is begun takes one of the replacements that are ready in its place.
-fn use_replacement(candidate: &Candidate, places: &mut BTreeMap<Place, u32>) {
+fn use_replacement(candidate: &Candidate, places: &mut BTreeMap<InstancePool, u32>) {
     if let Some(left) = candidate.replaced_at.as_ref().and_then(|place| places.get_mut(place)) {
         *left = left.saturating_sub(1);
     }
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::allowance::wanted_by_scope;
 use crate::budget::{Policy, Scope, scopes_of};
-use crate::fleet::{Fleet, MachineView, Place, TaskKind};
+use crate::fleet::{Fleet, InstancePool, MachineView, TaskKind};
 use crate::records::{
     Filter, MEMBER_BYTES, MemberPart, Mode, PART_BYTES, Phase, Request, Selector, Status, Wanted, valid_name,
 };
@@ -15,7 +15,7 @@
 /// A machine of a drain, as it was when the drain was taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Member {
-    pub place: Place,
+    pub place: InstancePool,
     pub rented_at: WallClock,
 }
 
@@ -107,7 +107,7 @@
     /// Its machines in parts that fit into values of this size.
     pub fn parts(&self, value_bytes: usize) -> Vec<MemberPart> {
         let most = (value_bytes.saturating_sub(PART_BYTES) / MEMBER_BYTES).max(1);
-        let mut by_place: BTreeMap<&Place, Vec<(MachineId, WallClock)>> = BTreeMap::new();
+        let mut by_place: BTreeMap<&InstancePool, Vec<(MachineId, WallClock)>> = BTreeMap::new();
         for (id, member) in &self.members {
             by_place.entry(&member.place).or_default().push((*id, member.rented_at));
         }
--- a/crates/disruption/src/fleet.rs
+++ b/crates/disruption/src/fleet.rs
@@ -9,7 +9,7 @@
 
 /// Where and how a machine is rented.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct InstancePool {
     /// Machine type.
     #[serde(rename = "k")]
     pub kind: String,
@@ -21,7 +21,7 @@
     pub spot: bool,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for InstancePool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let kind = if self.spot { "spot" } else { "ordinary" };
         write!(f, "{} in zone {}, {kind}", self.kind, self.zone)
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineView {
     /// Where and how it is rented.
-    pub place: Place,
+    pub place: InstancePool,
     /// When it was rented.
     pub rented_at: WallClock,
     /// Whether something of ours reached it lately.
@@ -139,7 +139,7 @@
     /// Free room for replicas, machines in `without` left out.
     fn rooms<'a>(&'a self, without: &BTreeSet<MachineId>) -> Box<dyn Rooms + 'a>;
     /// Machines of a place that were rented since, those in `without` left out.
-    fn supply(&self, place: &Place, since: WallClock, without: &BTreeSet<MachineId>) -> Supply;
+    fn supply(&self, place: &InstancePool, since: WallClock, without: &BTreeSet<MachineId>) -> Supply;
 }
 
 /// Free room that is given away step by step.
--- a/crates/disruption/src/lib.rs
+++ b/crates/disruption/src/lib.rs
@@ -22,5 +22,5 @@
 
 pub use budget::{Budget, Limit, Policy, Scope, TaskClass};
 pub use coordinator::{Coordinator, Effect, Stop};
-pub use fleet::{ChargeState, Demand, Fleet, MachineView, Place, Rooms, Supply, TaskKind, TaskView};
+pub use fleet::{ChargeState, Demand, Fleet, InstancePool, MachineView, Rooms, Supply, TaskKind, TaskView};
 pub use policy::{PolicyError, Section};
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -5,7 +5,7 @@
 //! | `drain/request/NAME` | operators | the key has the revision that they read; 0 for a new request |
 //! | `drain/status/NAME`, `drain/member/NAME/PART`, `drain/machine/ID` | the leader | it still leads, and the key has the revision that it read or wrote last |
 
-use crate::fleet::Place;
+use crate::fleet::InstancePool;
 use caperstile_types::{AttemptNumber, Duration, JobId, MachineId, WallClock};
 use serde::{Deserialize, Serialize};
 
@@ -188,7 +188,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPart {
     /// Type, zone and kind.
-    pub place: Place,
+    pub place: InstancePool,
     /// Machines, and when each was rented.
     pub machines: Vec<(MachineId, WallClock)>,
 }
--- a/crates/disruption/src/store.rs
+++ b/crates/disruption/src/store.rs
@@ -5,7 +5,7 @@
 //! that failed all keys are read again, and what differs is written anew.
 
 use crate::records::{PREFIX, REQUESTS, Request, request_key};
-use caperstile_types::{Duration, Timestamp};
+use caperstile_types::{Duration, Timestamp, TokenBucket};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -118,9 +118,8 @@
     next_call: Timestamp,
     next_follow: Timestamp,
     ops: usize,
-    rate: f64,
-    budget: f64,
-    refilled: Timestamp,
+    /// Writes that may be made now.
+    write_budget: TokenBucket,
 }
 
 impl Store {
@@ -139,9 +138,7 @@
             next_call: now,
             next_follow: now,
             ops,
-            rate,
-            budget: rate.max(1.0),
-            refilled: now,
+            write_budget: TokenBucket::new(now, rate, rate.max(1.0), rate.max(1.0)),
         }
     }
 
@@ -217,8 +214,7 @@
 
     /// Lets time pass: the next call, if one is due.
     pub fn tick(&mut self, now: Timestamp) -> Option<(u64, Call)> {
-        self.budget = (self.budget + now.since(self.refilled).as_secs_f64() * self.rate).min(self.rate.max(1.0));
-        self.refilled = now;
+        self.write_budget.refill(now);
         if let Some(flight) = &self.in_flight {
             if now.since(flight.sent) < CALL_TIMEOUT {
                 return None;
@@ -251,9 +247,9 @@
 
     fn write(&mut self, now: Timestamp) -> Option<(u64, Call)> {
         self.drop_clean();
-        let most = self.ops.min(self.budget as usize);
+        let most = self.ops.min(self.write_budget.available() as usize);
         let write = self.next_write(most)?;
-        self.budget -= (write.puts.len() + write.removals.len()) as f64;
+        self.write_budget.take((write.puts.len() + write.removals.len()) as f64);
         Some(self.send(now, Pending::Write(write.clone()), Call::Write(write)))
     }
 
--- a/crates/disruption/tests/choose.rs
+++ b/crates/disruption/tests/choose.rs
@@ -2,7 +2,7 @@
 
 use caperstile_disruption::allowance::{Allowances, LastEvictions, Load};
 use caperstile_disruption::choose::{Candidate, StepLimits, choose, greedy};
-use caperstile_disruption::{Budget, Demand, Limit, Place, Policy, TaskClass};
+use caperstile_disruption::{Budget, Demand, InstancePool, Limit, Policy, TaskClass};
 use caperstile_types::{MachineId, Timestamp, WallClock};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
 #[test]
 fn replacements_bound_a_step() {
     let allowances = allowances(&[9]);
-    let place = Place { kind: "g8".into(), zone: "a".into(), spot: false };
+    let place = InstancePool { kind: "g8".into(), zone: "a".into(), spot: false };
     let at = |machine| Candidate { replaced_at: Some(place.clone()), ..candidate(machine, &[1]) };
     let step = StepLimits { ready: BTreeMap::from([(place.clone(), 2)]), ..limits(&allowances, 10) };
     assert_eq!(choose(&[at(1), at(2), at(3)], &step).len(), 2);
--- a/crates/disruption/tests/coordinator.rs
+++ b/crates/disruption/tests/coordinator.rs
@@ -7,8 +7,8 @@
 use caperstile_disruption::records::{Filter, Mode, Request, Wanted};
 use caperstile_disruption::store::Call;
 use caperstile_disruption::{
-    ChargeState, Coordinator, Demand, Effect, Fleet, MachineView, Place, Rooms, Stop, Supply, TaskClass, TaskKind,
-    TaskView,
+    ChargeState, Coordinator, Demand, Effect, Fleet, InstancePool, MachineView, Rooms, Stop, Supply, TaskClass,
+    TaskKind, TaskView,
 };
 use caperstile_types::{AttemptId, AttemptNumber, Duration, JobId, MachineId, TaskId, Timestamp, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
@@ -57,7 +57,7 @@
     }
 
     fn add(&mut self, id: u64, tasks: Vec<TaskView>) {
-        let place = Place { kind: "g8".into(), zone: "a".into(), spot: false };
+        let place = InstancePool { kind: "g8".into(), zone: "a".into(), spot: false };
         let view = MachineView {
             place,
             rented_at: WallClock::from_millis(START - 1000),
@@ -129,7 +129,7 @@
     fn rooms<'a>(&'a self, _: &BTreeSet<MachineId>) -> Box<dyn Rooms + 'a> {
         Box::new(AnyRoom(self.room))
     }
-    fn supply(&self, _: &Place, _: WallClock, _: &BTreeSet<MachineId>) -> Supply {
+    fn supply(&self, _: &InstancePool, _: WallClock, _: &BTreeSet<MachineId>) -> Supply {
         Supply::default()
     }
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -8,6 +8,7 @@
 mod resources;
 mod task_index_set;
 mod time;
+mod token_bucket;
 
 pub use ids::{
     AgentEpoch, AttemptId, AttemptNumber, FencingToken, JobId, LeaseId, LogIndex, MachineId, MessageSequence,
@@ -16,3 +17,4 @@
 pub use resources::Resources;
 pub use task_index_set::TaskIndexSet;
 pub use time::{Duration, Timestamp, WallClock};
+pub use token_bucket::TokenBucket;
--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -1,6 +1,6 @@
 //! How often jobs of each class come, so that room can be kept for those that must start at once.
 
-use crate::intake::JobRecord;
+use crate::jobs::JobSpec;
 use crate::types::{Duration, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -22,13 +22,13 @@
 pub struct ClassArrivals {
     lately: VecDeque<Arrival>,
     /// The one of its jobs whose tasks take most together.
-    largest: Rc<JobRecord>,
+    largest: Rc<JobSpec>,
     since: Timestamp,
 }
 
 impl ClassArrivals {
     /// A job like those that come, the largest that was seen.
-    pub fn largest(&self) -> &JobRecord {
+    pub fn largest(&self) -> &JobSpec {
         &self.largest
     }
 
@@ -52,17 +52,17 @@
 
 impl Arrivals {
     /// A job has come.
-    pub fn note(&mut self, now: Timestamp, record: &Rc<JobRecord>) {
+    pub fn note(&mut self, now: Timestamp, record: &Rc<JobSpec>) {
         let class = self.classes.entry(record.class.clone()).or_insert_with(|| ClassArrivals {
             lately: VecDeque::new(),
             largest: record.clone(),
             since: now,
         });
-        let size = |r: &JobRecord| u64::from(r.tasks) * r.need.cpus;
+        let size = |r: &JobSpec| u64::from(r.task_count) * r.resources.cpus;
         if size(record) > size(&class.largest) {
             class.largest = record.clone();
         }
-        class.lately.push_back(Arrival { at: now, tasks: record.tasks });
+        class.lately.push_back(Arrival { at: now, tasks: record.task_count });
         while class.lately.len() > REMEMBERED || class.lately.front().is_some_and(|a| now.since(a.at) > WINDOW) {
             class.lately.pop_front();
         }
--- a/src/arrivals/tests.rs
+++ b/src/arrivals/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::intake::{parse_job, tests::submission};
+use crate::jobs::{parse_submission, tests::submission};
 use crate::types::WallClock;
 
-fn record(class: &str, tasks: u64) -> Rc<JobRecord> {
+fn record(class: &str, tasks: u64) -> Rc<JobSpec> {
     let mut body = submission("job-000001");
     body["Lane"] = class.into();
     body["Pieces"] = tasks.into();
-    Rc::new(parse_job(body.to_string().as_bytes(), WallClock::from_millis(0)).unwrap())
+    Rc::new(parse_submission(body.to_string().as_bytes(), WallClock::default()).unwrap())
 }
 
 #[test]
@@ -16,7 +16,7 @@
         arrivals.note(Timestamp::from_millis(n * 5000), &record("train", 2 + n % 3));
     }
     let (name, class) = arrivals.classes().next().unwrap();
-    assert_eq!((name, class.largest().tasks), ("train", 4));
+    assert_eq!((name, class.largest().task_count), ("train", 4));
     // 36 tasks in a minute.
     let expected = class.expected_tasks(Timestamp::from_millis(60_000), Duration::from_secs(20));
     assert!((11.0..13.5).contains(&expected), "{expected}");
--- a/src/inventory.rs
+++ b/src/cloud.rs
@@ -1,98 +1,98 @@
 //! Which machines there are: rent, watch, return.
 
 use crate::settings::CloudLimits;
-use crate::store::Reply;
-use crate::types::{Duration, FencingToken, JobId, MachineId, Resources, Timestamp};
-use crate::wire::{Flavor, Flavors, MachineList, MachineNames, RentRequest};
+use crate::store::ServiceResponse;
+use crate::types::{Duration, FencingToken, JobId, MachineId, Resources, Timestamp, TokenBucket};
+use crate::wire::{MachineNames, MachinePage, MachineType, MachineTypes, ScaleOutRequest};
 use log::info;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A request to the cloud.
 #[derive(Debug, Clone)]
-pub enum CloudCall {
+pub enum CloudRequest {
     /// Machine types and prices.
-    Flavors,
+    MachineTypes,
     /// Rent machines.
-    Rent(RentRequest),
+    ScaleOut(ScaleOutRequest),
     /// Give machines back.
-    Return(Vec<MachineId>),
+    ScaleIn(Vec<MachineId>),
     /// List machines after this one.
-    List(Option<String>),
+    ListMachines(Option<String>),
 }
 
 /// A machine that was rented and has not reported yet.
 #[derive(Debug, Clone)]
-pub struct Booting {
+pub struct PendingInstance {
     /// Type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot or ordinary.
     pub spot: bool,
     /// When it was rented.
-    pub since: Timestamp,
+    pub requested_at: Timestamp,
 }
 
 /// What the slice wants done or made known.
 #[derive(Debug)]
-pub enum Event {
+pub enum CloudEvent {
     /// Ask the cloud; the number comes back with the reply.
-    Call(u64, CloudCall),
+    Request(u64, CloudRequest),
     /// These machines were rented.
-    Rented(Vec<MachineId>),
+    MachinesRented(Vec<MachineId>),
     /// These machines are surely gone.
-    Returned(Vec<MachineId>),
+    MachinesGone(Vec<MachineId>),
     /// The cloud lists this machine as failed.
-    Failed(MachineId),
+    MachineFailed(MachineId),
 }
 
 #[derive(Debug)]
 struct InFlight {
-    call: CloudCall,
+    call: CloudRequest,
     sent: Timestamp,
     retry_at: Option<Timestamp>,
 }
 
 /// A type, zone and kind of machine.
-pub type Place = (String, String, bool);
+pub type InstancePool = (String, String, bool);
 
 /// State of the slice; made anew at each election.
 #[derive(Debug)]
-pub struct Inventory {
+pub struct CloudInstances {
     token: FencingToken,
-    rps: f64,
-    budget: f64,
-    refilled: Timestamp,
+    rate_limit: TokenBucket,
     calls: u64,
     requests: u64,
-    flavors: Option<Vec<Flavor>>,
+    flavors: Option<Vec<MachineType>>,
     flavors_at: Timestamp,
     listed_at: Timestamp,
     list_lag: Duration,
     in_flight: BTreeMap<u64, InFlight>,
-    booting: BTreeMap<MachineId, Booting>,
+    booting: BTreeMap<MachineId, PendingInstance>,
     /// Machines came to `booting` since `take_news`.
     news: bool,
     /// Places that refused lately, until when, and the last pause.
-    refused: HashMap<Place, (Timestamp, Duration)>,
+    refused: HashMap<InstancePool, (Timestamp, Duration)>,
     returning: BTreeSet<MachineId>,
     gone: BTreeSet<MachineId>,
 }
 
+/// Share of the cloud's rate limit that a leader uses.
+const RATE_SHARE: f64 = 0.8;
+/// Calls that are kept for what is urgent.
+const RESERVED_CALLS: f64 = 2.0;
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const FLAVORS_EVERY: Duration = Duration::from_secs(30);
 const LIST_EVERY: Duration = Duration::from_secs(5);
 /// Most machines that one request rents.
 pub const RENT_LIMIT: u32 = 50;
 
-impl Inventory {
+impl CloudInstances {
     /// A new leader's view: it knows nothing yet.
-    pub fn new(token: FencingToken, now: Timestamp, limits: &CloudLimits) -> Inventory {
-        Inventory {
+    pub fn new(token: FencingToken, now: Timestamp, limits: &CloudLimits) -> CloudInstances {
+        CloudInstances {
             token,
-            rps: limits.rps * 0.8,
-            budget: limits.rps,
-            refilled: now,
+            rate_limit: TokenBucket::new(now, limits.rps * RATE_SHARE, limits.rps * RATE_SHARE, limits.rps),
             calls: 0,
             requests: 0,
             flavors: None,
@@ -109,103 +109,102 @@
     }
 
     /// Machine types, once known.
-    pub fn flavors(&self) -> Option<&[Flavor]> {
+    pub fn machine_types(&self) -> Option<&[MachineType]> {
         self.flavors.as_deref()
     }
     /// One machine type.
-    pub fn flavor(&self, kind: &str) -> Option<&Flavor> {
+    pub fn machine_type(&self, kind: &str) -> Option<&MachineType> {
         self.flavors.iter().flatten().find(|f| f.name == kind)
     }
     /// Machines on their way.
-    pub fn booting(&self) -> impl Iterator<Item = (&MachineId, &Booting)> {
+    pub fn pending(&self) -> impl Iterator<Item = (&MachineId, &PendingInstance)> {
         self.booting.iter().filter(|(id, _)| !self.returning.contains(id))
     }
     /// Whether there are more machines on their way than when this was asked last.
-    pub fn take_news(&mut self) -> bool {
+    pub fn take_new_pending(&mut self) -> bool {
         std::mem::take(&mut self.news)
     }
     /// One machine on its way.
-    pub fn booting_one(&self, id: MachineId) -> Option<&Booting> {
+    pub fn pending_instance(&self, id: MachineId) -> Option<&PendingInstance> {
         self.booting.get(&id)
     }
     /// Whether a rental has no answer yet.
-    pub fn renting(&self) -> bool {
-        self.in_flight.values().any(|f| matches!(f.call, CloudCall::Rent(_)))
+    pub fn scale_out_in_flight(&self) -> bool {
+        self.in_flight.values().any(|f| matches!(f.call, CloudRequest::ScaleOut(_)))
     }
     /// Whether a machine is surely gone.
     pub fn is_gone(&self, id: MachineId) -> bool {
         self.gone.contains(&id)
     }
     /// Whether a machine is being returned.
-    pub fn is_returning(&self, id: MachineId) -> bool {
+    pub fn is_releasing(&self, id: MachineId) -> bool {
         self.returning.contains(&id)
     }
     /// Whether a place refused a rental lately.
-    pub fn refused(&self, place: &Place, now: Timestamp) -> bool {
+    pub fn recently_refused(&self, place: &InstancePool, now: Timestamp) -> bool {
         self.refused.get(place).is_some_and(|(until, _)| now < *until)
     }
 
     /// Whether all spot machines, wherever they might be, were refused lately.
-    pub fn spot_refused(&self, now: Timestamp) -> bool {
+    pub fn all_spot_recently_refused(&self, now: Timestamp) -> bool {
         let mut places = self.flavors.iter().flatten().flat_map(|f| f.zones.iter().map(move |z| (f, z)));
-        places.all(|(f, z)| self.refused(&(f.name.clone(), z.clone(), true), now))
+        places.all(|(f, z)| self.recently_refused(&(f.name.clone(), z.clone(), true), now))
     }
     /// How many calls may be made now, two kept for what is urgent.
-    pub fn calls_left(&self) -> usize {
-        (self.budget - 2.0).max(1.0) as usize
+    pub fn available_calls(&self) -> usize {
+        (self.rate_limit.available() - RESERVED_CALLS).max(1.0) as usize
     }
 
     /// A machine's worker reported: it is up. Says when it was rented, if that is known.
-    pub fn up(&mut self, id: MachineId) -> Option<Timestamp> {
-        self.booting.remove(&id).map(|b| b.since)
+    pub fn instance_up(&mut self, id: MachineId) -> Option<Timestamp> {
+        self.booting.remove(&id).map(|b| b.requested_at)
     }
 
     /// A machine that an earlier leader rented.
-    pub fn inherit(&mut self, id: MachineId, booting: Booting) {
+    pub fn adopt_pending(&mut self, id: MachineId, booting: PendingInstance) {
         self.booting.insert(id, booting);
         self.news = true;
     }
 
     /// A machine that is surely gone.
-    pub fn lose(&mut self, id: MachineId) {
+    pub fn instance_gone(&mut self, id: MachineId) {
         self.returning.remove(&id);
         self.booting.remove(&id);
         self.gone.insert(id);
     }
 
     /// Rents machines.
-    pub fn rent(&mut self, now: Timestamp, place: &Place, count: u32, out: &mut Vec<Event>) {
+    pub fn scale_out(&mut self, now: Timestamp, place: &InstancePool, count: u32, out: &mut Vec<CloudEvent>) {
         self.requests += 1;
         let request = format!("r-{}-{}", self.token, self.requests);
         info!("renting request={request} type={} zone={} spot={} count={count}", place.0, place.1, place.2);
-        let call = CloudCall::Rent(RentRequest {
-            request,
-            kind: place.0.clone(),
+        let call = CloudRequest::ScaleOut(ScaleOutRequest {
+            request_name: request,
+            machine_type: place.0.clone(),
             zone: place.1.clone(),
             spot: place.2,
             count: count.min(RENT_LIMIT),
         });
-        self.call(now, call, out);
+        self.send_request(now, call, out);
     }
 
     /// Gives a machine back; final, since names never come back.
-    pub fn give_back(&mut self, id: MachineId, why: &str) {
+    pub fn release(&mut self, id: MachineId, why: &str) {
         if self.returning.insert(id) {
             info!("returning machine={id} reason=\"{why}\"");
         }
     }
 
-    fn call(&mut self, now: Timestamp, call: CloudCall, out: &mut Vec<Event>) {
+    fn send_request(&mut self, now: Timestamp, call: CloudRequest, out: &mut Vec<CloudEvent>) {
         self.calls += 1;
-        self.budget -= 1.0;
+        self.rate_limit.take(1.0);
         self.in_flight.insert(self.calls, InFlight { call: call.clone(), sent: now, retry_at: None });
-        out.push(Event::Call(self.calls, call));
+        out.push(CloudEvent::Request(self.calls, call));
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Event>) {
-        self.budget = (self.budget + now.since(self.refilled).as_secs_f64() * self.rps).min(self.rps);
-        self.refilled = now;
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
+        self.rate_limit.refill(now);
         let due: Vec<u64> = self
             .in_flight
             .iter()
@@ -213,67 +212,70 @@
             .map(|(id, _)| *id)
             .collect();
         for id in due {
-            if self.budget < 1.0 {
+            if self.rate_limit.available() < 1.0 {
                 return;
             }
             if let Some(flight) = self.in_flight.remove(&id) {
                 // A rental is repeated under its name, so that it rents nothing twice.
-                self.call(now, flight.call, out);
+                self.send_request(now, flight.call, out);
             }
         }
-        let idle = |f: &Self, same: fn(&CloudCall) -> bool| !f.in_flight.values().any(|f| same(&f.call));
-        if self.budget >= 1.0
+        let idle = |f: &Self, same: fn(&CloudRequest) -> bool| !f.in_flight.values().any(|f| same(&f.call));
+        if self.rate_limit.available() >= 1.0
             && (self.flavors.is_none() || now.since(self.flavors_at) >= FLAVORS_EVERY)
-            && idle(self, |c| matches!(c, CloudCall::Flavors))
+            && idle(self, |c| matches!(c, CloudRequest::MachineTypes))
         {
-            self.call(now, CloudCall::Flavors, out);
+            self.send_request(now, CloudRequest::MachineTypes, out);
         }
-        if self.budget >= 1.0 && !self.returning.is_empty() && idle(self, |c| matches!(c, CloudCall::Return(_))) {
+        if self.rate_limit.available() >= 1.0
+            && !self.returning.is_empty()
+            && idle(self, |c| matches!(c, CloudRequest::ScaleIn(_)))
+        {
             let ids = self.returning.iter().take(100).copied().collect();
-            self.call(now, CloudCall::Return(ids), out);
+            self.send_request(now, CloudRequest::ScaleIn(ids), out);
         }
-        if self.budget >= 2.0
+        if self.rate_limit.available() >= RESERVED_CALLS
             && (self.listed_at == Timestamp::ZERO || now.since(self.listed_at) >= LIST_EVERY)
-            && idle(self, |c| matches!(c, CloudCall::List(_)))
+            && idle(self, |c| matches!(c, CloudRequest::ListMachines(_)))
         {
             self.listed_at = now;
-            self.call(now, CloudCall::List(None), out);
+            self.send_request(now, CloudRequest::ListMachines(None), out);
         }
     }
 
     /// Takes an answer of the cloud.
-    pub fn reply(
+    pub fn handle_response(
         &mut self,
         now: Timestamp,
         id: u64,
-        reply: &Reply,
+        reply: &ServiceResponse,
         known: &dyn Fn(MachineId) -> bool,
-        out: &mut Vec<Event>,
+        out: &mut Vec<CloudEvent>,
     ) {
         let Some(flight) = self.in_flight.get_mut(&id) else { return };
         let done = match (&flight.call, reply.status) {
-            (CloudCall::Flavors, 200) => match reply.parse::<Flavors>() {
+            (CloudRequest::MachineTypes, 200) => match reply.parse::<MachineTypes>() {
                 Some(answer) => {
-                    self.flavors = Some(answer.types);
+                    self.flavors = Some(answer.machine_types);
                     self.flavors_at = now;
                     true
                 }
                 None => false,
             },
-            (CloudCall::Rent(request), 200) => {
+            (CloudRequest::ScaleOut(request), 200) => {
                 let names = reply.parse::<MachineNames>().map(|n| n.machines).unwrap_or_default();
-                info!("rented request={} machines={}", request.request, names.join(","));
-                let place = (request.kind.clone(), request.zone.clone(), request.spot);
+                info!("rented request={} machines={}", request.request_name, names.join(","));
+                let place = (request.machine_type.clone(), request.zone.clone(), request.spot);
                 if names.len() < request.count as usize {
                     refuse(&mut self.refused, now, place);
                 } else {
                     self.refused.remove(&place);
                 }
-                let booting = Booting {
-                    kind: request.kind.clone(),
+                let booting = PendingInstance {
+                    machine_type: request.machine_type.clone(),
                     zone: request.zone.clone(),
                     spot: request.spot,
-                    since: flight.sent,
+                    requested_at: flight.sent,
                 };
                 let mut fresh = Vec::new();
                 for id in names.iter().filter_map(|n| n.parse::<MachineId>().ok()) {
@@ -283,36 +285,39 @@
                         fresh.push(id);
                     }
                 }
-                out.push(Event::Rented(fresh));
+                out.push(CloudEvent::MachinesRented(fresh));
                 true
             }
-            (CloudCall::Rent(request), 503) if reply.body.windows(11).any(|w| w == b"no capacity") => {
-                let place = (request.kind.clone(), request.zone.clone(), request.spot);
-                info!("no capacity request={} type={} zone={} spot={}", request.request, place.0, place.1, place.2);
+            (CloudRequest::ScaleOut(request), 503) if reply.body.windows(11).any(|w| w == b"no capacity") => {
+                let place = (request.machine_type.clone(), request.zone.clone(), request.spot);
+                info!(
+                    "no capacity request={} type={} zone={} spot={}",
+                    request.request_name, place.0, place.1, place.2
+                );
                 refuse(&mut self.refused, now, place);
                 true
             }
-            (CloudCall::Rent(_), 400) => true,
-            (CloudCall::Return(ids), 200) => {
+            (CloudRequest::ScaleOut(_), 400) => true,
+            (CloudRequest::ScaleIn(ids), 200) => {
                 let ids = ids.clone();
                 self.in_flight.remove(&id);
-                ids.iter().for_each(|id| self.lose(*id));
-                out.push(Event::Returned(ids));
+                ids.iter().for_each(|id| self.instance_gone(*id));
+                out.push(CloudEvent::MachinesGone(ids));
                 return;
             }
-            (CloudCall::List(_), 200) => {
-                if let Some(list) = reply.parse::<MachineList>() {
+            (CloudRequest::ListMachines(_), 200) => {
+                if let Some(list) = reply.parse::<MachinePage>() {
                     let more = list.machines.last().filter(|_| list.more).map(|m| m.machine.clone());
                     self.in_flight.remove(&id);
-                    self.listed(now, list, known, out);
+                    self.reconcile_list(now, list, known, out);
                     if more.is_some() {
-                        self.call(now, CloudCall::List(more), out);
+                        self.send_request(now, CloudRequest::ListMachines(more), out);
                     }
                     return;
                 }
                 true
             }
-            (CloudCall::List(_), _) => true,
+            (CloudRequest::ListMachines(_), _) => true,
             _ => false,
         };
         if done {
@@ -322,20 +327,34 @@
         }
     }
 
-    fn listed(&mut self, now: Timestamp, list: MachineList, known: &dyn Fn(MachineId) -> bool, out: &mut Vec<Event>) {
+    fn reconcile_list(
+        &mut self,
+        now: Timestamp,
+        list: MachinePage,
+        known: &dyn Fn(MachineId) -> bool,
+        out: &mut Vec<CloudEvent>,
+    ) {
         for item in list.machines {
             let Ok(id) = item.machine.parse::<MachineId>() else { continue };
             if self.gone.contains(&id) || self.returning.contains(&id) {
                 continue;
             }
             match item.state.as_str() {
-                "failed" => out.push(Event::Failed(id)),
+                "failed" => out.push(CloudEvent::MachineFailed(id)),
                 // One that an earlier leader rented, or a late copy of a rental: used or returned.
                 _ if !known(id) && !self.booting.contains_key(&id) => {
-                    info!("found machine={id} type={} zone={} in the cloud's list", item.kind, item.zone);
+                    info!("found machine={id} type={} zone={} in the cloud's list", item.machine_type, item.zone);
                     let age = Duration::from_secs_f64(item.age_s) + self.list_lag;
                     let since = now.saturating_sub(age);
-                    self.booting.insert(id, Booting { kind: item.kind, zone: item.zone, spot: item.spot, since });
+                    self.booting.insert(
+                        id,
+                        PendingInstance {
+                            machine_type: item.machine_type,
+                            zone: item.zone,
+                            spot: item.spot,
+                            requested_at: since,
+                        },
+                    );
                     self.news = true;
                 }
                 _ => {}
@@ -344,22 +363,22 @@
     }
 
     /// Machines that should have reported long ago are given back: some never come up.
-    pub fn give_up_on_late(&mut self, now: Timestamp) {
+    pub fn release_overdue(&mut self, now: Timestamp) {
         let late: Vec<MachineId> = self
-            .booting()
+            .pending()
             .filter(|(_, b)| {
-                let boot = self.flavor(&b.kind).map_or(60.0, |f| f.boot_s);
-                now.since(b.since) > Duration::from_secs_f64(boot * 3.0 + 15.0)
+                let boot = self.machine_type(&b.machine_type).map_or(60.0, |f| f.boot_s);
+                now.since(b.requested_at) > Duration::from_secs_f64(boot * 3.0 + 15.0)
             })
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.give_back(id, "did not come up");
+            self.release(id, "did not come up");
         }
     }
 }
 
-fn refuse(refused: &mut HashMap<Place, (Timestamp, Duration)>, now: Timestamp, place: Place) {
+fn refuse(refused: &mut HashMap<InstancePool, (Timestamp, Duration)>, now: Timestamp, place: InstancePool) {
     let pause =
         refused.get(&place).map_or(Duration::from_secs(5), |(_, last)| (*last * 2).min(Duration::from_secs(30)));
     refused.insert(place, (now + pause, pause));
@@ -393,15 +412,15 @@
 /// `zones` counts the CPUs per zone and kind (spot or not) that there are already.
 pub fn choose(
     demands: &[Demand],
-    flavors: &[Flavor],
-    refused: &dyn Fn(&Place) -> bool,
+    flavors: &[MachineType],
+    refused: &dyn Fn(&InstancePool) -> bool,
     zones: &mut BTreeMap<(String, bool), u64>,
-) -> BTreeMap<Place, u32> {
-    let mut bought: Vec<(Place, Resources)> = Vec::new();
+) -> BTreeMap<InstancePool, u32> {
+    let mut bought: Vec<(InstancePool, Resources)> = Vec::new();
     for (n, demand) in demands.iter().enumerate() {
         let mut left = demand.count;
         let mut per_zone: BTreeMap<String, u32> = BTreeMap::new();
-        let allowed = |place: &Place| {
+        let allowed = |place: &InstancePool| {
             (if place.2 { demand.spot } else { demand.ordinary })
                 && demand.zone.as_ref().is_none_or(|z| *z == place.1)
                 && demand.types.as_ref().is_none_or(|t| t.contains(&place.0))
@@ -433,9 +452,9 @@
         };
         let others: u32 = demands[n + 1..].iter().filter(alike).map(|d| d.count).sum();
         while left > 0 {
-            let mut best: Option<((u64, u64), Place, Resources, u32)> = None;
+            let mut best: Option<((u64, u64), InstancePool, Resources, u32)> = None;
             for flavor in flavors {
-                let room = crate::intake::capacity(flavor);
+                let room = crate::jobs::capacity(flavor);
                 let fit = demand.need.copies_in(&room).min(u64::from(u32::MAX)) as u32;
                 for zone in &flavor.zones {
                     for spot in [true, false] {
@@ -446,7 +465,7 @@
                         if take == 0 || elsewhere || !allowed(&place) || refused(&place) {
                             continue;
                         }
-                        let price = if spot { flavor.spot_price } else { flavor.price };
+                        let price = if spot { flavor.spot_price_per_hour } else { flavor.price_per_hour };
                         let fill = fit.min(left + others);
                         let cost = (price / f64::from(fill) * 1e6) as u64;
                         let key = (cost, zones.get(&(zone.clone(), spot)).copied().unwrap_or(0));
@@ -481,7 +500,11 @@
 }
 
 /// A zone in which what is rented already has room for all tasks of a demand.
-fn zone_with_room(bought: &[(Place, Resources)], demand: &Demand, allowed: &dyn Fn(&Place) -> bool) -> Option<String> {
+fn zone_with_room(
+    bought: &[(InstancePool, Resources)],
+    demand: &Demand,
+    allowed: &dyn Fn(&InstancePool) -> bool,
+) -> Option<String> {
     let mut zones: BTreeMap<&str, u64> = BTreeMap::new();
     for (place, free) in bought.iter().filter(|(place, _)| allowed(place)) {
         *zones.entry(&place.1).or_default() += demand.need.copies_in(free);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -2,130 +2,29 @@
 //!
 //! No I/O and no clocks here: `now` and `wall` come with every input.
 
-use crate::intake::JobRecord;
-use crate::inventory::CloudCall;
+use crate::api::{ApiResponse, UserRequest};
+use crate::effects::{Effect, Input, RequestOrigin, StoreCaller};
+use crate::leader::{Leader, StepDownReason};
 use crate::leadership::{self, Leadership};
-use crate::peers::{Answer, UserCall};
 use crate::settings::{Seed, Settings};
-use crate::store::{Reply, StateCall};
-use crate::term::{Over, Term, too_many};
-use crate::types::{Duration, FencingToken, MachineId, Timestamp, WallClock};
+use crate::types::{Duration, Timestamp, WallClock};
 use crate::upgrade::{self, Format, Upgrade};
-use crate::wire::{Commands, Report, SubmissionHead};
-use caperstile_admission::{
-    AdmissionPolicy, AdmissionTable, Decision, DemandReport, Submission, TableView, Utilization,
-};
-use caperstile_disruption::Policy;
+use crate::wire::{Heartbeat, LeaderRedirect, SubmissionHead};
+use caperstile_admission::{AdmissionTable, Decision, DemandReport, Submission, TableView};
 use rand::{SeedableRng, rngs::SmallRng};
-use serde_json::json;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Who waits for an answer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Origin {
-    /// A request over HTTP.
-    Http(u64),
-    /// A user's request that another node forwarded: its link and number.
-    Peer(u64, u64),
-}
-
-/// Which slice made a call to the state service.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Slot {
-    /// Leadership.
-    Leadership,
-    /// Records, of the term with this token.
-    Records(u64),
-    /// The upgrade.
-    Upgrade,
-    /// Drains, of the term with this token.
-    Drains(u64),
-    /// What operators can read of admission; nobody waits for the answer.
-    Admission,
-}
-
-/// What happens to a node.
 #[derive(Debug)]
-pub enum Input {
-    /// Time passes.
-    Tick,
-    /// So long inputs wait before they are taken; said when it changes.
-    Behind(Duration),
-    /// The input before this one took so long; said of slow ones only.
-    Spent(Duration),
-    /// A user asks, here or through another node.
-    User(Origin, UserCall),
-    /// A worker reports.
-    Report(Origin, Box<Report>),
-    /// The load balancer probes.
-    Up(Origin),
-    /// The state service answered, or did not.
-    State(Slot, u64, Reply),
-    /// The cloud answered, or did not; with the term's token.
-    Cloud(u64, u64, Reply),
-    /// A worker answered a direct command, or did not; with the term's token.
-    Command(u64, MachineId, u64, Reply),
-    /// The leader answered a forwarded request.
-    Forwarded(u64, Answer),
-    /// The link to a node is up or down.
-    Link(String, bool),
-    /// A node says that it leads, under this token.
-    Leads(String, FencingToken),
-    /// The operators have changed the disruption budgets.
-    Policy(Box<Policy>),
-    /// The operators have changed the settings of admission.
-    AdmissionPolicy(Box<AdmissionPolicy>),
-    /// How busy this node was in the last second.
-    Utilization(Utilization),
-    /// A leader has published an admission table.
-    AdmissionTable(Box<AdmissionTable>),
-    /// Another node has refused these submissions by this one's tables.
-    RefusedElsewhere(Box<DemandReport>),
-}
-
-/// What a node wants done.
-#[derive(Debug)]
-pub enum Effect {
-    /// Answer a request.
-    Answer(Origin, Answer),
-    /// Ask the state service.
-    State(Slot, u64, StateCall),
-    /// Ask the cloud.
-    Cloud(u64, u64, CloudCall),
-    /// Send commands to a worker.
-    Command {
-        /// The term's token.
-        token: u64,
-        /// Machine.
-        machine: MachineId,
-        /// Its worker's address.
-        endpoint: String,
-        /// Number of the command.
-        id: u64,
-        /// The commands.
-        body: Commands,
-    },
-    /// Forward a user's request to the leader.
-    Forward(String, u64, UserCall),
-    /// Tell the other nodes that this one leads, under this token.
-    Announce(FencingToken),
-    /// Send the nodes that take admission tables this one.
-    Publish(Box<AdmissionTable>),
-    /// Tell the leader what this node refused by its tables.
-    ReportRefused(String, Box<DemandReport>),
-}
-
-#[derive(Debug)]
-struct Parked {
-    origin: Origin,
-    call: UserCall,
+struct QueuedRequest {
+    origin: RequestOrigin,
+    call: UserRequest,
     until: Timestamp,
 }
 
 #[derive(Debug)]
 struct Forward {
-    origin: Origin,
-    call: UserCall,
+    origin: RequestOrigin,
+    call: UserRequest,
     until: Timestamp,
     node: String,
 }
@@ -153,28 +52,23 @@
     settings: Settings,
     leadership: Leadership,
     upgrade: Upgrade,
-    term: Option<Term>,
-    parked: VecDeque<Parked>,
-    forwards: BTreeMap<u64, Forward>,
-    forward_ids: u64,
+    leader: Option<Leader>,
+    queued_requests: VecDeque<QueuedRequest>,
+    forwarded_requests: BTreeMap<u64, Forward>,
+    forward_counter: u64,
     /// What the leader refuses, as far as this node was told.
-    admission: TableView,
+    admission_view: TableView,
     /// What this node refused since it told the leader last, and when that was.
-    refused: DemandReport,
-    refused_told: Timestamp,
-    links: HashSet<String>,
-    ready: bool,
-    reachable: Timestamp,
-    announced: Timestamp,
+    refused_demand: DemandReport,
+    refused_reported_at: Timestamp,
+    connected_peers: HashSet<String>,
+    has_seen_leader: bool,
+    leader_reachable_at: Timestamp,
+    announced_at: Timestamp,
     /// When each node was known to lead last.
-    last_led: HashMap<String, Timestamp>,
+    last_led_at: HashMap<String, Timestamp>,
     /// When this node left the leadership to others last, because it reached no worker.
-    made_room: Option<Timestamp>,
-}
-
-/// 503: come back after so many seconds.
-pub(crate) fn unavailable(why: &str) -> Answer {
-    Answer { status: 503, retry_after: 1, body: json!({"error": why}).to_string() }
+    yielded_at: Option<Timestamp>,
 }
 
 impl Controller {
@@ -187,32 +81,32 @@
             settings,
             leadership,
             upgrade,
-            term: None,
-            parked: VecDeque::new(),
-            forwards: BTreeMap::new(),
-            forward_ids: 0,
-            admission: TableView::default(),
-            refused: DemandReport::default(),
-            refused_told: Timestamp::ZERO,
-            links: HashSet::new(),
-            ready: false,
-            reachable: Timestamp::ZERO,
-            announced: Timestamp::ZERO,
-            last_led: HashMap::new(),
-            made_room: None,
+            leader: None,
+            queued_requests: VecDeque::new(),
+            forwarded_requests: BTreeMap::new(),
+            forward_counter: 0,
+            admission_view: TableView::default(),
+            refused_demand: DemandReport::default(),
+            refused_reported_at: Timestamp::ZERO,
+            connected_peers: HashSet::new(),
+            has_seen_leader: false,
+            leader_reachable_at: Timestamp::ZERO,
+            announced_at: Timestamp::ZERO,
+            last_led_at: HashMap::new(),
+            yielded_at: None,
         }
     }
 
-    /// The term, while this node leads.
-    pub fn term(&self) -> Option<&Term> {
-        self.term.as_ref()
+    /// The leader, while this node leads.
+    pub fn leader(&self) -> Option<&Leader> {
+        self.leader.as_ref()
     }
 
     /// The admission table that this node decides by: its own if it leads, else the one in force.
     pub fn admission_table(&self, now: Timestamp) -> Option<&AdmissionTable> {
-        match &self.term {
-            Some(term) => Some(term.admission.table()),
-            None => self.admission.in_force(now, self.leadership.heard()),
+        match &self.leader {
+            Some(leader) => Some(leader.current_admission_table()),
+            None => self.admission_view.in_force(now, self.leadership.highest_observed_token()),
         }
     }
 
@@ -221,101 +115,102 @@
         let mut out = Vec::new();
         match input {
             Input::Tick => self.tick(now, wall, &mut out),
-            Input::Behind(by) => {
-                if let Some(term) = &mut self.term {
-                    term.pacing.behind = by;
+            Input::InputDelay(by) => {
+                if let Some(leader) = &mut self.leader {
+                    leader.set_input_delay(by);
                 }
             }
-            Input::Spent(took) => {
-                if let Some(term) = &mut self.term {
-                    term.pacing.spent(took);
+            Input::SlowInput(took) => {
+                if let Some(leader) = &mut self.leader {
+                    leader.note_slow_input(took);
                 }
             }
-            Input::User(origin, call) => self.user(now, wall, origin, call, now + PATIENCE, &mut out),
-            Input::Report(origin, report) => self.report(now, wall, origin, &report, &mut out),
-            Input::Up(origin) => out.push(Effect::Answer(origin, self.up(now))),
-            Input::State(Slot::Leadership, id, reply) => {
+            Input::User(origin, call) => self.handle_user_request(now, wall, origin, call, now + PATIENCE, &mut out),
+            Input::Heartbeat(origin, report) => self.handle_heartbeat(now, wall, origin, &report, &mut out),
+            Input::HealthCheck(origin) => out.push(Effect::Respond(origin, self.health(now))),
+            Input::StoreResponse(StoreCaller::Leadership, id, reply) => {
                 let mut events = Vec::new();
-                self.leadership.reply(now, id, &reply, &mut events);
-                self.led(now, wall, events, &mut out);
+                self.leadership.handle_response(now, id, &reply, &mut events);
+                self.apply_leadership_events(now, wall, events, &mut out);
             }
-            Input::State(Slot::Upgrade, id, reply) => {
+            Input::StoreResponse(StoreCaller::Upgrade, id, reply) => {
                 let mut events = Vec::new();
-                self.upgrade.reply(now, id, &reply, &mut events);
-                self.upgraded(events, &mut out);
+                self.upgrade.handle_response(now, id, &reply, &mut events);
+                self.apply_upgrade_events(events, &mut out);
             }
-            Input::State(Slot::Records(token), id, reply) => {
-                self.with_term(now, token, &mut out, |term, certain, out| {
-                    term.state(now, wall, certain, id, &reply, out)
+            Input::StoreResponse(StoreCaller::WriteAheadLog(token), id, reply) => {
+                self.with_leader(now, token, &mut out, |leader, lease_valid, out| {
+                    leader.handle_store_response(now, wall, lease_valid, id, &reply, out)
                 });
             }
-            Input::State(Slot::Drains(token), id, reply) => {
-                self.with_term(now, token, &mut out, |term, certain, out| {
-                    term.drain_reply(now, wall, certain, id, &reply, out)
+            Input::StoreResponse(StoreCaller::Drains(token), id, reply) => {
+                self.with_leader(now, token, &mut out, |leader, lease_valid, out| {
+                    leader.handle_drain_store_response(now, wall, lease_valid, id, &reply, out)
                 });
             }
-            Input::State(Slot::Admission, ..) => {}
-            Input::Policy(policy) => {
-                if let Some(term) = &mut self.term {
-                    term.set_policy(now, (*policy).clone());
+            Input::StoreResponse(StoreCaller::AdmissionStatus, ..) => {}
+            Input::DisruptionPolicyChanged(policy) => {
+                if let Some(leader) = &mut self.leader {
+                    leader.set_policy(now, (*policy).clone());
                 }
                 self.settings.policy = *policy;
             }
-            Input::AdmissionPolicy(policy) => {
-                if let Some(term) = &mut self.term {
-                    term.admission.set_policy((*policy).clone());
+            Input::AdmissionPolicyChanged(policy) => {
+                if let Some(leader) = &mut self.leader {
+                    leader.set_admission_policy((*policy).clone());
                 }
                 self.settings.admission = *policy;
             }
             Input::Utilization(utilization) => {
-                if let Some(term) = &mut self.term {
-                    term.admission.observe(now, utilization, term.pacing.behind);
+                if let Some(leader) = &mut self.leader {
+                    leader.observe_utilization(now, utilization);
                 }
             }
-            Input::RefusedElsewhere(report) => {
-                if let Some(term) = &mut self.term {
-                    term.admission.refused_elsewhere(now, &report);
+            Input::RefusedDemandReceived(report) => {
+                if let Some(leader) = &mut self.leader {
+                    leader.note_refused_elsewhere(now, &report);
                 }
             }
-            Input::AdmissionTable(table) => {
-                self.admission.receive(now, *table);
+            Input::AdmissionTableReceived(table) => {
+                self.admission_view.receive(now, *table);
             }
-            Input::Cloud(token, id, reply) => {
-                self.with_term(now, token, &mut out, |term, certain, out| {
-                    term.cloud(now, wall, certain, id, &reply, out)
+            Input::CloudResponse(token, id, reply) => {
+                self.with_leader(now, token, &mut out, |leader, lease_valid, out| {
+                    leader.handle_cloud_response(now, wall, lease_valid, id, &reply, out)
                 });
             }
-            Input::Command(token, machine, id, reply) => {
-                self.with_term(now, token, &mut out, |term, certain, out| {
-                    term.command_answer(now, wall, certain, machine, id, &reply, out)
+            Input::CommandResponse(token, machine, id, reply) => {
+                self.with_leader(now, token, &mut out, |leader, lease_valid, out| {
+                    leader.handle_command_response(now, wall, lease_valid, machine, id, &reply, out)
                 });
             }
-            Input::Forwarded(id, answer) => {
-                if let Some(forward) = self.forwards.remove(&id) {
-                    out.push(Effect::Answer(forward.origin, answer));
+            Input::ForwardResponse(id, answer) => {
+                if let Some(forward) = self.forwarded_requests.remove(&id) {
+                    out.push(Effect::Respond(forward.origin, answer));
                 }
             }
-            Input::Leads(node, token) => {
+            Input::LeaderAnnounced(node, token) => {
                 let mut events = Vec::new();
-                self.leadership.told(now, node, token, &mut events);
-                self.led(now, wall, events, &mut out);
+                self.leadership.observe_announcement(now, node, token, &mut events);
+                self.apply_leadership_events(now, wall, events, &mut out);
             }
-            Input::Link(node, true) => {
-                self.links.insert(node);
-                self.announced = Timestamp::ZERO;
-                self.unpark(now, wall, &mut out);
+            Input::PeerLinkChanged(node, true) => {
+                self.connected_peers.insert(node);
+                self.announced_at = Timestamp::ZERO;
+                self.retry_queued_requests(now, wall, &mut out);
             }
-            Input::Link(node, false) => {
-                self.links.remove(&node);
+            Input::PeerLinkChanged(node, false) => {
+                self.connected_peers.remove(&node);
                 if self.leadership.leader() == Some(node.as_str()) {
-                    self.leadership.hurry(now);
+                    self.leadership.campaign_soon(now);
                 }
                 // All of the users' requests may be repeated, so they are asked again.
-                let ids: Vec<u64> = self.forwards.iter().filter(|(_, f)| f.node == node).map(|(id, _)| *id).collect();
+                let ids: Vec<u64> =
+                    self.forwarded_requests.iter().filter(|(_, f)| f.node == node).map(|(id, _)| *id).collect();
                 for id in ids {
-                    if let Some(f) = self.forwards.remove(&id) {
+                    if let Some(f) = self.forwarded_requests.remove(&id) {
                         let until = f.until.min(now + PATIENCE);
-                        self.user(now, wall, f.origin, f.call, until, &mut out);
+                        self.handle_user_request(now, wall, f.origin, f.call, until, &mut out);
                     }
                 }
             }
@@ -323,69 +218,79 @@
         out
     }
 
-    fn with_term(
+    fn with_leader(
         &mut self,
         now: Timestamp,
         token: u64,
         out: &mut Vec<Effect>,
-        act: impl FnOnce(&mut Term, bool, &mut Vec<Effect>),
+        act: impl FnOnce(&mut Leader, bool, &mut Vec<Effect>),
     ) {
-        let certain = self.leadership.certain(now);
-        if let Some(term) = self.term.as_mut().filter(|r| r.token().0 == token) {
-            act(term, certain, out);
+        let lease_valid = self.leadership.holds_valid_lease(now);
+        if let Some(leader) = self.leader.as_mut().filter(|r| r.token().0 == token) {
+            act(leader, lease_valid, out);
         }
-        self.check_term(now, out);
+        self.check_step_down(now, out);
     }
 
-    /// Ends the term if it has learnt of a higher token or a lost key.
-    fn check_term(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if let Some(why) = self.term.as_ref().and_then(Term::over) {
+    /// Ends the leader if it has learnt of a higher token or a lost key.
+    fn check_step_down(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if let Some(why) = self.leader.as_ref().and_then(Leader::step_down_reason) {
             let mut events = Vec::new();
-            if why == Over::NoWorkers {
-                self.made_room = Some(now);
-                self.leadership.make_room(now, why.reason(), &mut events);
+            if why == StepDownReason::NoWorkerReachable {
+                self.yielded_at = Some(now);
+                self.leadership.yield_leadership(now, why.reason(), &mut events);
             } else {
                 self.leadership.step_down(now, why.reason(), &mut events);
             }
-            self.led(now, WallClock::from_millis(0), events, out);
+            self.apply_leadership_events(now, WallClock::default(), events, out);
         }
     }
 
-    fn led(&mut self, now: Timestamp, wall: WallClock, events: Vec<leadership::Event>, out: &mut Vec<Effect>) {
+    fn apply_leadership_events(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        events: Vec<leadership::LeadershipEvent>,
+        out: &mut Vec<Effect>,
+    ) {
         for event in events {
             match event {
-                leadership::Event::Call(id, call) => out.push(Effect::State(Slot::Leadership, id, call)),
-                leadership::Event::Elected(token, format) => {
-                    self.ready = true;
-                    self.announced = Timestamp::ZERO;
-                    let mut term = Term::new(token, format, now, &self.settings);
-                    if let Some(table) = self.admission.inherited(now) {
-                        term.admission.inherit(now, table);
+                leadership::LeadershipEvent::Request(id, call) => {
+                    out.push(Effect::QueryStore(StoreCaller::Leadership, id, call))
+                }
+                leadership::LeadershipEvent::Elected(token, format) => {
+                    self.has_seen_leader = true;
+                    self.announced_at = Timestamp::ZERO;
+                    let mut leader = Leader::new(token, format, now, &self.settings);
+                    if let Some(table) = self.admission_view.inherited(now) {
+                        leader.inherit_admission_table(now, table);
                     }
-                    term.start(now, wall, out);
-                    self.term = Some(term);
-                    self.unpark(now, wall, out);
+                    leader.start(now, wall, out);
+                    self.leader = Some(leader);
+                    self.retry_queued_requests(now, wall, out);
                 }
-                leadership::Event::SteppedDown(_) => {
-                    if let Some(term) = self.term.take() {
-                        term.abdicate(out);
+                leadership::LeadershipEvent::SteppedDown(_) => {
+                    if let Some(leader) = self.leader.take() {
+                        leader.refuse_pending_requests(out);
                     }
                 }
-                leadership::Event::Leader(leader) => {
+                leadership::LeadershipEvent::LeaderChanged(leader) => {
                     if leader.is_some() {
-                        self.ready = true;
-                        self.unpark(now, wall, out);
+                        self.has_seen_leader = true;
+                        self.retry_queued_requests(now, wall, out);
                     }
                 }
             }
         }
     }
 
-    fn upgraded(&mut self, events: Vec<upgrade::Event>, out: &mut Vec<Effect>) {
+    fn apply_upgrade_events(&mut self, events: Vec<upgrade::UpgradeEvent>, out: &mut Vec<Effect>) {
         for event in events {
             match event {
-                upgrade::Event::Call(id, call) => out.push(Effect::State(Slot::Upgrade, id, call)),
-                upgrade::Event::AllUpgraded => self.leadership.move_key(),
+                upgrade::UpgradeEvent::Request(id, call) => {
+                    out.push(Effect::QueryStore(StoreCaller::Upgrade, id, call))
+                }
+                upgrade::UpgradeEvent::AllUpgraded => self.leadership.request_key_relocation(),
             }
         }
     }
@@ -393,136 +298,140 @@
     fn tick(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.leadership.tick(now, &mut events);
-        self.led(now, wall, events, out);
-        let certain = self.leadership.certain(now);
-        let leads_old_format = certain && self.leadership.format() == Format::One;
+        self.apply_leadership_events(now, wall, events, out);
+        let lease_valid = self.leadership.holds_valid_lease(now);
+        let leads_old_format = lease_valid && self.leadership.format() == Format::One;
         let mut events = Vec::new();
         self.upgrade.tick(now, leads_old_format, &mut events);
-        self.upgraded(events, out);
-        let may_make_room =
-            certain && !self.links.is_empty() && self.made_room.is_none_or(|at| now.since(at) >= MAKES_ROOM_EVERY);
+        self.apply_upgrade_events(events, out);
+        let may_make_room = lease_valid
+            && !self.connected_peers.is_empty()
+            && self.yielded_at.is_none_or(|at| now.since(at) >= MAKES_ROOM_EVERY);
         if let Some(leader) = self.leadership.leader() {
-            self.last_led.insert(leader.to_string(), now);
+            self.last_led_at.insert(leader.to_string(), now);
         }
-        if let Some(term) = &mut self.term {
-            let lately = |s: &&Seed| self.last_led.get(&s.node).is_some_and(|at| now.since(*at) < LED_LATELY);
-            term.led_from_within = self.settings.seeds.iter().filter(lately).map(|s| s.area.clone()).collect();
-            term.tick(now, wall, certain, out);
+        if let Some(leader) = &mut self.leader {
+            let lately = |s: &&Seed| self.last_led_at.get(&s.node).is_some_and(|at| now.since(*at) < LED_LATELY);
+            leader.set_recent_leader_zones(self.settings.seeds.iter().filter(lately).map(|s| s.area.clone()).collect());
+            leader.tick(now, wall, lease_valid, out);
             if may_make_room {
-                term.look_for_workers();
+                leader.detect_isolation();
             }
         }
-        self.check_term(now, out);
-        if let Some(term) = self.term.as_ref().filter(|_| certain && now.since(self.announced) >= ANNOUNCE_EVERY) {
-            self.announced = now;
-            out.push(Effect::Announce(term.token()));
+        self.check_step_down(now, out);
+        if let Some(leader) =
+            self.leader.as_ref().filter(|_| lease_valid && now.since(self.announced_at) >= ANNOUNCE_EVERY)
+        {
+            self.announced_at = now;
+            out.push(Effect::AnnounceLeadership(leader.token()));
         }
-        if certain
+        if lease_valid
             && let Some(table) =
-                self.term.as_mut().filter(|term| term.loaded()).and_then(|term| term.admission_table(now))
+                self.leader.as_mut().filter(|leader| leader.is_loaded()).and_then(|leader| leader.admission_table(now))
         {
-            out.push(Effect::Publish(Box::new(table.clone())));
+            out.push(Effect::PublishAdmissionTable(Box::new(table.clone())));
         }
-        if let Some(term) = self.term.as_mut().filter(|term| certain && term.loaded()) {
-            term.write_admission_status(now, wall, out);
+        if let Some(leader) = self.leader.as_mut().filter(|leader| lease_valid && leader.is_loaded()) {
+            leader.write_admission_status(now, wall, out);
         }
-        if self.term.as_ref().is_some_and(Term::loaded) && !self.parked.is_empty() {
-            self.unpark(now, wall, out);
+        if self.leader.as_ref().is_some_and(Leader::is_loaded) && !self.queued_requests.is_empty() {
+            self.retry_queued_requests(now, wall, out);
         }
-        while self.parked.front().is_some_and(|p| p.until <= now) {
-            if let Some(p) = self.parked.pop_front() {
-                out.push(Effect::Answer(p.origin, unavailable("no leader")));
+        while self.queued_requests.front().is_some_and(|p| p.until <= now) {
+            if let Some(p) = self.queued_requests.pop_front() {
+                out.push(Effect::Respond(p.origin, ApiResponse::unavailable("no leader")));
             }
         }
-        let late: Vec<u64> = self.forwards.iter().filter(|(_, f)| f.until <= now).map(|(id, _)| *id).collect();
+        let late: Vec<u64> =
+            self.forwarded_requests.iter().filter(|(_, f)| f.until <= now).map(|(id, _)| *id).collect();
         for id in late {
-            if let Some(f) = self.forwards.remove(&id) {
-                out.push(Effect::Answer(f.origin, unavailable("the leader does not answer")));
+            if let Some(f) = self.forwarded_requests.remove(&id) {
+                out.push(Effect::Respond(f.origin, ApiResponse::unavailable("the leader does not answer")));
             }
         }
         self.report_refused(now, out);
         // Cut off from a leader that others can reach. In an outage of the state service nothing
         // is known of the leader, and being marked healthy again is slow: the node stays up.
         let linked = match self.leadership.leader() {
-            Some(leader) => leader == self.settings.node || self.links.contains(leader),
+            Some(leader) => leader == self.settings.node || self.connected_peers.contains(leader),
             None => true,
         };
         if linked || !self.state_answers(now) {
-            self.reachable = now;
+            self.leader_reachable_at = now;
         }
     }
 
     /// Tells the leader from time to time what was refused by its tables.
     fn report_refused(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.refused.is_empty() || now.since(self.refused_told) < REPORT_REFUSED_EVERY {
+        if self.refused_demand.is_empty() || now.since(self.refused_reported_at) < REPORT_REFUSED_EVERY {
             return;
         }
-        self.refused_told = now;
-        let report = std::mem::take(&mut self.refused);
+        self.refused_reported_at = now;
+        let report = std::mem::take(&mut self.refused_demand);
         // Only a leader whose table this node has is known to read it.
-        let table = self.admission.in_force(now, self.leadership.heard());
-        if let Some(leader) = self.leadership.leader().filter(|_| table.is_some() && self.term.is_none()) {
-            out.push(Effect::ReportRefused(leader.to_string(), Box::new(report)));
+        let table = self.admission_view.in_force(now, self.leadership.highest_observed_token());
+        if let Some(leader) = self.leadership.leader().filter(|_| table.is_some() && self.leader.is_none()) {
+            out.push(Effect::ReportRefusedDemand(leader.to_string(), Box::new(report)));
         }
     }
 
     fn state_answers(&self, now: Timestamp) -> bool {
-        self.leadership.answered.is_some_and(|at| now.since(at) < NO_STATE)
+        self.leadership.last_store_answer_at.is_some_and(|at| now.since(at) < NO_STATE)
     }
 
     /// Whether this node has neither the state service nor any other node: unlike in an outage, others
     /// most likely go on without it, and what it knows may be outdated.
     fn isolated(&self, now: Timestamp) -> bool {
-        !self.settings.seeds.is_empty() && self.links.is_empty() && !self.state_answers(now)
+        !self.settings.seeds.is_empty() && self.connected_peers.is_empty() && !self.state_answers(now)
     }
 
-    fn up(&self, now: Timestamp) -> Answer {
-        if self.ready && !self.isolated(now) && now.since(self.reachable) < CUT_OFF {
-            Answer { status: 200, retry_after: 0, body: "{}".into() }
+    fn health(&self, now: Timestamp) -> ApiResponse {
+        if self.has_seen_leader && !self.isolated(now) && now.since(self.leader_reachable_at) < CUT_OFF {
+            ApiResponse::empty(200)
         } else {
-            unavailable("not ready")
+            ApiResponse::unavailable("not ready")
         }
     }
 
-    fn user(
+    fn handle_user_request(
         &mut self,
         now: Timestamp,
         wall: WallClock,
-        origin: Origin,
-        call: UserCall,
+        origin: RequestOrigin,
+        call: UserRequest,
         until: Timestamp,
         out: &mut Vec<Effect>,
     ) {
-        let certain = self.leadership.certain(now);
-        if let Some(term) = &mut self.term {
-            if term.loaded() {
-                term.user(now, wall, certain, origin, &call, out);
+        let lease_valid = self.leadership.holds_valid_lease(now);
+        if let Some(leader) = &mut self.leader {
+            if leader.is_loaded() {
+                leader.handle_user_request(now, wall, lease_valid, origin, &call, out);
                 return;
             }
         } else if let Some(leader) = self.leadership.leader().map(str::to_string)
-            && self.links.contains(&leader)
-            && matches!(origin, Origin::Http(_))
+            && self.connected_peers.contains(&leader)
+            && matches!(origin, RequestOrigin::Http(_))
         {
-            if let Decision::Refuse { retry_after_s } = self.decide(now, &call) {
-                out.push(Effect::Answer(origin, too_many(retry_after_s)));
+            if let Decision::Refuse { retry_after_s } = self.admission_decision(now, &call) {
+                out.push(Effect::Respond(origin, ApiResponse::too_many_submissions(retry_after_s)));
                 return;
             }
-            self.forward_ids += 1;
-            let id = self.forward_ids;
+            self.forward_counter += 1;
+            let id = self.forward_counter;
             out.push(Effect::Forward(leader.clone(), id, call.clone()));
-            self.forwards.insert(id, Forward { origin, call, until: now + FORWARD_TIMEOUT, node: leader });
+            self.forwarded_requests.insert(id, Forward { origin, call, until: now + FORWARD_TIMEOUT, node: leader });
             return;
         }
-        if now >= until || self.parked.len() >= PARKED_LIMIT || !self.ready || self.isolated(now) {
-            out.push(Effect::Answer(origin, unavailable("no leader")));
+        if now >= until || self.queued_requests.len() >= PARKED_LIMIT || !self.has_seen_leader || self.isolated(now) {
+            out.push(Effect::Respond(origin, ApiResponse::unavailable("no leader")));
         } else {
-            self.parked.push_back(Parked { origin, call, until });
+            self.queued_requests.push_back(QueuedRequest { origin, call, until });
         }
     }
 
     /// Decides by the leader's admission table whether a request is worth forwarding. What cannot be read is the leader's to refuse.
-    fn decide(&mut self, now: Timestamp, call: &UserCall) -> Decision {
-        let UserCall::Submit(body) = call else { return Decision::Admit };
+    fn admission_decision(&mut self, now: Timestamp, call: &UserRequest) -> Decision {
+        let UserRequest::Submit(body) = call else { return Decision::Admit };
         let Some(table) = self.admission_table(now).filter(|table| !table.is_open()) else {
             return Decision::Admit;
         };
@@ -530,40 +439,40 @@
         let Ok(job) = head.job.parse() else { return Decision::Admit };
         let decision = table.decide(&Submission { job, team: &head.team, class: &head.class });
         if decision != Decision::Admit {
-            self.refused.refused(&head.team, &head.class, head.tasks);
+            self.refused_demand.refused(&head.team, &head.class, head.tasks);
         }
         decision
     }
 
     /// Requests that waited for a leader try again.
-    fn unpark(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
-        for p in std::mem::take(&mut self.parked) {
-            self.user(now, wall, p.origin, p.call, p.until, out);
+    fn retry_queued_requests(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
+        for p in std::mem::take(&mut self.queued_requests) {
+            self.handle_user_request(now, wall, p.origin, p.call, p.until, out);
         }
     }
 
-    fn report(&mut self, now: Timestamp, wall: WallClock, origin: Origin, report: &Report, out: &mut Vec<Effect>) {
-        let certain = self.leadership.certain(now);
-        match &mut self.term {
-            Some(term) if term.loaded() => {
-                term.report(now, wall, certain, origin, report, out);
-                self.check_term(now, out);
+    fn handle_heartbeat(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        origin: RequestOrigin,
+        report: &Heartbeat,
+        out: &mut Vec<Effect>,
+    ) {
+        let lease_valid = self.leadership.holds_valid_lease(now);
+        match &mut self.leader {
+            Some(leader) if leader.is_loaded() => {
+                leader.handle_heartbeat(now, wall, lease_valid, origin, report, out);
+                self.check_step_down(now, out);
             }
-            Some(_) => out.push(Effect::Answer(origin, unavailable("loading"))),
+            Some(_) => out.push(Effect::Respond(origin, ApiResponse::unavailable("loading"))),
             None => {
                 let answer = match self.leadership.leader() {
-                    Some(leader) => {
-                        Answer { status: 421, retry_after: 0, body: json!({"Steward": leader}).to_string() }
-                    }
-                    None => unavailable("no leader"),
+                    Some(leader) => ApiResponse::json(421, &LeaderRedirect { leader }),
+                    None => ApiResponse::unavailable("no leader"),
                 };
-                out.push(Effect::Answer(origin, answer));
+                out.push(Effect::Respond(origin, answer));
             }
         }
     }
 }
-
-/// What users are told of a job that is accepted.
-pub(crate) fn accepted(record: &JobRecord) -> Answer {
-    Answer { status: 201, retry_after: 0, body: json!({"Ref": record.id.to_string(), "Status": "queued"}).to_string() }
-}
--- a/src/gang.rs
+++ b/src/gang.rs
@@ -15,12 +15,12 @@
 
 /// Where a gang is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Phase {
+pub enum GangPhase {
     /// No attempt is on any machine.
     #[default]
     Queued,
     /// Its tasks were ordered to start and wait for each other, since this time.
-    Gathering {
+    AwaitingMembers {
         /// When the attempt began, or was found by this leader.
         since: Timestamp,
     },
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Gang {
     /// Where it is in its life.
-    pub phase: Phase,
+    pub phase: GangPhase,
     /// The live attempt; `None` while it is queued.
     pub attempt: Option<AttemptNumber>,
     /// Since when a task of a gathering gang is missing.
@@ -60,17 +60,17 @@
 impl Gang {
     /// Whether nothing of it is on any machine, so that an attempt may begin.
     pub fn is_queued(&self) -> bool {
-        self.phase == Phase::Queued
+        self.phase == GangPhase::Queued
     }
 
     /// Whether its tasks run.
     pub fn runs(&self) -> bool {
-        self.phase == Phase::Running
+        self.phase == GangPhase::Running
     }
 
     /// An attempt begins.
     pub fn start(&mut self, now: Timestamp, attempt: AttemptNumber, machines: impl Iterator<Item = MachineId>) {
-        self.phase = Phase::Gathering { since: now };
+        self.phase = GangPhase::AwaitingMembers { since: now };
         self.attempt = Some(attempt);
         self.missing_since = None;
         self.former.extend(machines);
@@ -91,14 +91,18 @@
         let replaces = self.attempt.is_some();
         self.attempt = Some(attempt);
         self.missing_since = None;
-        self.phase = if ended { Phase::Stopping { grace: Duration::ZERO } } else { Phase::Gathering { since: now } };
+        self.phase = if ended {
+            GangPhase::Stopping { grace: Duration::ZERO }
+        } else {
+            GangPhase::AwaitingMembers { since: now }
+        };
         if replaces { Adoption::Replaces } else { Adoption::Live }
     }
 
     /// A task of this attempt was seen running. All tasks start together, so from now on a lost one cannot be replaced.
     pub fn task_runs(&mut self, attempt: AttemptNumber) {
-        if self.attempt == Some(attempt) && matches!(self.phase, Phase::Gathering { .. }) {
-            self.phase = Phase::Running;
+        if self.attempt == Some(attempt) && matches!(self.phase, GangPhase::AwaitingMembers { .. }) {
+            self.phase = GangPhase::Running;
             self.missing_since = None;
         }
     }
@@ -107,7 +111,7 @@
     /// ran is over.
     pub fn task_lost(&mut self, now: Timestamp) {
         match self.phase {
-            Phase::Gathering { .. } => self.missing_since = Some(self.missing_since.unwrap_or(now)),
+            GangPhase::AwaitingMembers { .. } => self.missing_since = Some(self.missing_since.unwrap_or(now)),
             _ => self.stop(Duration::ZERO),
         }
     }
@@ -119,14 +123,14 @@
 
     /// The attempt is to end, its tasks having so long for saving. One that is ending already goes on as it was told.
     pub fn stop(&mut self, grace: Duration) {
-        if matches!(self.phase, Phase::Gathering { .. } | Phase::Running) {
-            self.phase = Phase::Stopping { grace };
+        if matches!(self.phase, GangPhase::AwaitingMembers { .. } | GangPhase::Running) {
+            self.phase = GangPhase::Stopping { grace };
         }
     }
 
     /// Nothing of the attempt is on any machine any more.
     pub fn emptied(&mut self) {
-        self.phase = Phase::Queued;
+        self.phase = GangPhase::Queued;
         self.attempt = None;
         self.missing_since = None;
     }
--- a/src/gang/tests.rs
+++ b/src/gang/tests.rs
@@ -13,12 +13,12 @@
     let mut gang = gathering();
     assert_eq!(
         (gang.phase, gang.is_queued(), gang.runs()),
-        (Phase::Gathering { since: Timestamp::from_millis(10) }, false, false)
+        (GangPhase::AwaitingMembers { since: Timestamp::from_millis(10) }, false, false)
     );
     gang.task_runs(AttemptNumber(5));
     assert!(gang.runs());
     gang.task_ended();
-    assert_eq!(gang.phase, Phase::Stopping { grace: Duration::ZERO });
+    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO });
     gang.emptied();
     assert!(gang.is_queued() && gang.attempt.is_none());
 }
@@ -30,11 +30,11 @@
     gang.task_lost(Timestamp::from_millis(30));
     assert_eq!(
         (gang.phase, gang.missing_since),
-        (Phase::Gathering { since: Timestamp::from_millis(10) }, Some(Timestamp::from_millis(20)))
+        (GangPhase::AwaitingMembers { since: Timestamp::from_millis(10) }, Some(Timestamp::from_millis(20)))
     );
     gang.task_runs(AttemptNumber(5));
     gang.task_lost(Timestamp::from_millis(40));
-    assert_eq!(gang.phase, Phase::Stopping { grace: Duration::ZERO });
+    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO });
 }
 
 /// Two attempts are never mixed: what belongs to an earlier one is left over, whichever is found first.
@@ -42,9 +42,9 @@
 fn a_new_leader_takes_the_latest_attempt_that_it_finds() {
     let mut gang = Gang::default();
     assert_eq!(gang.adopt(Timestamp::from_millis(1), AttemptNumber(5), M, true), Adoption::Live);
-    assert_eq!(gang.phase, Phase::Stopping { grace: Duration::ZERO }, "something of it has ended");
+    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "something of it has ended");
     assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), M, false), Adoption::Replaces);
-    assert_eq!(gang.phase, Phase::Gathering { since: Timestamp::from_millis(2) });
+    assert_eq!(gang.phase, GangPhase::AwaitingMembers { since: Timestamp::from_millis(2) });
     assert_eq!(gang.adopt(Timestamp::from_millis(3), AttemptNumber(5), M, false), Adoption::Stale);
     assert_eq!(gang.adopt(Timestamp::from_millis(4), AttemptNumber(9), M, false), Adoption::Live);
     gang.task_runs(AttemptNumber(5));
@@ -69,5 +69,5 @@
     gang.stop(Duration::from_secs(3));
     gang.task_ended();
     gang.task_lost(Timestamp::from_millis(30));
-    assert_eq!(gang.phase, Phase::Stopping { grace: Duration::from_secs(3) });
+    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::from_secs(3) });
 }
--- /dev/null
+++ b/src/jobs/feasibility.rs
@@ -0,0 +1,95 @@
+//! Whether a job can ever run in this deployment.
+
+use super::JobSpec;
+use crate::settings::Team;
+use crate::types::Resources;
+use crate::wire::MachineType;
+
+/// When a user may come back while the machine types are not known, in seconds.
+const MACHINE_TYPES_RETRY_AFTER_S: u16 = 1;
+/// When the user of a gang may come back while not all controllers are upgraded, in seconds.
+pub(super) const GANGS_RETRY_AFTER_S: u16 = 5;
+/// What a limit in floating point may lack without being rounded down.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+/// Why a submission is refused.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum Refusal {
+    /// A field is missing or invalid.
+    #[error("field `{field}` {problem}")]
+    Malformed {
+        /// The field, as the protocol names it; empty if it is the whole body.
+        field: &'static str,
+        /// What is wrong with it.
+        problem: &'static str,
+    },
+    /// The job can never run.
+    #[error("{0}")]
+    Infeasible(String),
+    /// The job cannot be accepted now.
+    #[error("{reason}")]
+    NotYet {
+        /// What is missing.
+        reason: &'static str,
+        /// When the user may come back, in seconds.
+        retry_after: u16,
+    },
+}
+
+/// The resources that a machine type offers.
+pub fn capacity(machine_type: &MachineType) -> Resources {
+    let thousandths = |amount: f64| (amount.max(0.0) * 1000.0 + ROUNDING_TOLERANCE).floor() as u64;
+    Resources {
+        cpus: thousandths(machine_type.cpus),
+        gpus: thousandths(machine_type.gpus),
+        memory: thousandths(machine_type.memory_gb),
+    }
+}
+
+/// Checks whether a job can ever run; `gangs_supported`: whether every controller knows gangs by now.
+pub fn check_feasible(
+    job: &JobSpec,
+    teams: &[Team],
+    machine_types: Option<&[MachineType]>,
+    gangs_supported: bool,
+) -> Result<(), Refusal> {
+    let Some(team) = teams.iter().find(|team| team.name == job.team) else {
+        return Err(Refusal::Infeasible(format!("unknown team `{}`", job.team)));
+    };
+    check_quota(job, team)?;
+    let Some(machine_types) = machine_types else {
+        let retry_after = MACHINE_TYPES_RETRY_AFTER_S;
+        return Err(Refusal::NotYet { reason: "machine types are not known yet", retry_after });
+    };
+    if !machine_types.iter().any(|machine_type| can_host(machine_type, job)) {
+        return Err(Refusal::Infeasible("a task fits no allowed machine type".into()));
+    }
+    if job.is_gang && !gangs_supported {
+        let reason = "gangs are taken once all controllers are upgraded";
+        return Err(Refusal::NotYet { reason, retry_after: GANGS_RETRY_AFTER_S });
+    }
+    Ok(())
+}
+
+/// Checks what must run at the same time, all tasks or one, against the team's limit.
+fn check_quota(job: &JobSpec, team: &Team) -> Result<(), Refusal> {
+    let concurrent_tasks = if job.is_service || job.is_gang { u64::from(job.task_count) } else { 1 };
+    let limits = [("cpus_max", team.cpus_max, job.resources.cpus), ("gpus_max", team.gpus_max, job.resources.gpus)];
+    for (name, limit, per_task) in limits {
+        let limited = limit > 0.0;
+        let thousandths = (limit * 1000.0 + ROUNDING_TOLERANCE) as u64;
+        if limited && per_task.saturating_mul(concurrent_tasks) > thousandths {
+            return Err(Refusal::Infeasible(format!("needs more than {name} of team `{}`", job.team)));
+        }
+    }
+    Ok(())
+}
+
+/// Whether machines of this type can run the job's tasks under its placement constraints.
+fn can_host(machine_type: &MachineType, job: &JobSpec) -> bool {
+    let type_allowed = job.machine_types.as_ref().is_none_or(|types| types.contains(&machine_type.name));
+    let zone_available = job.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone));
+    let one_zone_only = job.zone.is_some() || job.colocate_in_zone;
+    let spread_possible = !job.spread_over_zones || job.task_count < 2 || !one_zone_only;
+    job.resources.fits(&capacity(machine_type)) && type_allowed && zone_available && spread_possible
+}
--- a/src/intake/jobs.rs
+++ b/src/jobs/store.rs
@@ -1,20 +1,20 @@
 //! All jobs: those that are not over in full, the others as their final state only.
 
-use super::JobRecord;
+use super::JobSpec;
 use crate::gang::Gang;
-use crate::records::{FINALS_LIMIT, RANGES_LIMIT, Record};
 use crate::types::{AttemptId, JobId, MachineId, TaskId, TaskIndexSet, Timestamp, WallClock};
-use serde_json::{Value, json};
+use crate::wire::{JobStatus, JobStatusResponse};
+use crate::write_ahead_log::{FINALS_LIMIT, LogRecord, RANGES_LIMIT};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 /// Where a task is, or may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Placed {
+pub struct Placement {
     /// Machine.
     pub machine: MachineId,
     /// The attempt.
-    pub key: AttemptId,
+    pub attempt: AttemptId,
     /// Whether it is reported to run.
     pub running: bool,
 }
@@ -23,35 +23,35 @@
 #[derive(Debug)]
 pub struct Job {
     /// What was accepted.
-    pub record: Rc<JobRecord>,
+    pub spec: Rc<JobSpec>,
     /// Order among jobs of the same rank.
-    pub seq: u64,
+    pub queue_sequence: u64,
     /// Its rank, or a better one when nothing of it has begun for long, until something has.
-    pub urgency: u8,
+    pub effective_priority: u8,
     /// When it was submitted, by this process's clock.
-    pub submitted: Timestamp,
+    pub submitted_at: Timestamp,
     /// Whether its acceptance is durable.
     pub durable: bool,
     /// Whether it was accepted under this leader's token.
-    pub ours: bool,
+    pub accepted_by_this_leader: bool,
     /// Tasks that are on no machine and not done.
     pub pending: TaskIndexSet,
     /// Tasks whose finish was reported, durable or not.
-    pub done: TaskIndexSet,
+    pub finished: TaskIndexSet,
     /// Tasks whose finish is durable.
-    pub durably_done: TaskIndexSet,
+    pub durably_finished: TaskIndexSet,
     /// Tasks on machines.
-    pub placed: BTreeMap<u32, Placed>,
+    pub placements: BTreeMap<u32, Placement>,
     /// A cancellation is on its way to be durable.
     pub cancelling: bool,
     /// Machines on which its tasks failed.
     pub failed_on: Vec<MachineId>,
     /// Failures in a row, over all tasks.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// No task is started before, because of failures.
-    pub not_before: Timestamp,
+    pub retry_not_before: Timestamp,
     /// When planning looked for machines for it last.
-    pub looked: Timestamp,
+    pub last_planned_at: Timestamp,
     /// Its life as a gang, if it is one.
     pub gang: Option<Gang>,
 }
@@ -59,17 +59,17 @@
 impl Job {
     /// When the job should be complete.
     pub fn deadline(&self) -> Timestamp {
-        self.record.deadline.map_or(Timestamp::NEVER, |d| self.submitted + d)
+        self.spec.deadline.map_or(Timestamp::NEVER, |d| self.submitted_at + d)
     }
     /// Whether it has a better rank than its own.
-    pub fn promoted(&self) -> bool {
-        self.urgency != self.record.rank
+    pub fn is_promoted(&self) -> bool {
+        self.effective_priority != self.spec.priority
     }
     /// How many tasks run, as users see it: of a gang all or none.
-    fn running(&self) -> usize {
-        let running = self.placed.values().filter(|p| p.running).count();
+    fn running_tasks(&self) -> usize {
+        let running = self.placements.values().filter(|p| p.running).count();
         match &self.gang {
-            Some(gang) if !gang.runs() || running < self.record.tasks as usize => 0,
+            Some(gang) if !gang.runs() || running < self.spec.task_count as usize => 0,
             _ => running,
         }
     }
@@ -77,7 +77,7 @@
 
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Final {
+pub enum TerminalState {
     /// All tasks are done; how many there were.
     Done(u32),
     /// Cancelled.
@@ -88,7 +88,7 @@
 #[derive(Debug, Default)]
 pub struct JobStore {
     live: BTreeMap<JobId, Job>,
-    finals: HashMap<JobId, Final>,
+    terminal: HashMap<JobId, TerminalState>,
     /// Jobs with tasks that are on no machine, most important first; others may be among them until
     /// `settle_waiting`.
     waiting: BTreeSet<(u8, u64, JobId)>,
@@ -98,13 +98,13 @@
 
 /// What became of a durable fact.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// Nothing that anyone waits for.
-    Nothing,
+    Unchanged,
     /// The job is accepted.
-    Accepted(JobId),
+    JobAccepted(JobId),
     /// The job is over; what was left of it on machines.
-    Over(JobId, Vec<Placed>),
+    JobEnded(JobId, Vec<Placement>),
 }
 
 impl JobStore {
@@ -121,16 +121,16 @@
         self.live.values()
     }
     /// How many jobs are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.live.len()
     }
     /// How a job ended, if it did.
-    pub fn ended(&self, id: JobId) -> Option<Final> {
-        self.finals.get(&id).copied()
+    pub fn terminal_state(&self, id: JobId) -> Option<TerminalState> {
+        self.terminal.get(&id).copied()
     }
     /// Jobs that are over.
-    pub fn finals(&self) -> usize {
-        self.finals.len()
+    pub fn terminal_count(&self) -> usize {
+        self.terminal.len()
     }
 
     /// Jobs with tasks that are on no machine, most important first.
@@ -144,160 +144,163 @@
     }
 
     /// Forgets as waiting what does not wait any more.
-    pub fn settle_waiting(&mut self) {
+    pub fn prune_waiting(&mut self) {
         let live = &self.live;
         self.waiting.retain(|(.., id)| live.get(id).is_some_and(|j| !j.pending.is_empty()));
     }
 
     /// A task is on no machine any more: it waits again, unless it is done.
-    pub fn waits_again(&mut self, task: TaskId) {
+    pub fn return_to_pending(&mut self, task: TaskId) {
         if let Some(job) = self.live.get_mut(&task.job)
-            && !job.done.contains(task.index)
+            && !job.finished.contains(task.index)
         {
             job.pending.insert(task.index);
-            self.waiting.insert((job.urgency, job.seq, task.job));
+            self.waiting.insert((job.effective_priority, job.queue_sequence, task.job));
         }
     }
 
     /// Gives a job another rank among those that wait.
     pub fn promote(&mut self, id: JobId, urgency: u8) {
         if let Some(job) = self.live.get_mut(&id) {
-            self.waiting.remove(&(job.urgency, job.seq, id));
-            job.urgency = urgency;
-            self.waiting.insert((urgency, job.seq, id));
+            self.waiting.remove(&(job.effective_priority, job.queue_sequence, id));
+            job.effective_priority = urgency;
+            self.waiting.insert((urgency, job.queue_sequence, id));
         }
     }
 
     /// Enters a job whose acceptance is not durable yet.
-    pub fn enter(&mut self, record: JobRecord, now: Timestamp, ours: bool) {
+    pub fn insert(&mut self, record: JobSpec, now: Timestamp, ours: bool) {
         // Among equals, short tasks go first, but nothing waits for ever: it is as if a job had come
         // later by half of what its tasks take.
-        let seq = now.as_millis() + record.estimate.as_millis() / 2;
-        self.waiting.insert((record.rank, seq, record.id));
+        let seq = now.as_millis() + record.estimated_duration.as_millis() / 2;
+        self.waiting.insert((record.priority, seq, record.id));
         let job = Job {
-            seq,
-            urgency: record.rank,
-            submitted: now,
+            queue_sequence: seq,
+            effective_priority: record.priority,
+            submitted_at: now,
             durable: false,
-            ours,
-            pending: TaskIndexSet::below(record.tasks),
-            done: TaskIndexSet::default(),
-            durably_done: TaskIndexSet::default(),
-            placed: BTreeMap::new(),
+            accepted_by_this_leader: ours,
+            pending: TaskIndexSet::below(record.task_count),
+            finished: TaskIndexSet::default(),
+            durably_finished: TaskIndexSet::default(),
+            placements: BTreeMap::new(),
             cancelling: false,
             failed_on: Vec::new(),
-            failures: 0,
-            not_before: Timestamp::ZERO,
-            looked: Timestamp::ZERO,
-            gang: record.gang.then(Gang::default),
-            record: Rc::new(record),
+            consecutive_failures: 0,
+            retry_not_before: Timestamp::ZERO,
+            last_planned_at: Timestamp::ZERO,
+            gang: record.is_gang.then(Gang::default),
+            spec: Rc::new(record),
         };
         if job.gang.is_some() {
-            self.gangs.insert(job.record.id);
+            self.gangs.insert(job.spec.id);
         }
-        self.live.insert(job.record.id, job);
+        self.live.insert(job.spec.id, job);
     }
 
     /// Applies a durable fact, in the order of the log; the same when it is read back as when it
     /// has just been written, so that leaders agree.
-    pub fn apply(&mut self, record: &Record, now: Timestamp, wall: WallClock) -> Applied {
+    pub fn apply(&mut self, record: &LogRecord, now: Timestamp, wall: WallClock) -> ApplyOutcome {
         match record {
-            Record::Job(job) => {
-                if self.finals.contains_key(&job.id) {
-                    return Applied::Nothing;
+            LogRecord::JobAccepted(job) => {
+                if self.terminal.contains_key(&job.id) {
+                    return ApplyOutcome::Unchanged;
                 }
                 if !self.live.contains_key(&job.id) {
-                    self.enter(job.clone(), wall.timestamp_of(now, job.at), false);
+                    self.insert(job.clone(), wall.timestamp_of(now, job.submitted_at), false);
                 }
                 if let Some(entry) = self.live.get_mut(&job.id) {
                     entry.durable = true;
                 }
-                Applied::Accepted(job.id)
+                ApplyOutcome::JobAccepted(job.id)
             }
-            Record::Done(id, tasks) => {
-                let Some(job) = self.live.get_mut(id) else { return Applied::Nothing };
-                for index in tasks.iter().filter(|i| *i < job.record.tasks) {
-                    job.done.insert(index);
+            LogRecord::TasksDone(id, tasks) => {
+                let Some(job) = self.live.get_mut(id) else { return ApplyOutcome::Unchanged };
+                for index in tasks.iter().filter(|i| *i < job.spec.task_count) {
+                    job.finished.insert(index);
                     job.pending.remove(index);
                     // A set, not a sum: a fact that is read twice must not make a job look done.
-                    job.durably_done.insert(index);
+                    job.durably_finished.insert(index);
                 }
-                if job.durably_done.len() < job.record.tasks {
-                    return Applied::Nothing;
+                if job.durably_finished.len() < job.spec.task_count {
+                    return ApplyOutcome::Unchanged;
                 }
-                let tasks = job.record.tasks;
-                self.end(*id, Final::Done(tasks))
+                let tasks = job.spec.task_count;
+                self.end(*id, TerminalState::Done(tasks))
             }
-            Record::Cancelled(id) if self.live.contains_key(id) => self.end(*id, Final::Cancelled),
-            Record::Finals(done, cancelled) => {
+            LogRecord::JobCancelled(id) if self.live.contains_key(id) => self.end(*id, TerminalState::Cancelled),
+            LogRecord::EndedJobs(done, cancelled) => {
                 let mut id = 0;
                 for (step, tasks) in done {
                     id += step;
-                    self.finals.insert(JobId(id), Final::Done(*tasks));
+                    self.terminal.insert(JobId(id), TerminalState::Done(*tasks));
                 }
                 id = 0;
                 for step in cancelled {
                     id += step;
-                    self.finals.insert(JobId(id), Final::Cancelled);
+                    self.terminal.insert(JobId(id), TerminalState::Cancelled);
                 }
-                Applied::Nothing
+                ApplyOutcome::Unchanged
             }
-            _ => Applied::Nothing,
+            _ => ApplyOutcome::Unchanged,
         }
     }
 
-    fn end(&mut self, id: JobId, how: Final) -> Applied {
-        let left = self.live.remove(&id).map(|job| job.placed.into_values().collect()).unwrap_or_default();
+    fn end(&mut self, id: JobId, how: TerminalState) -> ApplyOutcome {
+        let left = self.live.remove(&id).map(|job| job.placements.into_values().collect()).unwrap_or_default();
         self.gangs.remove(&id);
-        self.finals.insert(id, how);
-        Applied::Over(id, left)
+        self.terminal.insert(id, how);
+        ApplyOutcome::JobEnded(id, left)
     }
 
     /// All durable facts, for a snapshot.
-    pub fn facts(&self) -> Vec<Record> {
+    pub fn snapshot_records(&self) -> Vec<LogRecord> {
         let mut facts = Vec::new();
         let mut done: Vec<(u64, u32)> = Vec::new();
         let mut cancelled: Vec<u64> = Vec::new();
-        for (id, how) in &self.finals {
+        for (id, how) in &self.terminal {
             match how {
-                Final::Done(tasks) => done.push((id.0, *tasks)),
-                Final::Cancelled => cancelled.push(id.0),
+                TerminalState::Done(tasks) => done.push((id.0, *tasks)),
+                TerminalState::Cancelled => cancelled.push(id.0),
             }
         }
         done.sort_unstable();
         cancelled.sort_unstable();
         for part in done.chunks(FINALS_LIMIT) {
             let mut last = 0;
-            facts.push(Record::Finals(
+            facts.push(LogRecord::EndedJobs(
                 part.iter().map(|(id, n)| (id - std::mem::replace(&mut last, *id), *n)).collect(),
                 vec![],
             ));
         }
         for part in cancelled.chunks(FINALS_LIMIT) {
             let mut last = 0;
-            facts.push(Record::Finals(vec![], part.iter().map(|id| id - std::mem::replace(&mut last, *id)).collect()));
+            facts.push(LogRecord::EndedJobs(
+                vec![],
+                part.iter().map(|id| id - std::mem::replace(&mut last, *id)).collect(),
+            ));
         }
         for job in self.live.values().filter(|j| j.durable) {
-            facts.push(Record::Job((*job.record).clone()));
-            for part in job.durably_done.split_by_ranges(RANGES_LIMIT) {
-                facts.push(Record::Done(job.record.id, part));
+            facts.push(LogRecord::JobAccepted((*job.spec).clone()));
+            for part in job.durably_finished.split_by_ranges(RANGES_LIMIT) {
+                facts.push(LogRecord::TasksDone(job.spec.id, part));
             }
         }
         facts
     }
 
     /// A job's state as users see it; `None` for a job that was never accepted.
-    pub fn state(&self, id: JobId) -> Option<Value> {
-        let reference = id.to_string();
-        if let Some(how) = self.finals.get(&id) {
-            return Some(match how {
-                Final::Done(n) => json!({"Ref": reference, "Status": "done", "done": n, "running": 0}),
-                Final::Cancelled => json!({"Ref": reference, "Status": "aborted", "done": 0, "running": 0}),
-            });
+    pub fn status(&self, id: JobId) -> Option<JobStatusResponse> {
+        if let Some(state) = self.terminal.get(&id) {
+            let (status, done) = match state {
+                TerminalState::Done(tasks) => (JobStatus::Done, *tasks),
+                TerminalState::Cancelled => (JobStatus::Cancelled, 0),
+            };
+            return Some(JobStatusResponse { job: id, status, done, running: 0 });
         }
         let job = self.live.get(&id)?;
-        let running = job.running();
-        let status = if running > 0 { "running" } else { "queued" };
-        Some(json!({"Ref": reference, "Status": status, "done": job.durably_done.len(), "running": running}))
+        let running = job.running_tasks() as u32;
+        let status = if running > 0 { JobStatus::Running } else { JobStatus::Queued };
+        Some(JobStatusResponse { job: id, status, done: job.durably_finished.len(), running })
     }
 }
--- a/src/intake/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,8 +1,8 @@
-use super::submission::GANGS_AFTER;
+use super::feasibility::GANGS_RETRY_AFTER_S;
 use super::*;
-use crate::records::Record;
 use crate::types::{JobId, TaskIndexSet, Timestamp, WallClock};
-use crate::wire::Flavor;
+use crate::wire::MachineType;
+use crate::write_ahead_log::LogRecord;
 use serde_json::{Value, json};
 
 /// A submission, for tests everywhere.
@@ -13,8 +13,8 @@
            "StashS": 0.0, "DueS": 90.0, "Later": {"x": 1}})
 }
 
-fn parse(value: &Value) -> Result<JobRecord, Refusal> {
-    parse_job(value.to_string().as_bytes(), WallClock::from_millis(5))
+fn parse(value: &Value) -> Result<JobSpec, Refusal> {
+    parse_submission(value.to_string().as_bytes(), WallClock::from_millis(5))
 }
 
 #[test]
@@ -51,19 +51,19 @@
         let mut wrong = good.clone();
         wrong[name] = value.clone();
         match parse(&wrong) {
-            Err(Refusal::Malformed(field, _)) => assert_eq!(field, name, "{value}"),
+            Err(Refusal::Malformed { field, .. }) => assert_eq!(field, name, "{value}"),
             other => panic!("{name} = {value}: {other:?}"),
         }
     }
-    assert!(matches!(parse_job(b"[1]", WallClock::from_millis(0)), Err(Refusal::Malformed("", _))));
-    assert!(matches!(parse_job(b"{", WallClock::from_millis(0)), Err(Refusal::Malformed("", _))));
+    assert!(matches!(parse_submission(b"[1]", WallClock::default()), Err(Refusal::Malformed { field: "", .. })));
+    assert!(matches!(parse_submission(b"{", WallClock::default()), Err(Refusal::Malformed { field: "", .. })));
     assert!(matches!(
-        parse_job(br#"{"Ref":"job-000001","Cores":1e999}"#, WallClock::from_millis(0)),
-        Err(Refusal::Malformed(..))
+        parse_submission(br#"{"Ref":"job-000001","Cores":1e999}"#, WallClock::default()),
+        Err(Refusal::Malformed { .. })
     ));
 }
 
-pub(crate) fn flavor() -> Flavor {
+pub(crate) fn flavor() -> MachineType {
     serde_json::from_value(json!({"Label": "small", "Cores": 4, "MemoryGb": 16.0, "LocalGb": 70.0, "FetchGbPerS": 1.0,
         "Hourly": 0.26, "MarketPrice": 0.1, "BootS": 15, "Yards": ["a", "b"]}))
     .unwrap()
@@ -76,13 +76,13 @@
     let check = |change: &dyn Fn(&mut Value)| {
         let mut value = submission("job-000001");
         change(&mut value);
-        can_ever_run(&parse(&value).unwrap(), &teams, Some(&flavors), false)
+        check_feasible(&parse(&value).unwrap(), &teams, Some(&flavors), false)
     };
     assert_eq!(check(&|_| {}), Ok(()));
-    assert!(matches!(check(&|v| v["Crew"] = json!("nobody")), Err(Refusal::Never(_))));
-    assert!(matches!(check(&|v| v["MemoryGb"] = json!(16.1)), Err(Refusal::Never(_))));
-    assert!(matches!(check(&|v| v["Builds"] = json!(["huge"])), Err(Refusal::Never(_))));
-    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(Refusal::Never(_))));
+    assert!(matches!(check(&|v| v["Crew"] = json!("nobody")), Err(Refusal::Infeasible(_))));
+    assert!(matches!(check(&|v| v["MemoryGb"] = json!(16.1)), Err(Refusal::Infeasible(_))));
+    assert!(matches!(check(&|v| v["Builds"] = json!(["huge"])), Err(Refusal::Infeasible(_))));
+    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(Refusal::Infeasible(_))));
     let small = |v: &mut Value| {
         v["Crew"] = json!("small");
         v["Pieces"] = json!(3);
@@ -92,9 +92,9 @@
         small(v);
         v["Shape"] = json!("standing");
     };
-    assert!(matches!(check(&service), Err(Refusal::Never(_))), "a service needs all its tasks at once");
+    assert!(matches!(check(&service), Err(Refusal::Infeasible(_))), "a service needs all its tasks at once");
     let job = parse(&submission("job-000001")).unwrap();
-    assert!(matches!(can_ever_run(&job, &teams, None, true), Err(Refusal::NotYet(_, 1))));
+    assert!(matches!(check_feasible(&job, &teams, None, true), Err(Refusal::NotYet { retry_after: 1, .. })));
 }
 
 /// While not all controllers are upgraded a gang is refused at once, with a time to come back; what is malformed, or can never run, is so
@@ -107,9 +107,9 @@
         let mut value = submission("job-000001");
         value["Shape"] = json!("group");
         change(&mut value);
-        can_ever_run(&parse(&value).unwrap(), &teams, Some(&flavors), gangs)
+        check_feasible(&parse(&value).unwrap(), &teams, Some(&flavors), gangs)
     };
-    assert!(matches!(check_at(false, &|_| {}), Err(Refusal::NotYet(_, GANGS_AFTER))));
+    assert!(matches!(check_at(false, &|_| {}), Err(Refusal::NotYet { retry_after: GANGS_RETRY_AFTER_S, .. })));
     assert_eq!(check_at(true, &|_| {}), Ok(()));
     let check = |change: &dyn Fn(&mut Value)| {
         assert_eq!(check_at(false, change), check_at(true, change));
@@ -119,11 +119,11 @@
         v["Crew"] = json!("small");
         v["Pieces"] = json!(3);
     };
-    assert!(matches!(check(&beyond), Err(Refusal::Never(_))), "all its tasks together exceed the limit");
-    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(Refusal::Never(_))));
+    assert!(matches!(check(&beyond), Err(Refusal::Infeasible(_))), "all its tasks together exceed the limit");
+    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(Refusal::Infeasible(_))));
     let mut value = submission("job-000001");
     (value["Shape"], value["Reel"]) = (json!("group"), json!(null));
-    assert!(matches!(parse(&value), Err(Refusal::Malformed("Reel", _))));
+    assert!(matches!(parse(&value), Err(Refusal::Malformed { field: "Reel", .. })));
 }
 
 /// A state service that lowers its limits takes values of 2 KiB: no fact of a snapshot may be larger.
@@ -136,26 +136,30 @@
     }
     let mut value = submission("job-000001");
     value["Pieces"] = json!(2000);
-    jobs.apply(&Record::Job(parse(&value).unwrap()), Timestamp::from_millis(9), WallClock::from_millis(9));
-    jobs.apply(&Record::Done(JobId(1), every_other), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&LogRecord::JobAccepted(parse(&value).unwrap()), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&LogRecord::TasksDone(JobId(1), every_other), Timestamp::from_millis(9), WallClock::from_millis(9));
     for n in 0..1000 {
         let id = 100_000_000_000_000 + n * 9_000_000_000;
         let mut value = submission(&format!("job-{id}"));
         value["Pieces"] = json!(1);
-        jobs.apply(&Record::Job(parse(&value).unwrap()), Timestamp::from_millis(9), WallClock::from_millis(9));
+        jobs.apply(
+            &LogRecord::JobAccepted(parse(&value).unwrap()),
+            Timestamp::from_millis(9),
+            WallClock::from_millis(9),
+        );
         let mut all = TaskIndexSet::default();
         all.insert(0);
-        let end = if n % 2 == 0 { Record::Cancelled(JobId(id)) } else { Record::Done(JobId(id), all) };
+        let end = if n % 2 == 0 { LogRecord::JobCancelled(JobId(id)) } else { LogRecord::TasksDone(JobId(id), all) };
         jobs.apply(&end, Timestamp::from_millis(9), WallClock::from_millis(9));
     }
     let mut again = JobStore::default();
-    for fact in jobs.facts() {
+    for fact in jobs.snapshot_records() {
         let size = serde_json::to_string(&fact).unwrap().len();
         assert!(size <= 2 * 1024 - 64 - 2, "{size} bytes: {fact:?}");
         again.apply(&fact, Timestamp::from_millis(9), WallClock::from_millis(9));
     }
-    assert_eq!((again.finals(), again.open()), (1000, 1));
-    assert_eq!(again.get(JobId(1)).unwrap().durably_done.len(), 1000);
+    assert_eq!((again.terminal_count(), again.open_count()), (1000, 1));
+    assert_eq!(again.get(JobId(1)).unwrap().durably_finished.len(), 1000);
 }
 
 #[test]
@@ -163,21 +167,21 @@
     let (mut jobs, mut again) = (JobStore::default(), JobStore::default());
     for n in 1..=3 {
         let record = parse(&submission(&format!("job-00000{n}"))).unwrap();
-        jobs.apply(&Record::Job(record), Timestamp::from_millis(9), WallClock::from_millis(9));
+        jobs.apply(&LogRecord::JobAccepted(record), Timestamp::from_millis(9), WallClock::from_millis(9));
     }
     let mut two = TaskIndexSet::below(2);
-    jobs.apply(&Record::Done(JobId(1), two.clone()), Timestamp::from_millis(9), WallClock::from_millis(9));
-    jobs.apply(&Record::Cancelled(JobId(2)), Timestamp::from_millis(9), WallClock::from_millis(9));
-    jobs.apply(&Record::Cancelled(JobId(1)), Timestamp::from_millis(9), WallClock::from_millis(9)); // too late: it is done
+    jobs.apply(&LogRecord::TasksDone(JobId(1), two.clone()), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&LogRecord::JobCancelled(JobId(2)), Timestamp::from_millis(9), WallClock::from_millis(9));
+    jobs.apply(&LogRecord::JobCancelled(JobId(1)), Timestamp::from_millis(9), WallClock::from_millis(9)); // too late: it is done
     two.remove(0);
-    jobs.apply(&Record::Done(JobId(3), two), Timestamp::from_millis(9), WallClock::from_millis(9));
-    for fact in jobs.facts() {
+    jobs.apply(&LogRecord::TasksDone(JobId(3), two), Timestamp::from_millis(9), WallClock::from_millis(9));
+    for fact in jobs.snapshot_records() {
         again.apply(&fact, Timestamp::from_millis(9), WallClock::from_millis(9));
     }
     for (n, status) in [(1, "done"), (2, "aborted"), (3, "queued")] {
-        assert_eq!(jobs.state(JobId(n)), again.state(JobId(n)));
-        assert_eq!(again.state(JobId(n)).unwrap()["Status"], status);
+        assert_eq!(jobs.status(JobId(n)), again.status(JobId(n)));
+        assert_eq!(serde_json::to_value(again.status(JobId(n)).unwrap()).unwrap()["Status"], status);
     }
     assert_eq!(again.get(JobId(3)).unwrap().pending, TaskIndexSet::below(1));
-    assert_eq!(again.state(JobId(4)), None);
+    assert_eq!(again.status(JobId(4)), None);
 }
--- a/src/term/admission.rs
+++ b/src/leader/admission.rs
@@ -1,10 +1,12 @@
 //! Where admission meets the term: what it is shown, its tables, and what operators can read of it.
 
 use super::*;
-use crate::store::{StateCall, condition};
+use crate::store::{StoreRequest, condition};
 use crate::types::Revision;
-use crate::wire::{Change, Txn};
-use caperstile_admission::{AdmissionStatus, Pair, PairBacklog, RefusedPair, STATUS_KEY};
+use crate::wire::{CompareAndSwap, StoreWrite};
+use caperstile_admission::{
+    AdmissionPolicy, AdmissionStatus, DemandReport, Pair, PairBacklog, RefusedPair, STATUS_KEY, Utilization,
+};
 
 /// Jobs of a class with an aim at finishing may wait for this part of its time; the rest is for running.
 const WAIT_SHARE: f64 = 1.0 / 3.0;
@@ -17,14 +19,39 @@
 
 /// What was written last for operators.
 #[derive(Debug, Default)]
-pub(super) struct StatusWritten {
+pub(super) struct StatusWriter {
     at: Timestamp,
     /// Whether it said that something is refused.
     refusing: bool,
     calls: u64,
 }
 
-impl Term {
+impl Leader {
+    /// The admission table that was made last.
+    pub(crate) fn current_admission_table(&self) -> &AdmissionTable {
+        self.admission.table()
+    }
+
+    /// Goes on with the limits of the leader before.
+    pub(crate) fn inherit_admission_table(&mut self, now: Timestamp, table: &AdmissionTable) {
+        self.admission.inherit(now, table);
+    }
+
+    /// The operators have changed the settings of admission.
+    pub(crate) fn set_admission_policy(&mut self, policy: AdmissionPolicy) {
+        self.admission.set_policy(policy);
+    }
+
+    /// How busy this node was in the last second.
+    pub(crate) fn observe_utilization(&mut self, now: Timestamp, utilization: Utilization) {
+        self.admission.observe(now, utilization, self.planning.pacing.behind);
+    }
+
+    /// What another node has refused by this leader's tables.
+    pub(crate) fn note_refused_elsewhere(&mut self, now: Timestamp, report: &DemandReport) {
+        self.admission.refused_elsewhere(now, report);
+    }
+
     /// Makes a new admission table if one is due.
     pub(crate) fn admission_table(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
         if self.admission.wants_backlog(now) {
@@ -49,18 +76,18 @@
     /// Writes what operators can read, now and then while something is refused and once when that is over. Nobody waits for it: what is
     /// lost is written again, or is old enough to be told from a refusal that goes on.
     pub(crate) fn write_admission_status(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
-        let told = !self.admission.is_refusing() && !self.admission_written.refusing;
-        if told || now.since(self.admission_written.at) < STATUS_EVERY {
+        let told = !self.admission.is_refusing() && !self.admission_status.refusing;
+        if told || now.since(self.admission_status.at) < STATUS_EVERY {
             return;
         }
         let status = self.admission.status(now);
         let refused: Vec<RefusedPair> = status.iter().filter_map(|pair| RefusedPair::of(pair, now)).collect();
-        if refused.is_empty() && !self.admission_written.refusing {
+        if refused.is_empty() && !self.admission_status.refusing {
             return;
         }
-        self.admission_written.at = now;
-        self.admission_written.refusing = !refused.is_empty();
-        self.admission_written.calls += 1;
+        self.admission_status.at = now;
+        self.admission_status.refusing = !refused.is_empty();
+        self.admission_status.calls += 1;
         let status = AdmissionStatus {
             token: self.token,
             sequence: self.admission.table().number.sequence,
@@ -71,27 +98,31 @@
         };
         let bytes = (self.settings.deployment.state.value_kb_always() * 1024.0) as usize;
         let value = serde_json::to_value(status.fit(bytes.saturating_sub(VALUE_MARGIN))).unwrap_or_default();
-        let txn = Txn {
+        let txn = CompareAndSwap {
             conditions: vec![condition(self.format.leader_key(), Revision(self.token.0))],
-            changes: vec![Change::Put { key: STATUS_KEY.into(), value, lease: None }],
+            writes: vec![StoreWrite::Put { key: STATUS_KEY.into(), value, lease: None }],
         };
-        out.push(Effect::State(Slot::Admission, self.admission_written.calls, StateCall::Txn(txn)));
+        out.push(Effect::QueryStore(
+            StoreCaller::AdmissionStatus,
+            self.admission_status.calls,
+            StoreRequest::CompareAndSwap(txn),
+        ));
     }
 
     /// What waits of each team's classes whose jobs end by themselves. Services are left out: they wait for machines that boot.
     pub(super) fn backlog_by_pair(&self, now: Timestamp) -> BTreeMap<Pair, PairBacklog> {
         let mut waiting: BTreeMap<(&str, &str), PairBacklog> = BTreeMap::new();
-        for job in self.jobs.waiting().filter(|job| !job.record.service && job.durable && !job.cancelling) {
-            if job.not_before > now {
+        for job in self.jobs.waiting().filter(|job| !job.spec.is_service && job.durable && !job.cancelling) {
+            if job.retry_not_before > now {
                 // It failed on several machines, and waits for that.
                 continue;
             }
-            let (team, class) = (job.record.team.as_str(), job.record.class.as_str());
+            let (team, class) = (job.spec.team.as_str(), job.spec.class.as_str());
             let none = || PairBacklog { waiting_tasks: 0, oldest: None, longest_wait: self.longest_wait(class) };
             let entry = waiting.entry((team, class)).or_insert_with(none);
             entry.waiting_tasks += u64::from(job.pending.len());
-            if job.placed.is_empty() && job.done.is_empty() {
-                entry.oldest = Some(entry.oldest.map_or(job.submitted, |oldest| oldest.min(job.submitted)));
+            if job.placements.is_empty() && job.finished.is_empty() {
+                entry.oldest = Some(entry.oldest.map_or(job.submitted_at, |oldest| oldest.min(job.submitted_at)));
             }
         }
         waiting.into_iter().map(|((team, class), backlog)| (Pair::new(team, class), backlog)).collect()
--- a/src/drains/fleet.rs
+++ b/src/leader/drains/fleet.rs
@@ -2,47 +2,47 @@
 
 use super::RoomPlanner;
 use crate::gang;
-use crate::intake::{Job, Placed};
-use crate::records::MachineRecord;
-use crate::term::Term;
+use crate::jobs::{Job, Placement};
+use crate::leader::Leader;
 use crate::types::{AttemptId, Duration, MachineId, Timestamp, WallClock};
-use crate::workers::{Hold, Machine, Phase};
+use crate::workers::{AttemptPhase, Machine, TaskAttempt};
+use crate::write_ahead_log::MachineRecord;
 use caperstile_disruption::records::Charge;
 use caperstile_disruption::{
-    ChargeState, Demand, Fleet, MachineView, Place, Rooms, Supply, TaskClass, TaskKind, TaskView,
+    ChargeState, Demand, Fleet, InstancePool, MachineView, Rooms, Supply, TaskClass, TaskKind, TaskView,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A term at one moment.
 pub(super) struct FleetView<'a> {
-    term: &'a Term,
+    term: &'a Leader,
     now: Timestamp,
     wall: WallClock,
     overdue: Duration,
 }
 
 impl<'a> FleetView<'a> {
-    pub(super) fn new(term: &'a Term, now: Timestamp, wall: WallClock) -> FleetView<'a> {
+    pub(super) fn new(term: &'a Leader, now: Timestamp, wall: WallClock) -> FleetView<'a> {
         FleetView { term, now, wall, overdue: term.settings.deployment.workers.overdue() }
     }
 
     fn reachable(&self, machine: &Machine) -> bool {
-        machine.in_reach(self.now, self.overdue)
+        machine.reached_within(self.now, self.overdue)
     }
 
-    fn hold(&self, placed: &Placed) -> Option<&Hold> {
-        self.term.machines.get(&placed.machine)?.holds.get(&placed.key)
+    fn hold(&self, placed: &Placement) -> Option<&TaskAttempt> {
+        self.term.machines.get(&placed.machine)?.attempts.get(&placed.attempt)
     }
 
-    fn task(&self, machine: &Machine, key: &AttemptId, hold: &Hold) -> Option<TaskView> {
+    fn task(&self, machine: &Machine, key: &AttemptId, hold: &TaskAttempt) -> Option<TaskView> {
         let job = self.term.jobs.get(hold.task.job)?;
-        let saves = job.record.checkpoint.as_millis() > 0;
-        let kind = match (job.record.service, job.record.gang) {
+        let saves = job.spec.checkpoint_interval.as_millis() > 0;
+        let kind = match (job.spec.is_service, job.spec.is_gang) {
             (true, _) => TaskKind::Replica,
-            (false, true) => TaskKind::Gang { saves, tasks: job.record.tasks },
+            (false, true) => TaskKind::Gang { saves, tasks: job.spec.task_count },
             (false, false) => TaskKind::Batch { saves },
         };
-        let ends_in = hold.predicted.map(|predicted| (hold.since + predicted).since(self.now));
+        let ends_in = hold.predicted_duration.map(|predicted| (hold.requested_at + predicted).since(self.now));
         Some(TaskView {
             key: *key,
             class: class_of(job),
@@ -54,16 +54,16 @@
     }
 
     fn task_charge_state(&self, job: &Job, index: u32, charge: &Charge) -> ChargeState {
-        let (class, replica) = (class_of(job), job.record.service);
+        let (class, replica) = (class_of(job), job.spec.is_service);
         let out = ChargeState::Out { class: class.clone(), counted: replica };
-        if job.done.contains(index) {
+        if job.finished.contains(index) {
             return ChargeState::Returned;
         }
-        let Some(placed) = job.placed.get(&index) else { return out };
+        let Some(placed) = job.placements.get(&index) else { return out };
         let Some(hold) = self.hold(placed) else { return out };
-        match (placed.key.attempt == charge.attempt, stopping(hold)) {
+        match (placed.attempt.attempt == charge.attempt, stopping(hold)) {
             (_, true) => out,
-            (false, false) if hold.phase == Phase::Running => ChargeState::Returned,
+            (false, false) if hold.phase == AttemptPhase::Running => ChargeState::Returned,
             (false, false) => out,
             (true, false) => {
                 let reachable = self.term.machines.get(&placed.machine).is_some_and(|m| self.reachable(m));
@@ -77,41 +77,41 @@
         let Some(gang) = &job.gang else { return ChargeState::Returned };
         let live = gang.attempt == Some(charge.attempt);
         match gang.phase {
-            gang::Phase::Gathering { .. } | gang::Phase::Running if live => {
+            gang::GangPhase::AwaitingMembers { .. } | gang::GangPhase::Running if live => {
                 ChargeState::Standing { class, counted: false }
             }
-            gang::Phase::Running => ChargeState::Returned,
+            gang::GangPhase::Running => ChargeState::Returned,
             _ => ChargeState::Out { class, counted: false },
         }
     }
 }
 
 /// Where and how a machine is rented.
-pub(super) fn place_of(record: &MachineRecord) -> Place {
-    Place { kind: record.kind.clone(), zone: record.zone.clone(), spot: record.spot }
+pub(super) fn place_of(record: &MachineRecord) -> InstancePool {
+    InstancePool { kind: record.machine_type.clone(), zone: record.zone.clone(), spot: record.spot }
 }
 
 fn class_of(job: &Job) -> TaskClass {
-    TaskClass { team: job.record.team.clone(), class: job.record.class.clone() }
+    TaskClass { team: job.spec.team.clone(), class: job.spec.class.clone() }
 }
 
-fn stopping(hold: &Hold) -> bool {
-    hold.stop.is_some() || matches!(hold.phase, Phase::Saving | Phase::Exited)
+fn stopping(hold: &TaskAttempt) -> bool {
+    hold.stop_grace_s.is_some() || matches!(hold.phase, AttemptPhase::Checkpointing | AttemptPhase::Exited)
 }
 
-fn runs(hold: &Hold) -> bool {
-    hold.phase == Phase::Running && !stopping(hold)
+fn runs(hold: &TaskAttempt) -> bool {
+    hold.phase == AttemptPhase::Running && !stopping(hold)
 }
 
 impl Fleet for FleetView<'_> {
     fn settled(&self) -> bool {
-        self.term.loaded() && self.term.open()
+        self.term.is_loaded() && self.term.all_machines_fenced()
     }
 
     fn lost_zone(&self) -> Option<String> {
-        let mut zones: Vec<&String> = self.term.lost_zones.keys().collect();
+        let mut zones: Vec<&String> = self.term.zones.unreachable.keys().collect();
         zones.sort();
-        zones.into_iter().find(|zone| self.term.lost_since(zone, self.now).is_some()).cloned()
+        zones.into_iter().find(|zone| self.term.zone_unreachable_since(zone, self.now).is_some()).cloned()
     }
 
     fn machine_ids(&self) -> Vec<MachineId> {
@@ -124,13 +124,13 @@
 
     fn machine(&self, id: MachineId) -> Option<MachineView> {
         let machine = self.term.machines.get(&id)?;
-        let on_machine = machine.holds.iter().filter(|(_, hold)| hold.claimed && hold.occupies());
+        let on_machine = machine.attempts.iter().filter(|(_, hold)| hold.assigned && hold.occupies_resources());
         Some(MachineView {
             place: place_of(&machine.record),
-            rented_at: machine.record.at,
+            rented_at: machine.record.rented_at,
             reachable: self.reachable(machine),
             // One that is out of order keeps the services that run on it, so it does not go by itself.
-            leaving: self.term.inventory.is_returning(id) || machine.notice.is_some(),
+            leaving: self.term.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
             tasks: on_machine.filter_map(|(key, hold)| self.task(machine, key, hold)).collect(),
         })
     }
@@ -139,17 +139,20 @@
         let mut demand: BTreeMap<(&str, &str), Demand> = BTreeMap::new();
         let counts = |job: &&Job| job.durable && !job.cancelling;
         for job in self.term.jobs.live().filter(counts) {
-            let class = demand.entry((&job.record.team, &job.record.class)).or_default();
-            let wanted = job.record.tasks.saturating_sub(job.done.len());
+            let class = demand.entry((&job.spec.team, &job.spec.class)).or_default();
+            let wanted = job.spec.task_count.saturating_sub(job.finished.len());
             class.wanted += wanted;
-            class.unavailable += if job.record.service { wanted } else { 0 };
+            class.unavailable += if job.spec.is_service { wanted } else { 0 };
         }
         for machine in self.term.machines.values().filter(|machine| self.reachable(machine)) {
             // Services alone have no predicted end.
-            let replicas = machine.holds.values().filter(|hold| hold.claimed && hold.predicted.is_none() && runs(hold));
+            let replicas = machine
+                .attempts
+                .values()
+                .filter(|hold| hold.assigned && hold.predicted_duration.is_none() && runs(hold));
             for job in replicas.filter_map(|hold| self.term.jobs.get(hold.task.job)).filter(counts) {
-                if let Some(class) = demand.get_mut(&(job.record.team.as_str(), job.record.class.as_str())) {
-                    class.unavailable = class.unavailable.saturating_sub(u32::from(job.record.service));
+                if let Some(class) = demand.get_mut(&(job.spec.team.as_str(), job.spec.class.as_str())) {
+                    class.unavailable = class.unavailable.saturating_sub(u32::from(job.spec.is_service));
                 }
             }
         }
@@ -172,27 +175,27 @@
         Box::new(RoomPlanner::for_drains(self.term, without))
     }
 
-    fn supply(&self, place: &Place, since: WallClock, without: &BTreeSet<MachineId>) -> Supply {
-        let inventory = &self.term.inventory;
+    fn supply(&self, place: &InstancePool, since: WallClock, without: &BTreeSet<MachineId>) -> Supply {
+        let inventory = &self.term.cloud;
         let here = |kind: &str, zone: &str, spot: bool| {
             (kind, zone, spot) == (place.kind.as_str(), place.zone.as_str(), place.spot)
         };
         let fresh = |m: &&Machine| {
-            here(&m.record.kind, &m.record.zone, m.record.spot)
-                && m.record.at >= since
+            here(&m.record.machine_type, &m.record.zone, m.record.spot)
+                && m.record.rented_at >= since
                 && !without.contains(&m.id())
                 && m.draining.is_none()
-                && m.notice.is_none()
-                && !inventory.is_returning(m.id())
+                && m.reclaim_at.is_none()
+                && !inventory.is_releasing(m.id())
         };
         let (up, coming): (Vec<&Machine>, Vec<&Machine>) =
-            self.term.machines.values().filter(fresh).partition(|m| m.usable() && self.reachable(m));
-        let booting = inventory.booting().filter(|(_, b)| here(&b.kind, &b.zone, b.spot));
-        let booting = booting.filter(|(_, b)| self.wall.at_timestamp(self.now, b.since) >= since).count();
+            self.term.machines.values().filter(fresh).partition(|m| m.accepts_tasks() && self.reachable(m));
+        let booting = inventory.pending().filter(|(_, b)| here(&b.machine_type, &b.zone, b.spot));
+        let booting = booting.filter(|(_, b)| self.wall.at_timestamp(self.now, b.requested_at) >= since).count();
         Supply {
             up: up.len() as u32,
             booting: (coming.len() + booting) as u32,
-            refused: inventory.refused(&(place.kind.clone(), place.zone.clone(), place.spot), self.now),
+            refused: inventory.recently_refused(&(place.kind.clone(), place.zone.clone(), place.spot), self.now),
         }
     }
 }
--- a/src/drains/rooms.rs
+++ b/src/leader/drains/rooms.rs
@@ -1,9 +1,9 @@
 //! Free room for replicas that have to leave their machines.
 
-use crate::intake::{self, Job};
-use crate::term::Term;
+use crate::jobs::{self, Job};
+use crate::leader::Leader;
 use crate::types::{AttemptId, JobId, MachineId, Resources};
-use crate::workers::{Hold, Machine};
+use crate::workers::{Machine, TaskAttempt};
 use caperstile_disruption::Rooms;
 use std::collections::{BTreeSet, HashMap};
 
@@ -20,7 +20,7 @@
 
 /// Room of machines that is given away step by step, so that several replicas do not count on the same.
 pub(crate) struct RoomPlanner<'a> {
-    term: &'a Term,
+    term: &'a Leader,
     rooms: Vec<Room<'a>>,
     /// Replicas of a job that were given room in a zone.
     arrived: HashMap<(JobId, usize), u32>,
@@ -40,7 +40,7 @@
 
 impl<'a> RoomPlanner<'a> {
     /// Room of ordinary machines that take work and are in reach, without these.
-    pub(crate) fn for_drains(term: &'a Term, without: &BTreeSet<MachineId>) -> RoomPlanner<'a> {
+    pub(crate) fn for_drains(term: &'a Leader, without: &BTreeSet<MachineId>) -> RoomPlanner<'a> {
         let mut planner = RoomPlanner {
             term,
             rooms: rooms_up(term, without),
@@ -53,12 +53,12 @@
     }
 
     /// The same, for replicas that are moved only to save money.
-    pub(crate) fn for_consolidation(term: &'a Term, from: MachineId) -> RoomPlanner<'a> {
+    pub(crate) fn for_consolidation(term: &'a Leader, from: MachineId) -> RoomPlanner<'a> {
         RoomPlanner { cautious: true, ..RoomPlanner::for_drains(term, &BTreeSet::from([from])) }
     }
 
     /// The same as for drains, with room of machines that are on their way.
-    pub(crate) fn with_booting(term: &'a Term, without: &BTreeSet<MachineId>) -> RoomPlanner<'a> {
+    pub(crate) fn with_booting(term: &'a Leader, without: &BTreeSet<MachineId>) -> RoomPlanner<'a> {
         let mut planner = RoomPlanner::for_drains(term, without);
         planner.rooms.extend(rooms_on_their_way(term));
         planner
@@ -71,7 +71,7 @@
     }
 
     /// Gives room to all of these replicas, or to none.
-    pub(crate) fn take_all<'h>(&mut self, holds: impl Iterator<Item = &'h Hold>) -> bool {
+    pub(crate) fn take_all<'h>(&mut self, holds: impl Iterator<Item = &'h TaskAttempt>) -> bool {
         let mut given = Vec::new();
         for hold in holds {
             let Some(place) = self.take_one(hold) else {
@@ -83,9 +83,9 @@
         true
     }
 
-    fn take_one(&mut self, hold: &Hold) -> Option<Given> {
+    fn take_one(&mut self, hold: &TaskAttempt) -> Option<Given> {
         let job = self.term.jobs.get(hold.task.job)?;
-        let id = job.record.id;
+        let id = job.spec.id;
         let left = self.zone_of(job, hold).filter(|_| !self.cautious).map(|zone| (id, zone));
         if let Some(left) = left {
             *self.left.entry(left).or_default() += 1;
@@ -96,30 +96,30 @@
             there.saturating_sub(self.left.get(&(id, zone)).copied().unwrap_or(0))
         };
         let room = self.rooms.iter().position(|room| {
-            hold.need.fits(&room.free)
+            hold.resources.fits(&room.free)
                 && self.allowed(job, room)
                 && (!self.cautious || room.machine.is_some_and(|machine| machine.images.contains(&hold.image)))
-                && counted(room.zone) < job.record.zone_cap()
-                && !job.record.together
+                && counted(room.zone) < job.spec.max_tasks_per_zone()
+                && !job.spec.colocate_in_zone
         });
         let Some(room) = room else {
             self.returns(left);
             return None;
         };
         let arrived = (id, self.rooms[room].zone);
-        self.rooms[room].free.saturating_sub(&hold.need);
+        self.rooms[room].free.saturating_sub(&hold.resources);
         *self.arrived.entry(arrived).or_default() += 1;
-        Some(Given { room, need: hold.need, arrived, left })
+        Some(Given { room, need: hold.resources, arrived, left })
     }
 
     /// The zone in which a replica is.
-    fn zone_of(&self, job: &Job, hold: &Hold) -> Option<usize> {
-        let machine = self.term.machines.get(&job.placed.get(&hold.task.index)?.machine)?;
-        self.term.names.zone(&machine.record.zone)
+    fn zone_of(&self, job: &Job, hold: &TaskAttempt) -> Option<usize> {
+        let machine = self.term.machines.get(&job.placements.get(&hold.task.index)?.machine)?;
+        self.term.planning.names.zone(&machine.record.zone)
     }
 
     fn allowed(&self, job: &Job, room: &Room<'_>) -> bool {
-        job.record.allows(room.kind, room.zone_name, false) && !job.failed_on.contains(&room.id)
+        job.spec.allows(room.kind, room.zone_name, false) && !job.failed_on.contains(&room.id)
     }
 
     fn returns(&mut self, left: Option<(JobId, usize)>) {
@@ -141,26 +141,29 @@
     /// How many more tasks of a job have room.
     pub(crate) fn count(&self, job: &Job) -> u64 {
         let rooms = self.rooms.iter().filter(|room| self.allowed(job, room));
-        rooms.map(|room| job.record.need.copies_in(&room.free)).sum()
+        rooms.map(|room| job.spec.resources.copies_in(&room.free)).sum()
     }
 }
 
 /// Ordinary machines that take work and are in reach.
-fn rooms_up<'a>(term: &'a Term, without: &BTreeSet<MachineId>) -> Vec<Room<'a>> {
+fn rooms_up<'a>(term: &'a Leader, without: &BTreeSet<MachineId>) -> Vec<Room<'a>> {
     let overdue = term.settings.deployment.workers.overdue();
     // One that is out of reach, as all are in a zone that is cut off, is no place to move to.
     let open = |m: &&Machine| {
-        !without.contains(&m.id()) && m.usable() && !m.record.spot && m.in_reach(term.scheduled, overdue)
+        !without.contains(&m.id())
+            && m.accepts_tasks()
+            && !m.record.spot
+            && m.reached_within(term.planning.last_round_at, overdue)
     };
     let room = |machine: &'a Machine| {
-        let free = machine.free();
+        let free = machine.free_resources();
         (free.cpus > 0).then_some(())?;
         Some(Room {
             id: machine.id(),
             machine: Some(machine),
-            kind: &machine.record.kind,
+            kind: &machine.record.machine_type,
             zone_name: &machine.record.zone,
-            zone: term.names.zone(&machine.record.zone)?,
+            zone: term.planning.names.zone(&machine.record.zone)?,
             free,
         })
     };
@@ -168,14 +171,14 @@
 }
 
 /// Ordinary machines that were rented and have not reported yet, or cannot be used yet.
-fn rooms_on_their_way(term: &Term) -> Vec<Room<'_>> {
-    let booting = term.inventory.booting().filter(|(_, b)| !b.spot);
-    let booting = booting.map(|(id, b)| (*id, b.kind.as_str(), b.zone.as_str()));
-    let coming = term.machines.values().filter(|m| !m.record.spot && !m.usable() && m.draining.is_none());
-    let coming = coming.map(|m| (m.id(), m.record.kind.as_str(), m.record.zone.as_str()));
+fn rooms_on_their_way(term: &Leader) -> Vec<Room<'_>> {
+    let booting = term.cloud.pending().filter(|(_, b)| !b.spot);
+    let booting = booting.map(|(id, b)| (*id, b.machine_type.as_str(), b.zone.as_str()));
+    let coming = term.machines.values().filter(|m| !m.record.spot && !m.accepts_tasks() && m.draining.is_none());
+    let coming = coming.map(|m| (m.id(), m.record.machine_type.as_str(), m.record.zone.as_str()));
     let room = |(id, kind, zone_name): (MachineId, _, _)| {
-        let free = intake::capacity(term.inventory.flavor(kind)?);
-        Some(Room { id, machine: None, kind, zone_name, zone: term.names.zone(zone_name)?, free })
+        let free = jobs::capacity(term.cloud.machine_type(kind)?);
+        Some(Room { id, machine: None, kind, zone_name, zone: term.planning.names.zone(zone_name)?, free })
     };
     booting.chain(coming).filter_map(room).collect()
 }
@@ -183,6 +186,6 @@
 impl Rooms for RoomPlanner<'_> {
     fn take(&mut self, from: MachineId, tasks: &[AttemptId]) -> bool {
         let Some(machine) = self.term.machines.get(&from) else { return true };
-        self.take_all(tasks.iter().filter_map(|key| machine.holds.get(key)))
+        self.take_all(tasks.iter().filter_map(|key| machine.attempts.get(key)))
     }
 }
--- a/src/failure_detection.rs
+++ b/src/leader/failure_detection.rs
@@ -1,10 +1,10 @@
 //! Looking after machines: which are silent, in which zones, and whether this node reaches any at all.
 
-use crate::controller::Effect;
-use crate::term::{COMMAND_TIMEOUT, Over, Term};
+use crate::effects::Effect;
+use crate::leader::{COMMAND_TIMEOUT, Leader, StepDownReason};
 use crate::types::{Duration, MachineId, Timestamp};
-use crate::wire::Commands;
-use crate::workers::{self, Flight, Machine};
+use crate::wire::CommandBatch;
+use crate::workers::{self, InFlightCommand, Machine};
 use log::{info, warn};
 use std::collections::{BTreeSet, HashMap};
 
@@ -32,52 +32,76 @@
     }
 }
 
-impl Term {
+/// What is known of whole zones.
+#[derive(Debug, Default)]
+pub(super) struct ZoneHealth {
+    /// Zones of the nodes that led not long ago: if such a zone is cut off, that node most likely keeps the
+    /// leases of its machines alive.
+    pub(super) recent_leader_zones: BTreeSet<String>,
+    /// Zones in which most machines fell silent.
+    pub(super) unreachable: HashMap<String, LostZone>,
+    /// Zones in which no machine is up while others have several.
+    pub(super) empty: BTreeSet<String>,
+    /// Those of them where machines fell silent or do not come up.
+    pub(super) suspected: BTreeSet<String>,
+}
+
+/// Whether this node reaches workers at all.
+#[derive(Debug, Default)]
+pub(super) struct WorkerReachability {
+    /// How long nothing of ours has reached any worker, counted in ticks, so that a process that stood still
+    /// does not take its own absence for silence.
+    pub(super) unreached_for: Duration,
+    /// Whether anything has reached a worker since the election.
+    pub(super) ever_reached: bool,
+}
+
+impl Leader {
     /// Notes that this node reaches workers, if it does.
-    pub(crate) fn heard_of(&mut self, now: Timestamp, id: MachineId) {
-        if self.machines.get(&id).is_some_and(|m| m.reached == now && m.fenced) {
-            self.silent_for = Duration::ZERO;
-            self.reaches = true;
+    pub(crate) fn note_worker_reached(&mut self, now: Timestamp, id: MachineId) {
+        if self.machines.get(&id).is_some_and(|m| m.last_reached_at == now && m.fenced) {
+            self.reachability.unreached_for = Duration::ZERO;
+            self.reachability.ever_reached = true;
         }
     }
 
     /// Ends the term if this node reaches no worker, although it is not alone: cut off from the workers alone
     /// it kept its key, while every lease ran out and every task was lost.
-    pub fn look_for_workers(&mut self) {
-        let counted = || self.machines.values().filter(|m| m.regular || !self.reaches);
+    pub fn detect_isolation(&mut self) {
+        let counted = || self.machines.values().filter(|m| m.heartbeats_regularly || !self.reachability.ever_reached);
         if counted().nth(FEW - 1).is_none() {
             // Without workers there is no silence: the first ones that came up together ended a term that had waited
             // for them.
-            self.silent_for = Duration::ZERO;
+            self.reachability.unreached_for = Duration::ZERO;
             return;
         }
         let times = &self.settings.deployment.workers;
-        if self.silent_for < times.silence(usize::MAX) {
+        if self.reachability.unreached_for < times.silence(usize::MAX) {
             // No number of workers makes this a silence: they need not be counted, twenty times a second.
             return;
         }
-        let limit = if self.reaches {
+        let limit = if self.reachability.ever_reached {
             // Each worker that comes here regularly does so again within this time; of many some do at once.
             times.silence(counted().count())
         } else {
             // Two direct commands to each were not answered.
             COMMAND_TIMEOUT + COMMAND_TIMEOUT + Duration::from_millis(500)
         };
-        if self.silent_for >= limit {
-            self.over = Some(Over::NoWorkers);
+        if self.reachability.unreached_for >= limit {
+            self.step_down_reason = Some(StepDownReason::NoWorkerReachable);
         }
     }
 
     /// Looks after silent, late and drained machines.
-    pub(crate) fn watch(&mut self, now: Timestamp, certain: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn check_machine_health(&mut self, now: Timestamp, lease_valid: bool, out: &mut Vec<Effect>) {
         let times = &self.settings.deployment.workers;
         let overdue = Duration::from_secs_f64(times.report_s * 1.25 + 0.5);
         let patience = Duration::from_secs_f64(times.report_s * 1.25 + 1.5);
         // A worker's clock may run slow by as much as ours runs fast, and a process may be late.
         let lease_over = Duration::from_secs_f64(times.lease_s * 1.002 + 1.5);
-        let unreached = |m: &Machine| now.since(m.reached) >= overdue;
+        let unreached = |m: &Machine| now.since(m.last_reached_at) >= overdue;
         // If most machines are out of reach at once, and not because of a zone, it is this node that is cut off.
-        let cut_off = self.look_for_zones(now, &unreached);
+        let cut_off = self.detect_unreachable_zones(now, &unreached);
         let unfenced_zones = self.unfenced_zones();
         let unanswering_zones = self.unanswering_zones();
         let mut events = Vec::new();
@@ -85,42 +109,44 @@
         let mut probes: Vec<(Timestamp, MachineId)> = Vec::new();
         let mut probing = 0;
         for (id, m) in &mut self.machines {
-            if let Some(flight) = m.flight
-                && now.since(flight.sent) > COMMAND_TIMEOUT + Duration::from_millis(500)
+            if let Some(flight) = m.in_flight_command
+                && now.since(flight.sent_at) > COMMAND_TIMEOUT + Duration::from_millis(500)
             {
-                m.command_over(now, flight.id, false);
+                m.command_finished(now, flight.id, false);
             }
-            if unreached(m) || m.unanswered > 0 {
-                probing += usize::from(m.flight.is_some());
-                if m.flight.is_none() && now.since(m.probed) >= Duration::from_millis(800) {
-                    probes.push((m.probed, *id));
+            if unreached(m) || m.unanswered_commands > 0 {
+                probing += usize::from(m.in_flight_command.is_some());
+                if m.in_flight_command.is_none() && now.since(m.last_probe_at) >= Duration::from_millis(800) {
+                    probes.push((m.last_probe_at, *id));
                 }
             }
             // One that does not answer a new leader, while the others of its zone did, holds older jobs back. While
             // others still come in it may be this process that is late.
-            let alone =
-                !m.fenced && !unfenced_zones.contains(&m.record.zone) && now.since(self.wave) >= Duration::from_secs(1);
+            let alone = !m.fenced
+                && !unfenced_zones.contains(&m.record.zone)
+                && now.since(self.fencing.last_fenced_at) >= Duration::from_secs(1);
             if unreached(m) || alone {
-                self.changed.insert(*id);
+                self.planning.changed_machines.insert(*id);
                 // A machine that takes nothing in renews no lease, whatever it reports; but that an
                 // answer did not reach it cannot be known, so the lease counts from the last one given. A leader in
                 // doubt cannot know at all: cut off with its own zone it took the others' leases for over, which
                 // the next leader went on renewing, and started their tasks a second time.
-                if certain && m.fenced && now.since(m.answered) >= lease_over && !m.holds.is_empty() {
+                if lease_valid && m.fenced && now.since(m.last_answer_at) >= lease_over && !m.attempts.is_empty() {
                     info!("lease over machine={id}");
                     let mut lost = Vec::new();
-                    m.drop_holds(&mut lost);
+                    m.drop_attempts(&mut lost);
                     events.push((*id, lost));
                 }
                 // A machine that takes nothing in is most likely dead, or its network is; its services
                 // wait for this verdict. In a zone that is cut off as a whole tasks go on until their leases
                 // end, and its machines are there again after the cut: they are kept for a while. A new leader
                 // does so only if an earlier one is in that zone, since it holds older jobs back meanwhile.
-                let zone = self.lost_zones.get(&m.record.zone).filter(|z| z.lasts(now));
-                let within = unfenced_zones.contains(&m.record.zone) && self.led_from_within.contains(&m.record.zone);
+                let zone = self.zones.unreachable.get(&m.record.zone).filter(|z| z.lasts(now));
+                let within =
+                    unfenced_zones.contains(&m.record.zone) && self.zones.recent_leader_zones.contains(&m.record.zone);
                 let cut = match m.fenced {
                     true => zone.is_some_and(|z| now.since(z.since) < KEEP_ZONE),
-                    false => within && now.since(self.since) < KEEP_ZONE,
+                    false => within && now.since(self.leader_since) < KEEP_ZONE,
                 };
                 // A zone of which nothing has answered a new leader is out of reach: to ask each of its machines twice
                 // took ten seconds, in which no older job was started.
@@ -130,42 +156,42 @@
                     (false, true) => lease_over,
                     (false, false) => patience,
                 };
-                if now.since(m.reached) >= limit && (m.unanswered >= 2 || mute) && !cut {
-                    let silent = now.since(m.heard) >= overdue || !m.fenced;
+                if now.since(m.last_reached_at) >= limit && (m.unanswered_commands >= 2 || mute) && !cut {
+                    let silent = now.since(m.last_message_at) >= overdue || !m.fenced;
                     give_back.push((*id, if silent { "silent" } else { "takes nothing in" }));
                 }
             }
             // What is on a machine that has not answered this leader is not known.
-            let empty = m.fenced && !m.holds.values().any(workers::Hold::occupies);
+            let empty = m.fenced && !m.attempts.values().any(workers::TaskAttempt::occupies_resources);
             if let Some(why) = m.draining {
                 if empty {
                     give_back.push((*id, why));
                 }
-            } else if m.notice.is_some() && empty {
+            } else if m.reclaim_at.is_some() && empty {
                 give_back.push((*id, "is taken back"));
             }
         }
         for (id, lost) in events {
-            self.dirty = true;
-            self.observed(now, id, lost);
+            self.planning.replan_needed = true;
+            self.apply_machine_events(now, id, lost);
         }
-        if certain {
+        if lease_valid {
             for (id, why) in give_back {
                 if let Some(m) = self.machines.get_mut(&id) {
                     m.draining.get_or_insert(why);
                 }
-                self.plans.remove(id);
-                self.inventory.give_back(id, why);
+                self.planning.plans.remove(id);
+                self.cloud.release(id, why);
             }
-            self.inventory.give_up_on_late(now);
+            self.cloud.release_overdue(now);
         }
         // What does not answer gets no more than half of the commands: when many machines fell silent together,
         // the others' starts waited behind theirs.
         probes.sort_unstable();
         let most = self.commands_at_once();
         for (_, id) in probes.into_iter().take((most / 2).saturating_sub(probing)) {
-            if self.flights < most {
-                self.command(now, id, true, out);
+            if self.command_dispatch.in_flight < most {
+                self.send_direct_command(now, id, true, out);
             }
         }
     }
@@ -186,12 +212,12 @@
     /// Zones of which no machine has answered this leader, several of them not twice, while most others have.
     fn unanswering_zones(&self) -> BTreeSet<String> {
         let mut zones: HashMap<&str, usize> = HashMap::new();
-        let unfenced = self.unfenced.len();
+        let unfenced = self.fencing.unfenced.len();
         if unfenced == 0 || unfenced * 2 > self.machines.len() {
             return BTreeSet::new();
         }
         for m in self.machines.values() {
-            *zones.entry(&m.record.zone).or_default() += usize::from(!m.fenced && m.unanswered >= 2);
+            *zones.entry(&m.record.zone).or_default() += usize::from(!m.fenced && m.unanswered_commands >= 2);
         }
         for m in self.machines.values().filter(|m| m.fenced) {
             zones.remove(m.record.zone.as_str());
@@ -205,7 +231,7 @@
     /// machines are out of reach one by one. The first is sure within seconds; without it half of the zone was
     /// returned as silent before the second was. A machine is out of reach only if it did not answer: after an
     /// election workers that wait for a leader that stands still do not report for long.
-    fn look_for_zones(&mut self, now: Timestamp, unreached: &dyn Fn(&Machine) -> bool) -> bool {
+    fn detect_unreachable_zones(&mut self, now: Timestamp, unreached: &dyn Fn(&Machine) -> bool) -> bool {
         #[derive(Default)]
         struct Seen {
             all: usize,
@@ -217,16 +243,16 @@
         for m in self.machines.values().filter(|m| m.fenced) {
             let zone = zones.entry(&m.record.zone).or_default();
             zone.all += 1;
-            zone.regular += usize::from(m.regular);
-            zone.out_of_reach += usize::from(unreached(m) && m.unanswered > 0);
-            zone.last = zone.last.max(m.reached);
+            zone.regular += usize::from(m.heartbeats_regularly);
+            zone.out_of_reach += usize::from(unreached(m) && m.unanswered_commands > 0);
+            zone.last = zone.last.max(m.last_reached_at);
         }
         // A single machine that is reached again shows that the zone is back: without this nothing was rented there
         // for 40 s more, and replicas that may run nowhere else waited.
         let back = |zone: &String, lost: &LostZone| {
             zones.get(zone.as_str()).is_some_and(|z| z.last.since(lost.seen) > Duration::from_millis(250))
         };
-        self.lost_zones.retain(|zone, lost| !back(zone, lost));
+        self.zones.unreachable.retain(|zone, lost| !back(zone, lost));
         let known = zones.len();
         let times = &self.settings.deployment.workers;
         let latest = zones.values().map(|z| z.last).max().unwrap_or_default();
@@ -238,7 +264,7 @@
             return known > 0;
         }
         for (zone, seen) in zones {
-            let before = self.lost_zones.get(zone).filter(|z| z.lasts(now));
+            let before = self.zones.unreachable.get(zone).filter(|z| z.lasts(now));
             if before.is_none() {
                 warn!(
                     "zone {zone} is out of reach: {} machines, {} of them did not answer",
@@ -246,38 +272,38 @@
                 );
             }
             let since = before.map_or(now, |z| z.since);
-            self.lost_zones.insert(zone.to_string(), LostZone { since, seen: now });
+            self.zones.unreachable.insert(zone.to_string(), LostZone { since, seen: now });
         }
         false
     }
 
     /// Whether a zone is out of reach now, and since when.
-    pub(crate) fn lost_since(&self, zone: &str, now: Timestamp) -> Option<Timestamp> {
-        self.lost_zones.get(zone).filter(|z| z.lasts(now)).map(|z| z.since)
+    pub(crate) fn zone_unreachable_since(&self, zone: &str, now: Timestamp) -> Option<Timestamp> {
+        self.zones.unreachable.get(zone).filter(|z| z.lasts(now)).map(|z| z.since)
     }
 
     /// Sends a direct command to a machine, one at a time to each. What does not answer is not tried again and
     /// again: `watch` does so from time to time.
-    pub(crate) fn command(&mut self, now: Timestamp, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn send_direct_command(&mut self, now: Timestamp, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
         let Some(machine) = self.machines.get_mut(&id) else { return };
-        if machine.flight.is_some() || (machine.unanswered > 0 && !probe) {
+        if machine.in_flight_command.is_some() || (machine.unanswered_commands > 0 && !probe) {
             return;
         }
-        self.commands += 1;
-        let command = self.commands;
-        let orders = if machine.fenced { machine.direct_orders(command) } else { Vec::new() };
+        self.command_dispatch.issued += 1;
+        let command = self.command_dispatch.issued;
+        let orders = if machine.fenced { machine.direct_commands(command) } else { Vec::new() };
         if orders.is_empty() && machine.fenced && !probe {
             return;
         }
-        self.flights += 1;
-        machine.probed = now;
-        machine.flight = Some(Flight { id: command, sent: now });
-        out.push(Effect::Command {
+        self.command_dispatch.in_flight += 1;
+        machine.last_probe_at = now;
+        machine.in_flight_command = Some(InFlightCommand { id: command, sent_at: now });
+        out.push(Effect::SendCommands {
             token: self.token.0,
             machine: id,
             endpoint: machine.record.endpoint.clone(),
             id: command,
-            body: Commands { token: self.token.0, session: machine.session.0, orders },
+            body: CommandBatch { fencing_token: self.token.0, epoch: machine.epoch.0, commands: orders },
         });
     }
 }
--- /dev/null
+++ b/src/leader/fencing.rs
@@ -0,0 +1,25 @@
+//! Fencing: which machines of earlier leaders have not seen this leader's token yet.
+//!
+//! Until such a machine has answered, an earlier leader's commands may still take effect there, so that jobs which were accepted by
+//! earlier leaders are not started.
+
+use crate::types::{MachineId, Timestamp};
+use std::collections::BTreeSet;
+
+/// Machines of earlier leaders that are not fenced yet.
+#[derive(Debug)]
+pub(crate) struct Fencing {
+    /// Registered by an earlier leader and not known to have seen this token.
+    pub(crate) unfenced: BTreeSet<MachineId>,
+    /// When a machine of an earlier leader was fenced last.
+    pub(crate) last_fenced_at: Timestamp,
+    /// Whether it has been logged that all machines are fenced.
+    pub(super) completion_logged: bool,
+}
+
+impl Fencing {
+    /// Nothing is known to be unfenced yet.
+    pub(super) fn new(now: Timestamp) -> Fencing {
+        Fencing { unfenced: BTreeSet::new(), last_fenced_at: now, completion_logged: false }
+    }
+}
--- a/src/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -1,17 +1,17 @@
 //! Where plan and inventory meet: what is rented for what waits, and what is emptied and given back.
 
 use crate::arrivals::ClassArrivals;
-use crate::controller::Effect;
-use crate::drains::RoomPlanner;
-use crate::failure_detection::LostZone;
-use crate::intake::{self, Job};
-use crate::inventory::{self, Demand, Place};
-use crate::plan::{Order, Server};
-use crate::scheduling::order_of;
+use crate::cloud::{self, Demand, InstancePool};
+use crate::effects::Effect;
+use crate::jobs::{self, Job};
+use crate::leader::Leader;
+use crate::leader::drains::RoomPlanner;
+use crate::leader::failure_detection::LostZone;
+use crate::leader::scheduling::order_of;
+use crate::plan::{QueuePriority, Server};
 use crate::settings::Objective;
-use crate::term::Term;
 use crate::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
-use crate::workers::Hold;
+use crate::workers::TaskAttempt;
 use caperstile_disruption::Coordinator;
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -26,16 +26,16 @@
 /// So long nothing is rented in a zone that most machines have fallen silent in: what is rented there
 /// most likely cannot report either.
 const AVOID_ZONE: Duration = Duration::from_secs(40);
-impl Term {
+impl Leader {
     /// What waits too long on the machines that there are, as classes.
     fn demands(&mut self, now: Timestamp) -> Vec<Demand> {
-        let boots = self.inventory.flavors().into_iter().flatten().map(|f| f.boot_s).fold(f64::MAX, f64::min);
+        let boots = self.cloud.machine_types().into_iter().flatten().map(|f| f.boot_s).fold(f64::MAX, f64::min);
         let boot = Duration::from_secs_f64(if boots == f64::MAX { 30.0 } else { boots });
         // Apart are those for which ordinary machines are rented too.
-        let no_spot = self.inventory.spot_refused(now);
-        let mut counts: BTreeMap<(Order, JobId, bool), u32> = BTreeMap::new();
-        for server in self.plans.servers().filter(|s| !s.queue.is_empty()) {
-            for (entry, start) in self.plans.starts(server.id, now) {
+        let no_spot = self.cloud.all_spot_recently_refused(now);
+        let mut counts: BTreeMap<(QueuePriority, JobId, bool), u32> = BTreeMap::new();
+        for server in self.planning.plans.servers().filter(|s| !s.queue.is_empty()) {
+            for (entry, start) in self.planning.plans.starts(server.id, now) {
                 // A machine rented now would be up after `boot`: only what it would start sooner counts.
                 let late = match start {
                     None => true,
@@ -54,13 +54,13 @@
         }
         // What was not looked at lately may find room yet.
         const LATELY: Duration = Duration::from_secs(5);
-        let tried = |j: &&Job| now.since(j.looked) < LATELY;
+        let tried = |j: &&Job| now.since(j.last_planned_at) < LATELY;
         for job in self.jobs.waiting().filter(|j| self.startable(j, now)).filter(tried) {
-            let left = job.pending.len().saturating_sub(self.plans.planned(job.record.id));
+            let left = job.pending.len().saturating_sub(self.planning.plans.planned(job.spec.id));
             if left > 0 {
-                let run = self.correction.predict(job.record.estimate);
+                let run = self.planning.correction.predict(job.spec.estimated_duration);
                 let long = no_spot && self.worth(job, now, None, run, boot);
-                *counts.entry((order_of(job), job.record.id, long)).or_insert(0) += left;
+                *counts.entry((order_of(job), job.spec.id, long)).or_insert(0) += left;
             }
         }
         let headroom = self.headroom(now, boot);
@@ -70,22 +70,22 @@
                 let job = self.jobs.get(id)?;
                 let limit = self.limit_left(job);
                 // An ordinary machine has to be worth its price: one runs several of these tasks in turn.
-                let turns = if long && job.record.spot {
-                    (100_000 / job.record.estimate.as_millis().max(1)).clamp(1, 4) as u32
+                let turns = if long && job.spec.allows_spot {
+                    (100_000 / job.spec.estimated_duration.as_millis().max(1)).clamp(1, 4) as u32
                 } else {
                     1
                 };
                 let count = count.div_ceil(turns);
                 Some(Demand {
                     job: id,
-                    need: job.record.need,
+                    need: job.spec.resources,
                     count: count.min(limit),
-                    spot: job.record.spot,
-                    ordinary: long || !job.record.spot,
-                    types: job.record.types.clone(),
-                    zone: job.record.zone.clone().or_else(|| self.planned_zone(job)),
-                    zone_cap: job.record.zone_cap(),
-                    one_zone: job.gang.is_some() && job.record.together,
+                    spot: job.spec.allows_spot,
+                    ordinary: long || !job.spec.allows_spot,
+                    types: job.spec.machine_types.clone(),
+                    zone: job.spec.zone.clone().or_else(|| self.planned_zone(job)),
+                    zone_cap: job.spec.max_tasks_per_zone(),
+                    one_zone: job.gang.is_some() && job.spec.colocate_in_zone,
                 })
             })
             .chain(headroom)
@@ -96,62 +96,64 @@
 
     /// The zone in which a gang that wants one zone is planned.
     fn planned_zone(&self, job: &Job) -> Option<String> {
-        let together = job.gang.is_some() && job.record.together;
-        let (machine, _) = self.plans.planned_at(job.record.id).into_iter().next().filter(|_| together)?;
-        self.names.zone_name(self.plans.server(machine)?.zone).map(str::to_string)
+        let together = job.gang.is_some() && job.spec.colocate_in_zone;
+        let (machine, _) = self.planning.plans.planned_at(job.spec.id).into_iter().next().filter(|_| together)?;
+        self.planning.names.zone_name(self.planning.plans.server(machine)?.zone).map(str::to_string)
     }
 
     /// Whether ordinary machines may be rented for a task that could wait for a spot machine: several
     /// times as dear, they are for what would else miss an aim that nearly all must meet, and for what
     /// has waited very long.
     fn worth(&self, job: &Job, now: Timestamp, start: Option<Timestamp>, run: Duration, boot: Duration) -> bool {
-        let waited = now.since(job.submitted);
+        let waited = now.since(job.submitted_at);
         if start.is_none_or(|at| at > now + SPOT_PATIENCE / 4) && waited >= SPOT_PATIENCE {
             return true;
         }
         let Some(due) = self.due(job) else { return start.is_some_and(|at| at > now + SPOT_PATIENCE) };
         // Predictions made at once are poor: most backlogs are over sooner.
-        let settled = waited.as_millis() * 3 >= due.since(job.submitted).as_millis();
+        let settled = waited.as_millis() * 3 >= due.since(job.submitted_at).as_millis();
         settled && start.is_none_or(|at| at + run > due) && now + boot + run <= due
     }
 
     /// When a job must be over for an aim that allows few misses.
     fn due(&self, job: &Job) -> Option<Timestamp> {
         let strict = |o: &Objective| o.share >= self.settings.tuning.strict_aim;
-        if job.record.deadline.is_some() && self.aims(job, "deadline").any(strict) {
+        if job.spec.deadline.is_some() && self.aims(job, "deadline").any(strict) {
             return Some(job.deadline());
         }
         let within = self.aims(job, "finished").filter(|o| strict(o)).filter_map(|o| o.within_s);
-        within.reduce(f64::min).map(|within| job.submitted + Duration::from_secs_f64(within))
+        within.reduce(f64::min).map(|within| job.submitted_at + Duration::from_secs_f64(within))
     }
 
     /// What the settings aim at for a job's class.
     fn aims(&self, job: &Job, kind: &str) -> impl Iterator<Item = &Objective> {
-        self.settings.deployment.objectives.iter().filter(move |o| o.kind == kind && o.class == job.record.class)
+        self.settings.deployment.objectives.iter().filter(move |o| o.kind == kind && o.class == job.spec.class)
     }
 
     /// When a job's tasks should be over: its deadline, or what the settings aim at for its class.
     fn goal(&self, job: &Job) -> Timestamp {
-        if job.record.deadline.is_some() {
+        if job.spec.deadline.is_some() {
             return job.deadline();
         }
         let within = self.aims(job, "finished").filter_map(|o| o.within_s).reduce(f64::min);
-        within.map_or(Timestamp::ZERO, |within| job.submitted + Duration::from_secs_f64(within * 0.25))
+        within.map_or(Timestamp::ZERO, |within| job.submitted_at + Duration::from_secs_f64(within * 0.25))
     }
 
     /// How many tasks of a job its team's limit lets run at once.
     fn limit_left(&self, job: &Job) -> u32 {
-        let Some(team) = self.settings.deployment.teams.iter().find(|t| t.name == job.record.team) else { return 0 };
+        let Some(team) = self.settings.deployment.teams.iter().find(|t| t.name == job.spec.team) else { return 0 };
         let part = |max: f64, need: u64| {
             if max > 0.0 { ((max * 1000.0) as u64).checked_div(need).unwrap_or(u64::MAX) } else { u64::MAX }
         };
-        part(team.cpus_max, job.record.need.cpus)
-            .min(part(team.gpus_max, job.record.need.gpus))
+        part(team.cpus_max, job.spec.resources.cpus)
+            .min(part(team.gpus_max, job.spec.resources.gpus))
             .min(u64::from(u32::MAX)) as u32
     }
 
-    pub(crate) fn rent(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
-        if self.inventory.renting() || (!self.open() && now.since(self.since) < Duration::from_secs(3)) {
+    pub(crate) fn scale_out(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
+        if self.cloud.scale_out_in_flight()
+            || (!self.all_machines_fenced() && now.since(self.leader_since) < Duration::from_secs(3))
+        {
             return;
         }
         let demands = self.demands(now);
@@ -165,37 +167,36 @@
         for m in self.machines.values() {
             *zones.entry((m.record.zone.clone(), m.record.spot)).or_insert(0) += m.capacity.cpus;
         }
-        for (_, b) in self.inventory.booting() {
-            let cpus = self.inventory.flavor(&b.kind).map_or(0, |f| intake::capacity(f).cpus);
+        for (_, b) in self.cloud.pending() {
+            let cpus = self.cloud.machine_type(&b.machine_type).map_or(0, |f| jobs::capacity(f).cpus);
             *zones.entry((b.zone.clone(), b.spot)).or_insert(0) += cpus;
         }
-        let inventory = &self.inventory;
-        let (doubtful, empty) = (&self.doubtful, &self.empty_zones);
-        let refused = |place: &Place| {
-            inventory.refused(place, now)
+        let inventory = &self.cloud;
+        let (doubtful, empty) = (&self.zones.suspected, &self.zones.empty);
+        let refused = |place: &InstancePool| {
+            inventory.recently_refused(place, now)
                 || self.lost_within(&place.1, now, AVOID_ZONE)
                 || doubtful.contains(&place.1)
                 || (empty.contains(&place.1) && self.coming(&place.1))
         };
-        let mut counts =
-            inventory::choose(&demands, self.inventory.flavors().unwrap_or_default(), &refused, &mut zones);
+        let mut counts = cloud::choose(&demands, self.cloud.machine_types().unwrap_or_default(), &refused, &mut zones);
         for (_, count) in counts.iter_mut().filter(|(place, _)| empty.contains(&place.1)) {
             *count = 1;
         }
         counts.extend(self.probes(now).into_iter().map(|place| (place, 1)));
         let mut events = Vec::new();
         // Ordinary machines first: services have no other place.
-        let mut calls: Vec<(Place, u32)> = counts
+        let mut calls: Vec<(InstancePool, u32)> = counts
             .into_iter()
             .flat_map(|(place, count)| {
-                let parts = count.div_ceil(inventory::RENT_LIMIT);
-                (0..parts).map(move |i| (place.clone(), (count - i * inventory::RENT_LIMIT).min(inventory::RENT_LIMIT)))
+                let parts = count.div_ceil(cloud::RENT_LIMIT);
+                (0..parts).map(move |i| (place.clone(), (count - i * cloud::RENT_LIMIT).min(cloud::RENT_LIMIT)))
             })
             .collect();
         calls.sort_by_key(|(place, count)| (place.2, std::cmp::Reverse(*count)));
-        for (place, count) in calls.into_iter().take(self.inventory.calls_left()) {
-            self.inventory.rent(now, &place, count, &mut events);
+        for (place, count) in calls.into_iter().take(self.cloud.available_calls()) {
+            self.cloud.scale_out(now, &place, count, &mut events);
         }
-        self.hired(now, wall, events, out);
+        self.apply_cloud_events(now, wall, events, out);
     }
 }
--- a/src/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -42,31 +42,33 @@
     }
 }
 
-impl Term {
+impl Leader {
     /// Ordinary machines for what is likely to come before a machine rented for it would be up and must not wait so long: services,
     /// and jobs whose class has an aim at starting. Notes the machines whose room is kept for the latter.
     pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<Demand> {
         let mut rooms = self.free_rooms();
         let mut demands: Vec<Demand> = self.service_headroom(now, boot, &mut rooms).into_iter().collect();
-        self.prompt_classes = self.settings.deployment.classes_to_start_within(boot);
-        let prompt =
-            |(name, class): &(&str, &ClassArrivals)| !class.largest().service && self.prompt_classes.contains(*name);
-        let mut classes: Vec<&ClassArrivals> = self.arrivals.classes().filter(prompt).map(|(_, class)| class).collect();
-        classes.sort_by_key(|class| class.largest().rank);
+        self.planning.latency_sensitive_classes = self.settings.deployment.classes_to_start_within(boot);
+        let prompt = |(name, class): &(&str, &ClassArrivals)| {
+            !class.largest().is_service && self.planning.latency_sensitive_classes.contains(*name)
+        };
+        let mut classes: Vec<&ClassArrivals> =
+            self.planning.arrivals.classes().filter(prompt).map(|(_, class)| class).collect();
+        classes.sort_by_key(|class| class.largest().priority);
         let mut kept = BTreeMap::new();
         for class in classes {
             demands.extend(self.class_headroom(now, boot, class, &mut rooms, &mut kept));
         }
-        let changed = |id: &&MachineId| self.headroom.get(id) != kept.get(id);
-        self.changed.extend(self.headroom.keys().chain(kept.keys()).filter(changed));
-        self.headroom = kept;
+        let changed = |id: &&MachineId| self.planning.headroom.get(id) != kept.get(id);
+        self.planning.changed_machines.extend(self.planning.headroom.keys().chain(kept.keys()).filter(changed));
+        self.planning.headroom = kept;
         demands
     }
 
     /// Free room of machines, the fullest first, so that others become idle.
     fn free_rooms(&self) -> Vec<FreeRoom> {
         let room = |s: &Server| FreeRoom { machine: s.id, free: s.free, soft: s.soft[0] };
-        let mut rooms: Vec<FreeRoom> = self.plans.servers().map(room).collect();
+        let mut rooms: Vec<FreeRoom> = self.planning.plans.servers().map(room).collect();
         rooms.sort_by_key(|room| (room.free.cpus, room.machine));
         rooms
     }
@@ -76,15 +78,15 @@
         let (job, wanted) = self.expected_services(boot.as_secs_f64())?;
         let wanted = wanted + self.stranded(now) + self.held_back(now);
         let profile = self.parts().profile_of(job);
-        let need = job.record.need;
+        let need = job.spec.resources;
         let mut missing = wanted;
         for room in rooms.iter_mut() {
-            if missing > 0 && self.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some()) {
+            if missing > 0 && self.planning.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some()) {
                 missing -= room.take_with_soft(&need, missing);
             }
         }
         Some(Demand {
-            job: job.record.id,
+            job: job.spec.id,
             need,
             count: missing as u32,
             spot: false,
@@ -111,28 +113,28 @@
         if expected <= 0.0 {
             return None;
         }
-        let wanted = ((expected * CLASS_ROOM_SHARE).ceil() as u64).max(LARGEST_JOBS * u64::from(record.tasks));
+        let wanted = ((expected * CLASS_ROOM_SHARE).ceil() as u64).max(LARGEST_JOBS * u64::from(record.task_count));
         let profile = self.parts().profile_for(record, Vec::new());
         let mut missing = wanted;
         for room in rooms.iter_mut() {
-            let fits = self.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some());
-            let taken = if fits { room.take(&record.need, missing) } else { 0 };
+            let fits = self.planning.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some());
+            let taken = if fits { room.take(&record.resources, missing) } else { 0 };
             if taken > 0 {
                 let kept = kept.entry(room.machine).or_default();
-                (0..taken).for_each(|_| kept.add(&record.need));
+                (0..taken).for_each(|_| kept.add(&record.resources));
                 missing -= taken;
             }
         }
         Some(Demand {
             job: record.id,
-            need: record.need,
+            need: record.resources,
             count: missing as u32,
             spot: false,
             ordinary: true,
-            types: record.types.clone(),
+            types: record.machine_types.clone(),
             zone: record.zone.clone(),
-            zone_cap: record.zone_cap(),
-            one_zone: record.together,
+            zone_cap: record.max_tasks_per_zone(),
+            one_zone: record.colocate_in_zone,
         })
     }
 
@@ -145,13 +147,13 @@
         const SLOT_LIMIT: u32 = 6;
         let mut slots: BTreeMap<u64, u32> = BTreeMap::new();
         let mut typical: Option<&Job> = None;
-        let now = self.scheduled;
-        for job in self.jobs.live().filter(|j| j.record.service && j.record.rank == 0 && j.record.zone.is_none()) {
-            let age = now.since(job.submitted);
+        let now = self.planning.last_round_at;
+        for job in self.jobs.live().filter(|j| j.spec.is_service && j.spec.priority == 0 && j.spec.zone.is_none()) {
+            let age = now.since(job.submitted_at);
             if age < WINDOW {
-                *slots.entry(age.as_millis() / SLOT.as_millis()).or_insert(0) += job.record.tasks;
+                *slots.entry(age.as_millis() / SLOT.as_millis()).or_insert(0) += job.spec.task_count;
             }
-            if typical.is_none_or(|t| t.record.need.cpus < job.record.need.cpus) {
+            if typical.is_none_or(|t| t.spec.resources.cpus < job.spec.resources.cpus) {
                 typical = Some(job);
             }
         }
@@ -167,32 +169,36 @@
     /// Replicas that a new leader holds back because a zone does not answer: they are most likely lost with it, and
     /// the machines for them should be up when that is sure.
     pub(super) fn held_back(&self, now: Timestamp) -> u64 {
-        if self.open()
-            || now.since(self.since) < Duration::from_secs(3)
-            || self.unfenced_zones().is_subset(&self.led_from_within)
+        if self.all_machines_fenced()
+            || now.since(self.leader_since) < Duration::from_secs(3)
+            || self.unfenced_zones().is_subset(&self.zones.recent_leader_zones)
         {
             return 0;
         }
-        let services = self.jobs.live().filter(|j| j.record.service && j.durable && !j.ours && !j.cancelling);
-        services.map(|j| u64::from(j.pending.len().min(j.record.zone_cap()))).sum()
+        let services =
+            self.jobs.live().filter(|j| j.spec.is_service && j.durable && !j.accepted_by_this_leader && !j.cancelling);
+        services.map(|j| u64::from(j.pending.len().min(j.spec.max_tasks_per_zone()))).sum()
     }
 
     /// Replicas in zones that are cut off and may run elsewhere. They go on until their leases end; room for
     /// them should be up by then.
     pub(super) fn stranded(&self, now: Timestamp) -> u64 {
         let mut jobs: HashMap<JobId, u32> = HashMap::new();
-        for m in self.machines.values().filter(|m| self.lost_since(&m.record.zone, now).is_some()) {
-            for hold in m.holds.values().filter(|h| h.claimed && h.predicted.is_none() && h.occupies()) {
+        for m in self.machines.values().filter(|m| self.zone_unreachable_since(&m.record.zone, now).is_some()) {
+            for hold in
+                m.attempts.values().filter(|h| h.assigned && h.predicted_duration.is_none() && h.occupies_resources())
+            {
                 *jobs.entry(hold.task.job).or_default() += 1;
             }
         }
         let parts = self.parts();
-        let zones: BTreeSet<&String> = self.inventory.flavors().into_iter().flatten().flat_map(|f| &f.zones).collect();
+        let zones: BTreeSet<&String> =
+            self.cloud.machine_types().into_iter().flatten().flat_map(|f| &f.zones).collect();
         let elsewhere = |job: &Job| -> u32 {
             let there = parts.by_zone(job);
-            let open = zones.iter().filter(|z| self.lost_since(z, now).is_none());
-            let placed = |zone: &str| self.names.zone(zone).and_then(|z| there.get(&z).copied()).unwrap_or(0);
-            open.map(|z| job.record.zone_cap().saturating_sub(placed(z))).fold(0, u32::saturating_add)
+            let open = zones.iter().filter(|z| self.zone_unreachable_since(z, now).is_none());
+            let placed = |zone: &str| self.planning.names.zone(zone).and_then(|z| there.get(&z).copied()).unwrap_or(0);
+            open.map(|z| job.spec.max_tasks_per_zone().saturating_sub(placed(z))).fold(0, u32::saturating_add)
         };
         jobs.iter().filter_map(|(id, lost)| Some(u64::from(elsewhere(self.jobs.get(*id)?).min(*lost)))).sum()
     }
