--- a/tests/support/nodes.rs
+++ b/tests/support/nodes.rs
@@ -37,8 +37,8 @@
         for other in (0..self.site.nodes).filter(|o| *o != node) {
             let apart = self.isolated.contains(&node) || self.isolated.contains(&other);
             if self.nodes[other].is_some() && !(up && apart) {
-                self.input(node, Input::Link(name(other), up), delay);
-                self.input(other, Input::Link(name(node), up), delay);
+                self.input(node, Input::PeerLinkChanged(name(other), up), delay);
+                self.input(other, Input::PeerLinkChanged(name(node), up), delay);
             }
         }
     }
@@ -142,7 +142,7 @@
         self.requests += 1;
         let id = self.requests * self.count() + node as u64;
         self.askers.insert(id, Asker::Probe { node });
-        self.input(node, Input::Up(Origin::Http(id)), 1);
+        self.input(node, Input::HealthCheck(RequestOrigin::Http(id)), 1);
     }
 
     pub fn crash(&mut self, node: usize) {
@@ -150,7 +150,7 @@
             return;
         }
         for other in (0..self.site.nodes).filter(|o| *o != node) {
-            self.input(other, Input::Link(name(node), false), 5);
+            self.input(other, Input::PeerLinkChanged(name(node), false), 5);
         }
         // Whoever waits for it sees the connection break.
         let waiting: Vec<(u64, Asker)> = self.askers.iter().map(|(id, a)| (*id, a.clone())).collect();
@@ -163,7 +163,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let token = |n: &usize| self.nodes[*n].as_ref().and_then(|c| c.term()).map(|r| r.token());
+        let token = |n: &usize| self.nodes[*n].as_ref().and_then(|c| c.leader()).map(|r| r.token());
         (0..self.site.nodes).filter(|n| token(n).is_some()).max_by_key(token)
     }
 
@@ -189,7 +189,7 @@
         self.decisions.note(node, number, asked, &effects);
         self.spent = (self.spent.0 + took, self.spent.1.max(took));
         let epoch = self.epochs[node];
-        let token = controller.term().map_or(0, |r| r.token().0);
+        let token = controller.leader().map_or(0, |r| r.token().0);
         if token > self.led {
             (self.led, self.led_at) = (token, self.now);
             for (machine, report) in std::mem::take(&mut self.kept) {
@@ -202,28 +202,28 @@
         for effect in effects {
             let delay = 1 + self.chance(4);
             match effect {
-                Effect::Answer(Origin::Http(id), answer) => {
+                Effect::Respond(RequestOrigin::Http(id), answer) => {
                     if let Some(asker) = self.askers.remove(&id) {
                         self.answered(asker, answer, delay);
                     }
                 }
-                Effect::Answer(Origin::Peer(link, id), answer) => {
+                Effect::Respond(RequestOrigin::Peer(link, id), answer) => {
                     let (to, its_epoch) = ((link % self.count()) as usize, link / self.count());
                     if self.isolated.contains(&node) || self.isolated.contains(&to) {
                         continue;
                     }
-                    self.after(delay, Event::Input(to, its_epoch, Box::new(Input::Forwarded(id, answer))));
+                    self.after(delay, Event::Input(to, its_epoch, Box::new(Input::ForwardResponse(id, answer))));
                 }
-                Effect::State(slot, id, call) => {
+                Effect::QueryStore(slot, id, call) => {
                     if let Some(late) = self.repeated() {
                         self.after(late, Event::StateRepeat(Box::new(call.clone())));
                     }
                     self.after(delay + self.state_slow, Event::State(node, epoch, slot, id, Box::new(call)));
                 }
-                Effect::Cloud(token, id, call) => {
+                Effect::CallCloud(token, id, call) => {
                     self.after(50 + delay, Event::Cloud(node, epoch, token, id, Box::new(call)));
                 }
-                Effect::Command { token, machine, id, body, .. } => {
+                Effect::SendCommands { token, machine, id, body, .. } => {
                     self.commands += 1;
                     let machine = machine.0;
                     if let Some(late) = self.repeated() {
@@ -232,23 +232,23 @@
                     self.after(delay, Event::Command { node, epoch, token, machine, id, body: Box::new(body) });
                     self.after(1500, Event::CommandTimeout { node, epoch, token, machine, id });
                 }
-                Effect::Announce(token) => {
+                Effect::AnnounceLeadership(token) => {
                     for to in (0..self.site.nodes).filter(|n| *n != node) {
                         if self.nodes[to].is_some() && !self.isolated.contains(&node) && !self.isolated.contains(&to) {
-                            self.input(to, Input::Leads(name(node), token), delay);
+                            self.input(to, Input::LeaderAnnounced(name(node), token), delay);
                         }
                     }
                 }
-                Effect::ReportRefused(to, report) => {
+                Effect::ReportRefusedDemand(to, report) => {
                     let target = (0..self.site.nodes).find(|n| name(*n) == to).expect("a known node");
                     if !self.isolated.contains(&node) && !self.isolated.contains(&target) {
-                        self.input(target, Input::RefusedElsewhere(report), delay);
+                        self.input(target, Input::RefusedDemandReceived(report), delay);
                     }
                 }
-                Effect::Publish(table) => {
+                Effect::PublishAdmissionTable(table) => {
                     for to in (0..self.site.nodes).filter(|n| *n != node) {
                         if self.nodes[to].is_some() && !self.isolated.contains(&node) && !self.isolated.contains(&to) {
-                            self.input(to, Input::AdmissionTable(table.clone()), delay);
+                            self.input(to, Input::AdmissionTableReceived(table.clone()), delay);
                         }
                     }
                 }
@@ -258,7 +258,7 @@
                     if self.isolated.contains(&node) || self.isolated.contains(&target) {
                         continue;
                     }
-                    self.input(target, Input::User(Origin::Peer(link, id), call), delay);
+                    self.input(target, Input::User(RequestOrigin::Peer(link, id), call), delay);
                 }
             }
         }
--- a/tests/support/old_node.rs
+++ b/tests/support/old_node.rs
@@ -2,9 +2,9 @@
 //! it writes into the log, and what it does on something that it does not know. It answers no workers and no users.
 
 use super::State;
-use caperstile::store::StateCall;
+use caperstile::store::StoreRequest;
 use caperstile::types::{Duration, LeaseId};
-use caperstile::wire::{Change, Condition, KeyPage, Txn};
+use caperstile::wire::{CompareAndSwap, KeyPage, RevisionCondition, StoreWrite};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -140,21 +140,21 @@
 
     fn look(&mut self, now: u64, node: usize, state: &mut State) {
         self.next = now + LOOK_EVERY_MS;
-        let (status, body) = state.handle(now, node, &StateCall::Get("leader".into()));
+        let (status, body) = state.handle(now, node, &StoreRequest::Get("leader".into()));
         self.puzzled = status == 200 && serde_json::from_value::<OldHolder>(body["V"].clone()).is_err();
         let replaces = match status {
             404 => 0,
             200 if body["V"]["node"] == self.name.as_str() => body["Stamp"].as_u64().expect("a revision"),
             _ => return,
         };
-        let (status, body) = state.handle(now, node, &StateCall::Grant(Duration::from_millis(LEASE_MS)));
+        let (status, body) = state.handle(now, node, &StoreRequest::GrantLease(Duration::from_millis(LEASE_MS)));
         let Some(lease) = body["Permit"].as_u64().filter(|_| status == 200) else { return };
         let me = json!({"node": self.name, "incarnation": self.incarnation});
-        let txn = Txn {
-            conditions: vec![Condition { key: "leader".into(), version: replaces }],
-            changes: vec![Change::Put { key: "leader".into(), value: me, lease: Some(lease) }],
+        let txn = CompareAndSwap {
+            conditions: vec![RevisionCondition { key: "leader".into(), revision: replaces }],
+            writes: vec![StoreWrite::Put { key: "leader".into(), value: me, lease: Some(lease) }],
         };
-        let (status, body) = state.handle(now, node, &StateCall::Txn(txn));
+        let (status, body) = state.handle(now, node, &StoreRequest::CompareAndSwap(txn));
         if status == 200 {
             self.lease = Some(lease);
             self.token = body["Ledger"].as_u64();
@@ -168,7 +168,7 @@
     fn renew(&mut self, now: u64, node: usize, state: &mut State) {
         self.next = now + RENEW_EVERY_MS;
         let lease = LeaseId(self.lease.unwrap_or_default());
-        let (status, _) = state.handle(now, node, &StateCall::Renew(lease));
+        let (status, _) = state.handle(now, node, &StoreRequest::RenewLease(lease));
         if status == 404 {
             (self.token, self.lease) = (None, None);
         }
@@ -177,7 +177,7 @@
     /// Accepts a job, as a leader does: the next entry of the log, on condition that it leads.
     fn accept(&mut self, now: u64, node: usize, state: &mut State) {
         let Some(token) = self.token else { return };
-        let page = state.handle(now, node, &StateCall::Scan { prefix: "log/".into(), after: None }).1;
+        let page = state.handle(now, node, &StoreRequest::Scan { prefix: "log/".into(), after: None }).1;
         let Ok(_) = serde_json::from_value::<KeyPage>(page) else { return };
         let numbers = state.keys.keys().filter_map(|key| key.strip_prefix("log/")?.parse::<u64>().ok());
         let manifest = state.keys.get("snap/manifest").and_then(|m| m.0["covers"].as_u64()).unwrap_or(0);
@@ -187,14 +187,14 @@
         let job = json!({"j": {"i": id, "l": "render", "t": "crew", "k": false, "r": 2, "n": 1,
             "c": {"cpus": 1000, "gpus": 0, "memory": 1000}, "m": "img-1", "g": 1000, "e": 2000, "a": 1_700_000_000_000_u64 + now}});
         let key = format!("log/{next:012}");
-        let txn = Txn {
+        let txn = CompareAndSwap {
             conditions: vec![
-                Condition { key: "leader".into(), version: token },
-                Condition { key: key.clone(), version: 0 },
+                RevisionCondition { key: "leader".into(), revision: token },
+                RevisionCondition { key: key.clone(), revision: 0 },
             ],
-            changes: vec![Change::Put { key, value: json!([job]), lease: None }],
+            writes: vec![StoreWrite::Put { key, value: json!([job]), lease: None }],
         };
-        let (status, _) = state.handle(now, node, &StateCall::Txn(txn));
+        let (status, _) = state.handle(now, node, &StoreRequest::CompareAndSwap(txn));
         match status {
             200 => self.accepted.push(id),
             409 => (self.token, self.lease) = (None, None),
--- a/tests/support/stage.rs
+++ b/tests/support/stage.rs
@@ -2,7 +2,7 @@
 //! side what was stopped by command and does not run again yet.
 
 use super::{State, state_call};
-use caperstile::wire::{Commands, Order, RentRequest, ReportAnswer};
+use caperstile::wire::{CommandBatch, HeartbeatResponse, ScaleOutRequest, WorkerCommand};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -41,8 +41,8 @@
     boots_at: u64,
     endpoint: SocketAddr,
     token: u64,
-    session: u64,
-    seq: u64,
+    epoch: u64,
+    sequence: u64,
     renewed: u64,
     /// Reaches nobody, nor is it reached.
     cut: bool,
@@ -127,7 +127,7 @@
         let Some(m) = self.machines.get_mut(&id) else { return };
         if now >= m.renewed + LEASE_MS {
             m.tasks.clear();
-            (m.session, m.seq, m.renewed) = (m.session + 1, 0, now);
+            (m.epoch, m.sequence, m.renewed) = (m.epoch + 1, 0, now);
         }
         let due: Vec<(u64, String)> = m.tasks.keys().cloned().collect();
         for key in due {
@@ -171,17 +171,17 @@
         }
     }
 
-    fn execute(&mut self, id: u64, orders: &[Order], now: u64) {
+    fn execute(&mut self, id: u64, orders: &[WorkerCommand], now: u64) {
         for order in orders {
             let Some(m) = self.machines.get_mut(&id) else { return };
             match order {
-                Order::Run { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let known = m.tasks.keys().any(|(_, name)| name == task);
                     let key = (*attempt, task.clone());
                     let (state, cause) = if known { ("exited", Some("in_use")) } else { ("fetching", None) };
                     m.tasks.entry(key).or_insert(Task { state, cause, since: now });
                 }
-                Order::Kill { task, attempt, .. } => {
+                WorkerCommand::Stop { task, attempt, .. } => {
                     let Some(t) = m.tasks.get_mut(&(*attempt, task.clone())) else { continue };
                     let ran = t.state == "running";
                     if t.state != "exited" {
@@ -191,30 +191,30 @@
                         self.evicted(task);
                     }
                 }
-                Order::Reap { task, attempt } => drop(m.tasks.remove(&(*attempt, task.clone()))),
+                WorkerCommand::Forget { task, attempt } => drop(m.tasks.remove(&(*attempt, task.clone()))),
             }
         }
     }
 
     fn report(&mut self, id: u64) -> Option<Value> {
         let m = self.machines.get_mut(&id)?;
-        m.seq += 1;
+        m.sequence += 1;
         let tasks: Vec<Value> = m
             .tasks
             .iter()
             .map(|((attempt, task), t)| json!({"Piece": task, "Try": attempt, "Status": t.state, "Cause": t.cause, "Kept": true}))
             .collect();
         Some(json!({"Host": format!("m-{id:06}"), "Endpoint": m.endpoint.to_string(), "Build": "small", "Yard": m.zone,
-            "Loaners": m.spot, "Shift": m.session, "Tally": m.seq, "Baton": m.token, "RecallS": null, "Pieces": tasks}))
+            "Loaners": m.spot, "Shift": m.epoch, "Tally": m.sequence, "Baton": m.token, "RecallS": null, "Pieces": tasks}))
     }
 
     fn commanded(&mut self, id: u64, body: &[u8], now: u64) -> Option<(u16, Value)> {
-        let commands: Commands = serde_json::from_slice(body).ok()?;
+        let commands: CommandBatch = serde_json::from_slice(body).ok()?;
         let m = self.machines.get_mut(&id).filter(|m| !m.cut)?;
-        let good = commands.token >= m.token && commands.session == m.session;
-        m.token = m.token.max(commands.token);
+        let good = commands.fencing_token >= m.token && commands.epoch == m.epoch;
+        m.token = m.token.max(commands.fencing_token);
         if good {
-            self.execute(id, &commands.orders, now);
+            self.execute(id, &commands.commands, now);
         }
         Some((if good { 200 } else { 409 }, self.report(id)?))
     }
@@ -382,7 +382,7 @@
                         "MarketPrice": 0.1, "BootS": 1, "Yards": ["a", "b"]}]}),
                 )),
                 ("POST", "/hosts") => {
-                    let request: RentRequest = serde_json::from_slice(body).ok()?;
+                    let request: ScaleOutRequest = serde_json::from_slice(body).ok()?;
                     let left = world.lock().ok()?.machines_left();
                     if left == 0 {
                         return Some((503, json!({"error": "no capacity"})));
@@ -477,7 +477,7 @@
 }
 
 /// Rents a machine: its worker listens, and reports once it is up.
-fn rent(world: &Arc<Mutex<World>>, begin: Instant, api: &[SocketAddr], request: &RentRequest, now: u64) -> u64 {
+fn rent(world: &Arc<Mutex<World>>, begin: Instant, api: &[SocketAddr], request: &ScaleOutRequest, now: u64) -> u64 {
     const BOOT_MS: u64 = 1000;
     let (listener, endpoint) = listen();
     let id = {
@@ -490,8 +490,8 @@
             boots_at: now + BOOT_MS,
             endpoint,
             token: 0,
-            session: 1,
-            seq: 0,
+            epoch: 1,
+            sequence: 0,
             renewed: now + BOOT_MS,
             cut: false,
             tasks: BTreeMap::new(),
@@ -529,12 +529,12 @@
         let Some(report) = report else { continue };
         match ask(api[node], "POST", "/v1/report", &report.to_string()) {
             Some((200, body)) => {
-                let Ok(answer) = serde_json::from_str::<ReportAnswer>(&body) else { continue };
+                let Ok(answer) = serde_json::from_str::<HeartbeatResponse>(&body) else { continue };
                 let mut world = world.lock().expect("no thread panics with it");
                 let Some(machine) = world.machines.get_mut(&id) else { return };
-                if answer.token >= machine.token && !machine.cut && report["Shift"] == machine.session {
-                    (machine.token, machine.renewed) = (answer.token, now);
-                    world.execute(id, &answer.orders, now);
+                if answer.fencing_token >= machine.token && !machine.cut && report["Shift"] == machine.epoch {
+                    (machine.token, machine.renewed) = (answer.fencing_token, now);
+                    world.execute(id, &answer.commands, now);
                 }
             }
             _ => node = (node + 1) % NODES,
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -1,8 +1,8 @@
 //! The state service's stand-in: keys with revisions, leases, transactions and limits.
 
-use caperstile::store::StateCall;
+use caperstile::store::StoreRequest;
 use caperstile::types::{Duration, LeaseId};
-use caperstile::wire::{Change, LeaseRequest, Txn};
+use caperstile::wire::{CompareAndSwap, GrantLeaseRequest, StoreWrite};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,21 +40,22 @@
 }
 
 /// What a request over HTTP asks of the state service.
-pub fn state_call(path: &str, query: &str, body: &[u8]) -> StateCall {
+pub fn state_call(path: &str, query: &str, body: &[u8]) -> StoreRequest {
     if path == "/txn" {
-        StateCall::Txn(serde_json::from_slice(body).expect("a transaction"))
+        StoreRequest::CompareAndSwap(serde_json::from_slice(body).expect("a transaction"))
     } else if path == "/leases" {
-        StateCall::Grant(Duration::from_millis(
-            serde_json::from_slice::<LeaseRequest>(body).expect("a lease request").ttl_ms,
+        StoreRequest::GrantLease(Duration::from_millis(
+            serde_json::from_slice::<GrantLeaseRequest>(body).expect("a lease request").ttl_ms,
         ))
     } else if let Some(rest) = path.strip_prefix("/leases/") {
         let lease = |id: &str| LeaseId(id.parse().expect("a lease"));
-        rest.strip_suffix("/extend").map_or_else(|| StateCall::Revoke(lease(rest)), |id| StateCall::Renew(lease(id)))
+        rest.strip_suffix("/extend")
+            .map_or_else(|| StoreRequest::RevokeLease(lease(rest)), |id| StoreRequest::RenewLease(lease(id)))
     } else if let Some(key) = path.strip_prefix("/keys/") {
-        StateCall::Get(key.to_string())
+        StoreRequest::Get(key.to_string())
     } else {
         let field = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)).map(str::to_string);
-        StateCall::Scan { prefix: field("Under=").unwrap_or_default(), after: field("Since=") }
+        StoreRequest::Scan { prefix: field("Under=").unwrap_or_default(), after: field("Since=") }
     }
 }
 
@@ -76,17 +77,17 @@
         self.down || self.refused_nodes.contains(&node)
     }
 
-    pub fn handle(&mut self, now: u64, node: usize, call: &StateCall) -> (u16, Value) {
+    pub fn handle(&mut self, now: u64, node: usize, call: &StoreRequest) -> (u16, Value) {
         if self.refuses(node) {
             return (503, json!({}));
         }
         self.expire(now);
         match call {
-            StateCall::Get(key) => match self.keys.get(key) {
+            StoreRequest::Get(key) => match self.keys.get(key) {
                 Some((v, stamp, lease)) => (200, json!({"K": key, "V": v, "Stamp": stamp, "Permit": lease})),
                 None => (404, json!({"Ledger": self.ledger})),
             },
-            StateCall::Scan { prefix, after } => {
+            StoreRequest::Scan { prefix, after } => {
                 let found: Vec<Value> = self
                     .keys
                     .iter()
@@ -96,26 +97,26 @@
                 let more = found.len() > self.page;
                 (200, json!({"Pairs": found[..found.len().min(self.page)], "More": more, "Ledger": self.ledger}))
             }
-            StateCall::Grant(ttl) => {
+            StoreRequest::GrantLease(ttl) => {
                 self.ledger += 1;
                 self.leases.insert(self.ledger, (ttl.as_millis(), now + ttl.as_millis()));
                 (200, json!({"Permit": self.ledger}))
             }
-            StateCall::Renew(lease) => match self.leases.get_mut(&lease.0) {
+            StoreRequest::RenewLease(lease) => match self.leases.get_mut(&lease.0) {
                 Some((ttl, end)) => {
                     *end = now + *ttl;
                     (200, json!({}))
                 }
                 None => (404, json!({})),
             },
-            StateCall::Revoke(lease) => {
+            StoreRequest::RevokeLease(lease) => {
                 if let Some((_, end)) = self.leases.get_mut(&lease.0) {
                     *end = now;
                 }
                 self.expire(now);
                 (200, json!({}))
             }
-            StateCall::Txn(txn) => self.txn(txn),
+            StoreRequest::CompareAndSwap(txn) => self.txn(txn),
         }
     }
 
@@ -127,7 +128,7 @@
         }
     }
 
-    fn txn(&mut self, txn: &Txn) -> (u16, Value) {
+    fn txn(&mut self, txn: &CompareAndSwap) -> (u16, Value) {
         if let Some(left) = &mut self.writes_left {
             if *left == 0 {
                 return (503, json!({}));
@@ -135,27 +136,27 @@
             *left -= 1;
         }
         let sizes =
-            txn.changes.iter().map(|c| if let Change::Put { value, .. } = c { value.to_string().len() } else { 0 });
+            txn.writes.iter().map(|c| if let StoreWrite::Put { value, .. } = c { value.to_string().len() } else { 0 });
         let large = sizes.max().unwrap_or(0);
         assert!(large <= self.value_bytes, "a value of {large} bytes is larger than the settings allow");
-        assert!(txn.changes.len() <= self.txn_ops, "{} changes are more than the settings allow", txn.changes.len());
+        assert!(txn.writes.len() <= self.txn_ops, "{} changes are more than the settings allow", txn.writes.len());
         assert!(txn.conditions.len() <= 4 * self.txn_ops, "{} conditions", txn.conditions.len());
         let stamp = |key: &str, keys: &BTreeMap<String, (Value, u64, Option<u64>)>| keys.get(key).map_or(0, |v| v.1);
         let failed: Vec<&String> =
-            txn.conditions.iter().filter(|c| stamp(&c.key, &self.keys) != c.version).map(|c| &c.key).collect();
+            txn.conditions.iter().filter(|c| stamp(&c.key, &self.keys) != c.revision).map(|c| &c.key).collect();
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "Ledger": self.ledger}));
         }
         self.ledger += 1;
-        for change in &txn.changes {
+        for change in &txn.writes {
             match change {
-                Change::Put { key, value, lease } => {
+                StoreWrite::Put { key, value, lease } => {
                     if lease.is_some_and(|l| !self.leases.contains_key(&l)) {
                         return (400, json!({"error": "no such lease"}));
                     }
                     self.keys.insert(key.clone(), (value.clone(), self.ledger, *lease));
                 }
-                Change::Delete { key } => {
+                StoreWrite::Delete { key } => {
                     self.keys.remove(key);
                 }
             }
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -6,13 +6,13 @@
     /// Submits a job; `change` sets fields of a two-task batch job.
     pub fn submit(&mut self, id: &str, change: &[(&str, Value)]) {
         let spec = self.enter(id, change);
-        self.after(0, Event::User(id.to_string(), UserCall::Submit(spec.to_string().into_bytes())));
+        self.after(0, Event::User(id.to_string(), UserRequest::Submit(spec.to_string().into_bytes())));
         self.after(1000, Event::Poll(id.to_string()));
         if self.close_looks {
             // Some ask before they were told that it is accepted: what is told then must last as well.
             for node in 0..self.site.nodes {
                 let soon = 2 + self.chance(200);
-                self.after(soon, Event::Look(node, id.to_string(), UserCall::Get(id.to_string())));
+                self.after(soon, Event::Look(node, id.to_string(), UserRequest::Get(id.to_string())));
             }
         }
     }
@@ -58,7 +58,7 @@
     /// Submits a known job once more, as a late retry does.
     pub fn repeat(&mut self, id: &str) {
         let body = self.jobs[id].spec.to_string().into_bytes();
-        self.after(0, Event::User(id.to_string(), UserCall::Submit(body)));
+        self.after(0, Event::User(id.to_string(), UserRequest::Submit(body)));
     }
 
     pub fn cancel(&mut self, id: &str) {
@@ -67,10 +67,10 @@
             job.cancel_asked_at.get_or_insert(self.now);
         }
         self.note_cancelled(id);
-        self.after(0, Event::User(id.to_string(), UserCall::Cancel(id.to_string())));
+        self.after(0, Event::User(id.to_string(), UserRequest::Cancel(id.to_string())));
     }
 
-    pub(super) fn ask(&mut self, job: String, call: UserCall) {
+    pub(super) fn ask(&mut self, job: String, call: UserRequest) {
         let up: Vec<usize> = (0..self.site.nodes).filter(|n| self.nodes[*n].is_some()).collect();
         if up.is_empty() {
             return self.after(1000, Event::User(job, call));
@@ -80,17 +80,17 @@
     }
 
     /// Asks this node.
-    pub fn ask_at(&mut self, node: usize, job: String, call: UserCall) {
+    pub fn ask_at(&mut self, node: usize, job: String, call: UserRequest) {
         self.requests += 1;
         let id = self.requests * self.count() + node as u64;
         let asked = self.now;
         self.askers.insert(id, Asker::User { job, call: call.clone(), asked });
-        self.input(node, Input::User(Origin::Http(id), call), 2);
+        self.input(node, Input::User(RequestOrigin::Http(id), call), 2);
     }
 
     pub(super) fn failed(&mut self, asker: Asker) {
         match asker {
-            Asker::User { call: UserCall::Get(_), .. } => {}
+            Asker::User { call: UserRequest::Get(_), .. } => {}
             Asker::User { job, call, .. } => self.after(1000, Event::User(job, call)),
             Asker::Worker { machine, number, .. } => self.worker_failed(machine, number),
             Asker::Probe { node } => {
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, asker: Asker, answer: Answer, delay: u64) {
+    pub(super) fn answered(&mut self, asker: Asker, answer: ApiResponse, delay: u64) {
         match asker {
             Asker::Worker { machine, number, session, sent } => {
                 let answer = Box::new(answer);
@@ -112,26 +112,26 @@
         }
     }
 
-    pub(super) fn user_told(&mut self, id: &str, call: UserCall, asked: u64, answer: &Answer) {
+    pub(super) fn user_told(&mut self, id: &str, call: UserRequest, asked: u64, answer: &ApiResponse) {
         let now = self.now;
         self.slowest = self.slowest.max(now - asked);
         let finished = self.all_finished(id);
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if matches!(call, UserCall::Get(_)) && matches!(answer.status, 200 | 404) {
+        if matches!(call, UserRequest::Get(_)) && matches!(answer.status, 200 | 404) {
             job.answered_at = now;
         }
         match call {
-            UserCall::Submit(_) => job.submit_status = answer.status,
-            UserCall::Cancel(_) => job.cancel_status = answer.status,
-            UserCall::Get(_) => {}
+            UserRequest::Submit(_) => job.submit_status = answer.status,
+            UserRequest::Cancel(_) => job.cancel_status = answer.status,
+            UserRequest::Get(_) => {}
         }
         if matches!(answer.status, 503 | 429) {
-            self.refused.0 += u64::from(matches!(call, UserCall::Cancel(_)));
-            self.refused.1 += u64::from(matches!(call, UserCall::Get(_)));
+            self.refused.0 += u64::from(matches!(call, UserRequest::Cancel(_)));
+            self.refused.1 += u64::from(matches!(call, UserRequest::Get(_)));
             if answer.status == 429 {
                 return self.refused_by_table(id, call, answer.retry_after);
             }
-            if !matches!(call, UserCall::Get(_)) {
+            if !matches!(call, UserRequest::Get(_)) {
                 self.after(1000, Event::User(id.to_string(), call));
             }
             return;
@@ -188,11 +188,11 @@
 
     /// Users ask at all nodes within milliseconds, again and again, and repeat the submission; some cancel at once.
     pub(super) fn look_closely(&mut self, id: &str) {
-        let submission = UserCall::Submit(self.jobs[id].spec.to_string().into_bytes());
+        let submission = UserRequest::Submit(self.jobs[id].spec.to_string().into_bytes());
         for node in 0..self.site.nodes {
             for gap in [1, 4, 15, 60] {
                 let soon = gap + self.chance(gap);
-                self.after(soon, Event::Look(node, id.to_string(), UserCall::Get(id.to_string())));
+                self.after(soon, Event::Look(node, id.to_string(), UserRequest::Get(id.to_string())));
             }
             let soon = 1 + self.chance(30);
             self.after(soon, Event::Look(node, id.to_string(), submission.clone()));
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -31,8 +31,8 @@
 
     /// Whether the leader holds no older jobs back.
     pub fn open(&self) -> bool {
-        let term = |n: usize| self.nodes[n].as_ref().and_then(|c| c.term());
-        self.leader().and_then(term).is_some_and(|r| r.loaded() && r.open())
+        let term = |n: usize| self.nodes[n].as_ref().and_then(|c| c.leader());
+        self.leader().and_then(term).is_some_and(|r| r.is_loaded() && r.all_machines_fenced())
     }
 
     /// Machines that are rented in a zone.
@@ -66,27 +66,27 @@
         self.report_soon(machine);
     }
 
-    pub(super) fn make_report(&mut self, machine: u64) -> Report {
+    pub(super) fn make_report(&mut self, machine: u64) -> Heartbeat {
         let now = self.now;
         let w = self.workers.get_mut(&machine).expect("a worker");
         w.seq += 1;
-        let tasks = w.tasks.iter().map(|(attempt, t)| ReportedTask {
+        let tasks = w.tasks.iter().map(|(attempt, t)| TaskStatus {
             task: t.task.parse().ok(),
             attempt: attempt.0,
             state: t.state,
-            cause: t.cause.map(|c| serde_json::from_value(json!(c)).expect("a cause")),
-            saved: Some(t.saved),
+            exit_reason: t.cause.map(|c| serde_json::from_value(json!(c)).expect("a cause")),
+            checkpoint_saved: Some(t.saved),
         });
-        Report {
+        Heartbeat {
             machine: MachineId(machine).to_string(),
             endpoint: "10.0.0.1:1".into(),
-            kind: "small".into(),
+            machine_type: "small".into(),
             zone: w.zone.clone(),
             spot: w.spot,
-            session: w.session,
-            seq: w.seq,
-            token: w.token,
-            notice_s: w.notice_until.map(|u| u.saturating_sub(now) as f64 / 1000.0),
+            epoch: w.session,
+            sequence: w.seq,
+            fencing_token: w.token,
+            reclaim_in_s: w.notice_until.map(|u| u.saturating_sub(now) as f64 / 1000.0),
             tasks: Some(tasks.collect()),
         }
     }
@@ -133,15 +133,15 @@
             self.copy_report(machine, to, late, &report);
         }
         self.askers.insert(number, Asker::Worker { machine, number, session, sent: now });
-        self.after(2, Event::Report(machine, number, report));
+        self.after(2, Event::Heartbeat(machine, number, report));
         self.after(4000, Event::WorkerTick(machine));
     }
 
     /// A copy of a report arrives at this node, so much later; nobody waits for its answer.
-    pub(super) fn copy_report(&mut self, machine: u64, to: u64, late: u64, report: &Report) {
+    pub(super) fn copy_report(&mut self, machine: u64, to: u64, late: u64, report: &Heartbeat) {
         self.requests += 1;
         let number = self.requests * self.count() + to;
-        self.after(late, Event::Report(machine, number, Box::new(report.clone())));
+        self.after(late, Event::Heartbeat(machine, number, Box::new(report.clone())));
     }
 
     /// When the lease is over, every task is killed and forgotten.
@@ -161,26 +161,26 @@
     }
 
     /// A direct command has reached a worker.
-    pub(super) fn commanded(&mut self, machine: u64, body: &Commands) -> u16 {
+    pub(super) fn commanded(&mut self, machine: u64, body: &CommandBatch) -> u16 {
         let w = self.workers.get_mut(&machine).expect("a worker");
         let mut status = 409;
-        if body.token >= w.token {
-            w.token = body.token;
-            if body.session == w.session {
+        if body.fencing_token >= w.token {
+            w.token = body.fencing_token;
+            if body.epoch == w.session {
                 status = 200;
-                self.execute(machine, &body.orders);
+                self.execute(machine, &body.commands);
             }
         }
         self.report_soon(machine);
         status
     }
 
-    pub(super) fn execute(&mut self, machine: u64, orders: &[Order]) {
+    pub(super) fn execute(&mut self, machine: u64, orders: &[WorkerCommand]) {
         let room = self.site.cores;
         for order in orders {
             let w = self.workers.get_mut(&machine).expect("a worker");
             match order {
-                Order::Run { task, attempt } => {
+                WorkerCommand::Start { task, attempt } => {
                     let key = (*attempt, task.clone());
                     if w.tasks.contains_key(&key) {
                         continue;
@@ -212,7 +212,7 @@
                         }
                     }
                 }
-                Order::Kill { task, attempt, grace_s } => {
+                WorkerCommand::Stop { task, attempt, grace_s } => {
                     let key = (*attempt, task.clone());
                     if self.is_gang(task) {
                         self.kill_gang_task(machine, &key, *grace_s);
@@ -229,7 +229,7 @@
                         t.cause = Some("halted");
                     }
                 }
-                Order::Reap { task, attempt } => {
+                WorkerCommand::Forget { task, attempt } => {
                     let key = (*attempt, task.clone());
                     if w.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
                         w.tasks.remove(&key);
@@ -241,13 +241,13 @@
 
     /// A late copy must not enrol a machine that was returned before. (While a node does not reach the
     /// state service its enrolments may be older than the return, so a trace asks for this.)
-    pub(super) fn check_enrolled(&mut self, call: &StateCall) {
-        let StateCall::Txn(txn) = call else { return };
+    pub(super) fn check_enrolled(&mut self, call: &StoreRequest) {
+        let StoreRequest::CompareAndSwap(txn) = call else { return };
         if !self.watch_enrolments {
             return;
         }
-        for change in &txn.changes {
-            let Change::Put { key, value, .. } = change else { continue };
+        for change in &txn.writes {
+            let StoreWrite::Put { key, value, .. } = change else { continue };
             let facts = value.as_array().filter(|_| key.starts_with("log/")).into_iter().flatten();
             for id in facts.filter_map(|f| f["m"]["i"].as_u64()) {
                 if self.returned.get(&id).is_some_and(|at| self.now > at + 3000) {
@@ -331,7 +331,7 @@
         if let Some(w) = self.workers.get_mut(&machine) {
             w.images.insert(image);
             if let Some(t) = w.tasks.get_mut(&key) {
-                t.state = if gang && !was_done { TaskState::Gathering } else { TaskState::Running };
+                t.state = if gang && !was_done { TaskState::AwaitingGang } else { TaskState::Running };
             }
         }
         if gang && !was_done {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -6,7 +6,7 @@
 
 mod support;
 
-use caperstile::peers::UserCall;
+use caperstile::api::UserRequest;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use support::Sim;
@@ -130,7 +130,7 @@
             ("probe", ["isolated"]) => sim.probe(names["isolated"] as usize),
             ("ask", ["isolated", id]) => {
                 sim.slowest = 0;
-                sim.ask_at(names["isolated"] as usize, id.to_string(), UserCall::Get(id.to_string()));
+                sim.ask_at(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
             }
             ("mend", []) => sim.mend(),
             ("hold-commands", [m]) => {
@@ -174,7 +174,7 @@
             assert_ne!(leader as u64, names["crashed"], "{at}");
         }
         ["leaders", n] => {
-            let leaders = sim.nodes.iter().flatten().filter(|c| c.term().is_some()).count();
+            let leaders = sim.nodes.iter().flatten().filter(|c| c.leader().is_some()).count();
             assert_eq!(leaders.to_string(), **n, "{at}");
         }
         ["told", id, status] => assert_eq!(sim.jobs[*id].told, *status, "{at}"),
@@ -307,7 +307,7 @@
     (0..3).for_each(|n| sim.bounce(n, 500));
     sim.run_until(66_000);
     let leader = sim.leader().expect("somebody leads");
-    let book = sim.nodes[leader].as_ref().and_then(|c| c.term()).expect("a term").jobs();
-    let age = sim.clock(leader).since(book.get("job-000001".parse().unwrap()).expect("known").submitted);
+    let book = sim.nodes[leader].as_ref().and_then(|c| c.leader()).expect("a term").jobs();
+    let age = sim.clock(leader).since(book.get("job-000001".parse().unwrap()).expect("known").submitted_at);
     assert!((63.0..66.0).contains(&age.as_secs_f64()), "{} s", age.as_secs_f64());
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -137,7 +137,7 @@
             kept(&sim, &story);
             assert!(moved(&sim), "{story}");
             assert_eq!(sim.jobs[GANG].told, "done", "{story}");
-            let leaders = sim.nodes.iter().flatten().filter(|c| c.term().is_some()).count();
+            let leaders = sim.nodes.iter().flatten().filter(|c| c.leader().is_some()).count();
             assert_eq!(leaders, 1, "{story}");
         }
     }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -6,7 +6,8 @@
 
 mod support;
 
-use caperstile::peers::{Answer, Frame, HEADER_BYTES, UserCall};
+use caperstile::api::{ApiResponse, UserRequest};
+use caperstile::peers::{Frame, HEADER_BYTES};
 use serde_json::{Value, json};
 use support::{Sim, Site};
 
@@ -33,32 +34,35 @@
     }));
     sim.run_until(8000);
     let leader = sim.leader().expect("somebody leads");
-    let term = sim.nodes[leader].as_ref().and_then(|c| c.term()).expect("a term");
-    assert!(term.loaded());
+    let term = sim.nodes[leader].as_ref().and_then(|c| c.leader()).expect("a term");
+    assert!(term.is_loaded());
     for told in fixture["told"].as_array().expect("pairs") {
         let (id, status) = (told[0].as_str().expect("an id"), told[1].as_str().expect("a status"));
         let id = id.parse().expect("an id");
-        let state = term.jobs().state(id).unwrap_or_else(|| panic!("{id} is forgotten"));
+        let response = term.jobs().status(id).unwrap_or_else(|| panic!("{id} is forgotten"));
+        let state = serde_json::to_value(response).expect("a JSON value");
         match status {
             "done" | "aborted" => assert_eq!(state["Status"], status, "{id}"),
-            _ => assert!(term.jobs().ended(id).is_none(), "{id} is {state}"),
+            _ => assert!(term.jobs().terminal_state(id).is_none(), "{id} is {state}"),
         }
     }
-    let job = |id: &str| term.jobs().get(id.parse().expect("an id")).expect("it is open").record.clone();
-    assert!(job("job-000001").service && !job("job-000001").gang);
-    assert!(job("job-000030").together && job("job-000030").team == "small" && job("job-000030").tasks == 9);
+    let job = |id: &str| term.jobs().get(id.parse().expect("an id")).expect("it is open").spec.clone();
+    assert!(job("job-000001").is_service && !job("job-000001").is_gang);
+    assert!(
+        job("job-000030").colocate_in_zone && job("job-000030").team == "small" && job("job-000030").task_count == 9
+    );
 }
 
 /// The bytes between nodes are those of the production version, both ways.
 #[test]
 fn frames_are_those_of_the_production_version() {
-    let answer = Answer { status: 503, retry_after: 10, body: "{\"error\":\"x\"}".into() };
+    let answer = ApiResponse { status: 503, retry_after: 10, body: "{\"error\":\"x\"}".into() };
     let frames = [
-        ("submit", Frame::Request(7, UserCall::Submit(b"{\"Ref\":\"job-000001\"}".to_vec()))),
-        ("get", Frame::Request(8, UserCall::Get("job-000001".into()))),
-        ("cancel", Frame::Request(9, UserCall::Cancel("job-000001".into()))),
-        ("answer", Frame::Answer(7, answer)),
-        ("leads", Frame::Leads(41, "n1".into())),
+        ("submit", Frame::Request(7, UserRequest::Submit(b"{\"Ref\":\"job-000001\"}".to_vec()))),
+        ("get", Frame::Request(8, UserRequest::Get("job-000001".into()))),
+        ("cancel", Frame::Request(9, UserRequest::Cancel("job-000001".into()))),
+        ("answer", Frame::Response(7, answer)),
+        ("leads", Frame::LeaderAnnouncement(41, "n1".into())),
     ];
     for (fixture, (name, frame)) in FIXTURES.iter().flat_map(|f| frames.iter().map(move |frame| (fixture(f), frame))) {
         let text = fixture["frames"][name].as_str().expect("hexadecimal");
