--- a/tests/support/admission.rs
+++ b/tests/support/admission.rs
@@ -64,6 +64,15 @@
         }
     }
 
+    /// Other settings of admission come into force at all controllers.
+    pub fn set_admission(&mut self, operators: &'static str) {
+        self.site.operators = operators;
+        for node in 0..self.site.nodes {
+            let policy = settings(&self.site, node).admission;
+            self.input(node, Input::AdmissionPolicy(Box::new(policy)), 1);
+        }
+    }
+
     /// A user whose submission was refused comes back when told to, unless a minute is over.
     pub(super) fn refused_by_table(&mut self, id: &str, call: UserCall, retry_after_s: u16) {
         let retry_after = 1000 * u64::from(retry_after_s).max(1);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,6 +7,7 @@
 pub mod admission;
 mod cloud;
 pub mod drains;
+pub mod effect_log;
 mod gangs;
 mod nodes;
 pub mod old_node;
@@ -173,7 +174,7 @@
     hires: HashMap<String, Vec<u64>>,
     pub capacity: BTreeMap<(String, bool), u32>,
     pub jobs: BTreeMap<String, UserJob>,
-    askers: HashMap<u64, Asker>,
+    askers: BTreeMap<u64, Asker>,
     requests: u64,
     answered_commands: BTreeSet<(usize, u64, u64)>,
     held: BTreeMap<u64, Vec<Event>>,
@@ -260,6 +261,8 @@
     pub decisions: admission::Decisions,
     /// Real time that nodes' state machines took, all together, and the longest that one input took.
     pub spent: (std::time::Duration, std::time::Duration),
+    /// What the controllers asked to have done, if it is to be compared with another version.
+    pub effect_log: Option<effect_log::EffectLog>,
     checked_at: u64,
     pub site: Site,
     pub broken: Vec<String>,
@@ -287,7 +290,7 @@
                 .flat_map(|z| [((z.to_string(), false), site.machines), ((z.to_string(), true), site.machines)])
                 .collect(),
             jobs: BTreeMap::new(),
-            askers: HashMap::new(),
+            askers: BTreeMap::new(),
             requests: 0,
             answered_commands: BTreeSet::new(),
             held: BTreeMap::new(),
@@ -335,6 +338,7 @@
             overloaded: false,
             decisions: admission::Decisions::default(),
             spent: Default::default(),
+            effect_log: None,
             checked_at: 0,
             site,
             broken: Vec::new(),
--- a/tests/support/nodes.rs
+++ b/tests/support/nodes.rs
@@ -184,8 +184,11 @@
         let number = controller.admission_table(now).map(|table| table.number);
         let asked = admission::submission_of(controller, &input);
         let begin = std::time::Instant::now();
-        let effects = controller.handle(now, wall, input);
+        let mut effects = controller.handle(now, wall, input);
         let took = begin.elapsed();
+        if let Some(log) = &mut self.effect_log {
+            log.record(self.now, node, &mut effects);
+        }
         self.decisions.note(node, number, asked, &effects);
         self.spent = (self.spent.0 + took, self.spent.1.max(took));
         let epoch = self.epochs[node];
