--- a/tests/effects_digest.rs
+++ b/tests/effects_digest.rs
@@ -325,3 +325,27 @@
 fn a_hundred_machines_have_the_effects_of_before() {
     assert_effects(&[("hundred-machines", hundred_machines(5))]);
 }
+
+/// The third controller is of the version in production, leads for a while, and becomes one of this version.
+fn rolling_upgrade(seed: u64) -> Sim {
+    let mut sim = simulation(Site::small(), seed);
+    sim.crash(2);
+    sim.start_old(2);
+    play(&mut sim, 0..90, |sim, second| {
+        if second.is_multiple_of(2) && second < 40 {
+            sim.submit(&job(10 + second), &batch(2, 2.0, 2.0));
+        }
+        match second {
+            1 | 30 => sim.submit(&job(100 + second), &gang(3)),
+            20 => (0..2).for_each(|node| sim.bounce(node, 6000)),
+            34 => sim.upgrade(2, 1000),
+            _ => {}
+        }
+    });
+    sim
+}
+
+#[test]
+fn a_rolling_upgrade_has_the_effects_of_before() {
+    assert_effects(&[("upgrade-1", rolling_upgrade(1)), ("upgrade-2", rolling_upgrade(2))]);
+}
