--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -84,7 +84,7 @@
     #[serde(rename = "Ledger", default)]
     pub revision: u64,
     /// Keys whose conditions failed.
-    #[serde(default)]
+    #[serde(rename = "failed", default)]
     pub failed_keys: Vec<String>,
 }
 
--- a/tests/support/admission.rs
+++ b/tests/support/admission.rs
@@ -70,7 +70,7 @@
         self.site.operators = operators;
         for node in 0..self.site.nodes {
             let policy = settings(&self.site, node).admission;
-            self.input(node, Input::AdmissionPolicy(Box::new(policy)), 1);
+            self.input(node, Input::AdmissionPolicyChanged(Box::new(policy)), 1);
         }
     }
 
--- a/tests/support/effect_log.rs
+++ b/tests/support/effect_log.rs
@@ -4,10 +4,10 @@
 //! types, variants and fields are no part of it, so that a change of names changes nothing here but patterns.
 
 use super::name;
-use caperstile::controller::{Effect, Origin, Slot};
-use caperstile::inventory::CloudCall;
-use caperstile::peers::{Answer, UserCall};
-use caperstile::store::StateCall;
+use caperstile::api::{ApiResponse, UserRequest};
+use caperstile::cloud::CloudRequest;
+use caperstile::effects::{Effect, RequestOrigin, StoreCaller};
+use caperstile::store::StoreRequest;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -113,98 +113,98 @@
 /// Sorts the answers whose order is left to a hash map by who gets them; all other effects stay where they are.
 fn sort_answers_in_no_order(effects: &mut [Effect]) {
     let in_no_order = |effect: &Effect| match effect {
-        Effect::Answer(_, answer) => answer.status == 503 && ANSWERS_IN_NO_ORDER.contains(&answer.body.as_str()),
+        Effect::Respond(_, answer) => answer.status == 503 && ANSWERS_IN_NO_ORDER.contains(&answer.body.as_str()),
         _ => false,
     };
     let places: Vec<usize> = (0..effects.len()).filter(|place| in_no_order(&effects[*place])).collect();
-    let mut answers: Vec<(Origin, Answer)> = Vec::new();
+    let mut answers: Vec<(RequestOrigin, ApiResponse)> = Vec::new();
     for place in &places {
-        if let Effect::Answer(origin, answer) = &effects[*place] {
+        if let Effect::Respond(origin, answer) = &effects[*place] {
             answers.push((*origin, answer.clone()));
         }
     }
     answers.sort_by_key(|(origin, answer)| (origin_key(origin), answer.body.clone()));
     for (place, (origin, answer)) in places.into_iter().zip(answers) {
-        effects[place] = Effect::Answer(origin, answer);
+        effects[place] = Effect::Respond(origin, answer);
     }
 }
 
-fn origin_key(origin: &Origin) -> (u8, u64, u64) {
+fn origin_key(origin: &RequestOrigin) -> (u8, u64, u64) {
     match origin {
-        Origin::Http(request) => (0, 0, *request),
-        Origin::Peer(link, request) => (1, *link, *request),
+        RequestOrigin::Http(request) => (0, 0, *request),
+        RequestOrigin::Peer(link, request) => (1, *link, *request),
     }
 }
 
 /// The kind of an effect and what leaves the node.
 fn describe(effect: &Effect) -> (&'static str, String) {
     match effect {
-        Effect::Answer(origin, answer) => {
+        Effect::Respond(origin, answer) => {
             ("answer", format!("{} {} {} {}", origin_text(origin), answer.status, answer.retry_after, answer.body))
         }
-        Effect::State(slot, id, call) => {
+        Effect::QueryStore(slot, id, call) => {
             let (kind, text) = state_text(call);
             (kind, format!("{} {id} {text}", slot_text(slot)))
         }
-        Effect::Cloud(token, id, call) => {
+        Effect::CallCloud(token, id, call) => {
             let (kind, text) = cloud_text(call);
             (kind, format!("{token} {id} {text}"))
         }
-        Effect::Command { token, machine, endpoint, id, body } => {
+        Effect::SendCommands { token, machine, endpoint, id, body } => {
             ("command", format!("{token} {machine} {endpoint} {id} {}", to_json(body)))
         }
         Effect::Forward(to, id, call) => ("forward", format!("{to} {id} {}", user_text(call))),
-        Effect::Announce(token) => ("announce", token.0.to_string()),
-        Effect::Publish(table) => ("publish", hex(&table.encode())),
-        Effect::ReportRefused(to, report) => ("refused", format!("{to} {}", hex(&report.encode()))),
+        Effect::AnnounceLeadership(token) => ("announce", token.0.to_string()),
+        Effect::PublishAdmissionTable(table) => ("publish", hex(&table.encode())),
+        Effect::ReportRefusedDemand(to, report) => ("refused", format!("{to} {}", hex(&report.encode()))),
     }
 }
 
-fn origin_text(origin: &Origin) -> String {
+fn origin_text(origin: &RequestOrigin) -> String {
     match origin {
-        Origin::Http(request) => format!("http {request}"),
-        Origin::Peer(link, request) => format!("peer {link} {request}"),
+        RequestOrigin::Http(request) => format!("http {request}"),
+        RequestOrigin::Peer(link, request) => format!("peer {link} {request}"),
     }
 }
 
-fn slot_text(slot: &Slot) -> String {
+fn slot_text(slot: &StoreCaller) -> String {
     match slot {
-        Slot::Leadership => "leadership".to_string(),
-        Slot::Records(token) => format!("log {token}"),
-        Slot::Upgrade => "upgrade".to_string(),
-        Slot::Drains(token) => format!("drains {token}"),
-        Slot::Admission => "admission".to_string(),
+        StoreCaller::Leadership => "leadership".to_string(),
+        StoreCaller::WriteAheadLog(token) => format!("log {token}"),
+        StoreCaller::Upgrade => "upgrade".to_string(),
+        StoreCaller::Drains(token) => format!("drains {token}"),
+        StoreCaller::AdmissionStatus => "admission".to_string(),
     }
 }
 
-fn state_text(call: &StateCall) -> (&'static str, String) {
+fn state_text(call: &StoreRequest) -> (&'static str, String) {
     match call {
-        StateCall::Get(key) => ("state-get", key.clone()),
-        StateCall::Scan { prefix, after } => ("state-scan", format!("{prefix} {}", to_json(after))),
-        StateCall::Txn(txn) => ("state-txn", to_json(txn)),
-        StateCall::Grant(ttl) => ("state-grant", ttl.0.to_string()),
-        StateCall::Renew(lease) => ("state-renew", lease.0.to_string()),
-        StateCall::Revoke(lease) => ("state-revoke", lease.0.to_string()),
+        StoreRequest::Get(key) => ("state-get", key.clone()),
+        StoreRequest::Scan { prefix, after } => ("state-scan", format!("{prefix} {}", to_json(after))),
+        StoreRequest::CompareAndSwap(txn) => ("state-txn", to_json(txn)),
+        StoreRequest::GrantLease(ttl) => ("state-grant", ttl.as_millis().to_string()),
+        StoreRequest::RenewLease(lease) => ("state-renew", lease.0.to_string()),
+        StoreRequest::RevokeLease(lease) => ("state-revoke", lease.0.to_string()),
     }
 }
 
-fn cloud_text(call: &CloudCall) -> (&'static str, String) {
+fn cloud_text(call: &CloudRequest) -> (&'static str, String) {
     match call {
-        CloudCall::Flavors => ("cloud-types", String::new()),
-        CloudCall::Rent(request) => ("cloud-rent", to_json(request)),
-        CloudCall::Return(machines) => {
+        CloudRequest::MachineTypes => ("cloud-types", String::new()),
+        CloudRequest::ScaleOut(request) => ("cloud-rent", to_json(request)),
+        CloudRequest::ScaleIn(machines) => {
             let names: Vec<String> = machines.iter().map(ToString::to_string).collect();
             ("cloud-return", names.join(" "))
         }
-        CloudCall::List(after) => ("cloud-list", to_json(after)),
+        CloudRequest::ListMachines(after) => ("cloud-list", to_json(after)),
     }
 }
 
-fn user_text(call: &UserCall) -> String {
+fn user_text(call: &UserRequest) -> String {
     match call {
-        UserCall::Submit(body) => format!("submit {}", String::from_utf8_lossy(body)),
-        UserCall::Get(job) => format!("get {job}"),
-        UserCall::Cancel(job) => format!("cancel {job}"),
+        UserRequest::Submit(body) => format!("submit {}", String::from_utf8_lossy(body)),
+        UserRequest::Get(job) => format!("get {job}"),
+        UserRequest::Cancel(job) => format!("cancel {job}"),
     }
 }
 
