--- a/tests/effects_digest.rs
+++ b/tests/effects_digest.rs
@@ -349,3 +349,43 @@
 fn a_rolling_upgrade_has_the_effects_of_before() {
     assert_effects(&[("upgrade-1", rolling_upgrade(1)), ("upgrade-2", rolling_upgrade(2))]);
 }
+
+/// Submissions and cancellations of many jobs wait for a commit when the state service goes away, and when the leader is cut off.
+fn many_requests_wait_for_a_commit(seed: u64) -> Sim {
+    let mut sim = simulation(Site::small(), seed);
+    for n in 0..24 {
+        sim.submit(&job(n), &batch(1, 1.0, 60.0));
+    }
+    let ask_for_many = |sim: &mut Sim, round: u64| {
+        (0..12).for_each(|n| sim.submit(&job(100 + 12 * round + n), &batch(1, 1.0, 5.0)));
+        (0..8).for_each(|n| sim.cancel(&job(8 * round + n)));
+    };
+    play(&mut sim, 0..60, |sim, second| match second {
+        10 => {
+            sim.state.down = true;
+            ask_for_many(sim, 0);
+        }
+        16 => sim.state.down = false,
+        25 => {
+            let leader = sim.leader().unwrap_or(0);
+            sim.isolate(leader);
+            ask_for_many(sim, 1);
+        }
+        33 => sim.reconnect(),
+        40 => {
+            sim.late_writes = (100, true);
+            ask_for_many(sim, 2);
+        }
+        44 => sim.mend(),
+        _ => {}
+    });
+    sim
+}
+
+#[test]
+fn many_requests_that_wait_for_a_commit_have_the_effects_of_before() {
+    assert_effects(&[
+        ("waiting-1", many_requests_wait_for_a_commit(1)),
+        ("waiting-2", many_requests_wait_for_a_commit(2)),
+    ]);
+}
