--- a/src/drains.rs
+++ b/src/drains.rs
@@ -240,3 +240,6 @@
 fn names_leader_key(reply: &Reply, format: Format) -> bool {
     reply.parse::<TxnAnswer>().is_some_and(|answer| answer.failed.iter().any(|key| key == format.leader_key()))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,9 @@
 pub mod controller;
 mod drains;
 mod failure_detection;
+#[cfg(test)]
+#[path = "../tests/support/fixture.rs"]
+mod fixture;
 pub mod gang;
 pub mod intake;
 pub mod inventory;
--- /dev/null
+++ b/tests/characterization/frames.rs
@@ -0,0 +1,74 @@
+//! The bytes of frames between controllers. Requests, answers and announcements are pinned by `tests/versions.rs`.
+
+use crate::fixture::{self, example, example_of, from_hexadecimal, hexadecimal};
+use caperstile::peers::{BODY_LIMIT, Frame, HEADER_BYTES};
+use caperstile::units::Token;
+use caperstile_admission::{AdmissionTable, DemandReport, Pair, Ratio, TableEntry, TableNumber};
+
+const FRAMES: &str = "wire/frames.txt";
+const ADMISSION: &str = "wire/admission.txt";
+
+fn table() -> AdmissionTable {
+    let entry = |team, class, share| TableEntry { pair: Pair::new(team, class), ratio: Ratio::of(share) };
+    let entries = [entry("crew", "render", 0.25), entry("crew", "", 1.0), entry("small", "live", 0.0)];
+    let accepted = [3, 9, 123_456_789_012_345_u64].into_iter().collect();
+    let number = TableNumber { token: Token(41), sequence: 7 };
+    let mut table = AdmissionTable::new(number, 5, entries, accepted);
+    table.limit = Some(12.345);
+    table
+}
+
+fn report() -> DemandReport {
+    let mut report = DemandReport::default();
+    report.refused("crew", "render", 3);
+    report.refused("crew", "render", 4);
+    report.refused("small", "live", 1);
+    report
+}
+
+fn frames() -> Vec<(&'static str, Frame)> {
+    vec![
+        ("hello", Frame::hello("n1")),
+        ("admission", Frame::Admission(table().encode().into())),
+        ("refused", Frame::Refused(report().encode())),
+    ]
+}
+
+#[test]
+fn admission_messages_keep_their_bytes_and_are_read_back() {
+    let open = AdmissionTable::open(TableNumber { token: Token(42), sequence: 1 }, 6);
+    fixture::assert_examples(
+        ADMISSION,
+        &[
+            example("table", hexadecimal(&table().encode())),
+            example("open-table", hexadecimal(&open.encode())),
+            example("report", hexadecimal(&report().encode())),
+        ],
+    );
+    let bytes = |name| from_hexadecimal(&example_of(ADMISSION, name));
+    assert_eq!(AdmissionTable::decode(&bytes("table")), Ok(table()));
+    assert_eq!(AdmissionTable::decode(&bytes("open-table")), Ok(open));
+    assert_eq!(DemandReport::decode(&bytes("report")), Ok(report()));
+}
+
+#[test]
+fn frames_keep_their_bytes_and_are_read_back() {
+    let encoded: Vec<_> = frames().iter().map(|(name, frame)| example(*name, hexadecimal(&frame.encode()))).collect();
+    fixture::assert_examples(FRAMES, &encoded);
+    for (name, frame) in frames() {
+        let bytes = from_hexadecimal(&example_of(FRAMES, name));
+        let (header, body) = bytes.split_at(HEADER_BYTES);
+        let header = Frame::header(header.try_into().expect("a header")).expect("a header");
+        assert_eq!(Frame::decode(&header, body.to_vec()), Ok(frame), "{name}");
+    }
+}
+
+#[test]
+fn a_body_of_68_kib_is_the_largest_that_is_read() {
+    assert_eq!((BODY_LIMIT, HEADER_BYTES), (69_632, 24));
+    let header = |length: usize| {
+        let bytes = Frame::Refused(vec![0; length]).encode();
+        Frame::header(bytes[..HEADER_BYTES].try_into().expect("a header")).is_ok()
+    };
+    assert!(header(69_632) && !header(69_633));
+}
--- /dev/null
+++ b/tests/characterization/stored_admission.rs
@@ -0,0 +1,47 @@
+//! What operators can read of admission, as it is stored. The tables themselves are sent and not stored: see `frames`.
+
+use crate::fixture::{self, example, example_of};
+use caperstile::units::{Token, Wall};
+use caperstile_admission::{AdmissionStatus, RefusedPair, STATUS_KEY};
+
+const FILE: &str = "stored/admission.txt";
+
+fn pair(class: &str, predicted_wait_s: Option<f64>) -> RefusedPair {
+    RefusedPair {
+        team: "crew".into(),
+        class: class.into(),
+        ratio: 0.25,
+        demanded: 8.5,
+        admitted: 2.125,
+        predicted_wait_s,
+        refused_for_s: 42.0,
+    }
+}
+
+fn status(limit: Option<f64>, refused: Vec<RefusedPair>, left_out: usize) -> AdmissionStatus {
+    AdmissionStatus { token: Token(41), sequence: 7, at: Wall(1_700_000_000_123), limit, refused, left_out }
+}
+
+#[test]
+fn the_status_keeps_its_key_and_value_and_is_read_back() {
+    let statuses = [
+        ("refusing", status(Some(12.5), vec![pair("render", Some(300.0)), pair("live", None)], 3)),
+        ("not-refusing", status(None, Vec::new(), 0)),
+    ];
+    let value = |status| serde_json::to_value(status).expect("JSON").to_string();
+    let mut made = vec![example("key", STATUS_KEY)];
+    made.extend(statuses.iter().map(|(name, status)| example(*name, value(status))));
+    fixture::assert_examples(FILE, &made);
+    for (name, status) in statuses {
+        let read: AdmissionStatus = serde_json::from_str(&example_of(FILE, name)).expect("a status");
+        assert_eq!(read, status, "{name}");
+    }
+}
+
+#[test]
+fn what_a_status_may_omit_is_read_as_none() {
+    let text = r#"{"token":41,"sequence":7,"at":1700000000123,"refused":[{"team":"crew","class":"live","ratio":0.25,
+        "demanded":8.5,"admitted":2.125,"refused_for_s":42.0}]}"#;
+    let read: AdmissionStatus = serde_json::from_str(text).expect("a status");
+    assert_eq!(read, status(None, vec![pair("live", None)], 0));
+}
--- /dev/null
+++ b/tests/characterization/stored_log.rs
@@ -0,0 +1,268 @@
+//! The durable log: every fact, entries, the manifest, and a snapshot with a fact in parts.
+
+use crate::fixture::{self, Example, example, example_of};
+use caperstile::intake::JobRecord;
+use caperstile::records::{Event, MachineRecord, Record, Records};
+use caperstile::settings::{StateLimits, Tuning};
+use caperstile::store::{Reply, StateCall};
+use caperstile::units::{Duration, JobId, MachineId, Ranges, Resources, Time, Token, Wall};
+use caperstile::upgrade::Format;
+use caperstile::wire::{Change, Txn};
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+const FACTS: &str = "stored/facts.txt";
+
+/// A job with every field set.
+fn gang() -> JobRecord {
+    JobRecord {
+        id: JobId(412),
+        class: "sync".into(),
+        team: "crew".into(),
+        service: false,
+        rank: 1,
+        gang: true,
+        tasks: 8,
+        need: Resources { cpus: 2000, gpus: 1000, memory: 5700 },
+        image: "img-1".into(),
+        image_mb: 1500,
+        types: Some(vec!["g8".into(), "small".into()]),
+        zone: Some("a".into()),
+        together: true,
+        spread: true,
+        spot: true,
+        estimate: Duration(30_000),
+        checkpoint: Duration(60_000),
+        save: Duration(4000),
+        deadline: Some(Duration(90_000)),
+        at: Wall(1_700_000_000_123),
+    }
+}
+
+/// A job without anything that may be left out.
+fn service() -> JobRecord {
+    JobRecord {
+        id: JobId(1),
+        class: "live".into(),
+        team: "small".into(),
+        service: true,
+        rank: 0,
+        gang: false,
+        tasks: 3,
+        types: None,
+        zone: None,
+        together: false,
+        spread: false,
+        spot: false,
+        checkpoint: Duration(0),
+        save: Duration(0),
+        deadline: None,
+        ..gang()
+    }
+}
+
+fn machine(id: u64, spot: bool) -> MachineRecord {
+    MachineRecord {
+        id: MachineId(id),
+        endpoint: "10.1.0.232:9000".into(),
+        kind: "g8".into(),
+        zone: "a".into(),
+        spot,
+        at: Wall(1_700_000_000_123),
+    }
+}
+
+fn ranges(numbers: &[u32]) -> Ranges {
+    let mut ranges = Ranges::default();
+    for number in numbers {
+        ranges.insert(*number);
+    }
+    ranges
+}
+
+/// A fact of every form.
+fn facts() -> Vec<(&'static str, Record)> {
+    let part = r#"{"p":{"n":2,"i":1,"c":3,"t":"\"l\":\"live\""}}"#;
+    vec![
+        ("job", Record::Job(gang())),
+        ("service", Record::Job(service())),
+        ("done", Record::Done(JobId(412), ranges(&[0, 1, 2, 5]))),
+        ("cancelled", Record::Cancelled(JobId(412))),
+        ("machine-up", Record::Enrolled(machine(231, true))),
+        ("machine-rented", Record::Rented(machine(232, false))),
+        ("image", Record::Image(MachineId(231), "img-1".into())),
+        ("correction", Record::Learnt(92.5, 17)),
+        ("machine-gone", Record::Gone(MachineId(231))),
+        ("ended-jobs", Record::Finals(vec![(1, 3), (411, 8)], vec![7, 2])),
+        ("part", serde_json::from_str(part).expect("a fact")),
+    ]
+}
+
+/// Fails to compile when a form of fact is added, so that an example of it is added here too.
+fn has_example(fact: &Record) -> bool {
+    match fact {
+        Record::Job(_) | Record::Done(..) | Record::Cancelled(_) | Record::Enrolled(_) | Record::Rented(_) => true,
+        Record::Image(..) | Record::Learnt(..) | Record::Gone(_) | Record::Finals(..) | Record::Part(_) => true,
+    }
+}
+
+#[test]
+fn every_fact_keeps_its_form_and_is_read_back() {
+    let stored = |fact: &Record| serde_json::to_value(fact).expect("JSON").to_string();
+    let made: Vec<Example> = facts().iter().map(|(name, fact)| example(*name, stored(fact))).collect();
+    fixture::assert_examples(FACTS, &made);
+    for (name, fact) in facts() {
+        let read: Record = serde_json::from_str(&example_of(FACTS, name)).expect("a fact");
+        assert!(has_example(&read) && read == fact, "{name}");
+    }
+}
+
+/// Facts of a version before the fields that may be missing.
+#[test]
+fn what_a_fact_may_omit_is_read_as_none() {
+    let job = r#"{"j":{"i":1,"l":"live","t":"small","k":true,"r":0,"n":3,"c":{"cpus":2000,"gpus":1000,"memory":5700},
+        "m":"img-1","g":1500,"e":30000,"a":1700000000123}}"#;
+    assert!(serde_json::from_str::<Record>(job).expect("a fact") == Record::Job(service()));
+    let machine_up = r#"{"m":{"i":231,"e":"10.1.0.232:9000","k":"g8","z":"a","s":true}}"#;
+    let without_time = MachineRecord { at: Wall(0), ..machine(231, true) };
+    assert!(serde_json::from_str::<Record>(machine_up).expect("a fact") == Record::Enrolled(without_time));
+}
+
+/// The keys that leaders wrote.
+#[derive(Default)]
+struct Keys {
+    values: BTreeMap<String, Value>,
+    revision: u64,
+}
+
+impl Keys {
+    fn apply(&mut self, txn: &Txn) -> Reply {
+        self.revision += 1;
+        for change in &txn.changes {
+            match change {
+                Change::Put { key, value, .. } => drop(self.values.insert(key.clone(), value.clone())),
+                Change::Delete { key } => drop(self.values.remove(key)),
+            }
+        }
+        reply(json!({"Ledger": self.revision}))
+    }
+
+    fn page(&self, prefix: &str) -> Reply {
+        let found = self.values.iter().filter(|(key, _)| key.starts_with(prefix));
+        let pairs: Vec<Value> = found.map(|(key, value)| json!({"K": key, "V": value, "Stamp": 5})).collect();
+        reply(json!({"Pairs": pairs, "More": false, "Ledger": self.revision}))
+    }
+}
+
+fn reply(body: Value) -> Reply {
+    Reply { status: 200, body: body.to_string().into() }
+}
+
+/// A leader's log on top of stored keys.
+struct Leader {
+    log: Records,
+    now: Time,
+    events: Vec<Event>,
+    /// All transactions, as they were sent.
+    written: Vec<String>,
+    read: Vec<Record>,
+}
+
+impl Leader {
+    /// A leader that has read all keys back; values have 2 KiB at the most.
+    fn new(token: u64, format: Format, keys: &mut Keys) -> Leader {
+        let limits = StateLimits { rps: 400.0, write_rps: 500.0, value_kb: 2.0, txn_ops: 24, next: None };
+        let log = Records::new(Token(token), format, Time::START, &limits, &Tuning::default());
+        let mut leader = Leader { log, now: Time::START, events: Vec::new(), written: Vec::new(), read: Vec::new() };
+        leader.log.start(leader.now, &mut leader.events);
+        leader.answer_all(keys);
+        assert!(leader.log.loaded());
+        leader
+    }
+
+    fn answer_all(&mut self, keys: &mut Keys) {
+        while !self.events.is_empty() {
+            match self.events.remove(0) {
+                Event::Call(id, StateCall::Scan { prefix, .. }) => {
+                    self.log.reply(self.now, id, &keys.page(&prefix), &mut self.events);
+                }
+                Event::Call(id, StateCall::Txn(txn)) => {
+                    self.written.push(serde_json::to_string(&txn).expect("JSON"));
+                    let answer = keys.apply(&txn);
+                    self.log.reply(self.now, id, &answer, &mut self.events);
+                }
+                Event::Loaded(fact) => self.read.push(fact),
+                _ => {}
+            }
+        }
+    }
+
+    /// Lets time pass until all that waits is written.
+    fn write_all(&mut self, keys: &mut Keys) {
+        for _ in 0..20 {
+            self.now = self.now + Duration(1000);
+            self.log.tick(self.now, &mut self.events);
+            self.answer_all(keys);
+        }
+    }
+}
+
+/// A job that is too large for a value of 2 KiB, with characters that are escaped.
+fn large_job() -> Record {
+    let types = (0..12).map(|n| format!("\"{n}\u{e9}\\{}", "x".repeat(190))).collect();
+    Record::Job(JobRecord { types: Some(types), ..gang() })
+}
+
+fn assert_written(file: &str, leader: &Leader) {
+    let numbered = |(n, txn): (usize, &String)| example(format!("transaction-{}", n + 1), txn.clone());
+    let made: Vec<Example> = leader.written.iter().enumerate().map(numbered).collect();
+    fixture::assert_examples(file, &made);
+}
+
+/// The keys as the transactions of a fixture leave them.
+fn keys_of(files: &[&str]) -> Keys {
+    let mut keys = Keys::default();
+    for (_, txn) in files.iter().flat_map(|file| fixture::examples(file)) {
+        keys.apply(&serde_json::from_str(&txn).expect("a transaction"));
+    }
+    keys
+}
+
+#[test]
+fn entries_of_the_log_keep_their_form_and_are_read_back() {
+    for (format, file) in [(Format::One, "stored/log.txt"), (Format::Two, "stored/log-2.txt")] {
+        let mut keys = Keys::default();
+        let mut leader = Leader::new(41, format, &mut keys);
+        let facts: Vec<Record> = facts().into_iter().map(|(_, fact)| fact).filter(|fact| !is_part(fact)).collect();
+        facts.iter().for_each(|fact| leader.log.push(fact.clone()));
+        leader.write_all(&mut keys);
+        assert_written(file, &leader);
+        let read = Leader::new(42, format, &mut keys_of(&[file])).read;
+        assert_eq!(read.len(), facts.len());
+        assert!(facts.iter().all(|fact| read.contains(fact)), "all are read, those that somebody waits for first");
+    }
+}
+
+fn is_part(fact: &Record) -> bool {
+    matches!(fact, Record::Part(_))
+}
+
+/// The first snapshot is of the log that the leader wrote itself; the second replaces it, with a fact in parts.
+#[test]
+fn snapshots_keep_their_form_and_are_read_back() {
+    let (log, first, second) = ("stored/log-2.txt", "stored/snapshot.txt", "stored/snapshot-in-parts.txt");
+    let mut keys = keys_of(&[log]);
+    let mut leader = Leader::new(43, Format::Two, &mut keys);
+    let small = [Record::Job(service()), Record::Cancelled(JobId(412))];
+    leader.log.begin_snapshot(small.clone().into_iter());
+    leader.write_all(&mut keys);
+    assert_written(first, &leader);
+    assert!(Leader::new(44, Format::Two, &mut keys_of(&[log, first])).read == small);
+
+    leader.written.clear();
+    let large = [Record::Cancelled(JobId(1)), large_job(), Record::Learnt(92.5, 17)];
+    leader.log.begin_snapshot(large.clone().into_iter());
+    leader.write_all(&mut keys);
+    assert_written(second, &leader);
+    assert!(Leader::new(44, Format::Two, &mut keys_of(&[log, first, second])).read == large);
+}
