--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -193,3 +193,6 @@
 fn json<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/characterization/main.rs
+++ b/tests/characterization/main.rs
@@ -5,9 +5,11 @@
 //! users' requests, their answers and a leader's announcement (`tests/versions.rs`), and when a command is refused in a running
 //! service (`tests/drain_processes.rs`).
 
+mod answers;
 #[path = "../support/fixture.rs"]
 mod fixture;
 mod frames;
+mod messages;
 mod stored_admission;
 mod stored_drains;
 mod stored_keys;
