--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -110,3 +110,6 @@
         println!("{line}");
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -42,3 +42,6 @@
         "status": shown.status,
     })
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/characterization/main.rs
+++ b/tests/characterization/main.rs
@@ -6,10 +6,12 @@
 //! service (`tests/drain_processes.rs`).
 
 mod answers;
+mod command_line;
 #[path = "../support/fixture.rs"]
 mod fixture;
 mod frames;
 mod messages;
+mod settings;
 mod stored_admission;
 mod stored_drains;
 mod stored_keys;
