--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -276,3 +276,6 @@
         .parse::<CompareAndSwapResponse>()
         .is_some_and(|answer| answer.failed_keys.iter().any(|key| key == format.leader_key()))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/tests/characterization/messages.rs
@@ -0,0 +1,231 @@
+//! Every message of PROTOCOL, in both directions: as it is written, and as it is read again with and without optional fields.
+
+use crate::fixture::{self, Example, example, examples};
+use caperstile::jobs::{Refusal, parse_submission};
+use caperstile::types::{JobId, TaskId, WallClock};
+use caperstile::wire::{
+    CommandBatch, CompareAndSwap, CompareAndSwapResponse, ExitReason, GrantLeaseRequest, GrantLeaseResponse, Heartbeat,
+    HeartbeatResponse, KeyPage, KeyValue, ListedMachine, MachineNames, MachinePage, MachineType, MachineTypes,
+    RevisionCondition, ScaleOutRequest, StoreWrite, SubmissionHead, TaskState, TaskStatus, WorkerCommand,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::json;
+
+fn write(message: &impl Serialize) -> String {
+    serde_json::to_string(message).expect("JSON")
+}
+
+/// Reads a message and writes it again.
+fn rewritten<T: Serialize + DeserializeOwned>(text: &str) -> String {
+    write(&serde_json::from_str::<T>(text).unwrap_or_else(|error| panic!("{text}: {error}")))
+}
+
+/// Reads a message of this name and writes it again.
+fn rewritten_as(name: &str, text: &str) -> String {
+    match name.split(':').next() {
+        Some("report") => rewritten::<Heartbeat>(text),
+        Some("report-answer") => rewritten::<HeartbeatResponse>(text),
+        Some("commands") => rewritten::<CommandBatch>(text),
+        Some("flavors") => rewritten::<MachineTypes>(text),
+        Some("rent") => rewritten::<ScaleOutRequest>(text),
+        Some("machine-names") => rewritten::<MachineNames>(text),
+        Some("machine-list") => rewritten::<MachinePage>(text),
+        Some("key") => rewritten::<KeyValue>(text),
+        Some("key-page") => rewritten::<KeyPage>(text),
+        Some("transaction") => rewritten::<CompareAndSwap>(text),
+        Some("transaction-answer") => rewritten::<CompareAndSwapResponse>(text),
+        Some("lease") => rewritten::<GrantLeaseRequest>(text),
+        Some("lease-answer") => rewritten::<GrantLeaseResponse>(text),
+        _ => panic!("no message is called {name}"),
+    }
+}
+
+fn task(index: u32, state: TaskState, cause: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
+    TaskStatus {
+        task: Some(TaskId { job: JobId(412), index }),
+        attempt: 2,
+        state,
+        exit_reason: cause,
+        checkpoint_saved: saved,
+    }
+}
+
+fn report() -> Heartbeat {
+    use TaskState::{AwaitingGang, Checkpointing, Exited, Fetching, Running};
+    let states = [Fetching, AwaitingGang, Running, Checkpointing, TaskState::Other];
+    let mut tasks: Vec<TaskStatus> = (0..).zip(states).map(|(n, state)| task(n, state, None, None)).collect();
+    tasks.push(task(10, Exited, Some(ExitReason::Done), None));
+    tasks.push(task(11, Exited, Some(ExitReason::Stopped), Some(true)));
+    tasks.push(task(12, Exited, Some(ExitReason::Stopped), Some(false)));
+    tasks.push(task(13, Exited, Some(ExitReason::Error), None));
+    tasks.push(task(14, Exited, Some(ExitReason::InsufficientResources), None));
+    tasks.push(task(15, Exited, Some(ExitReason::DuplicateTask), None));
+    tasks.push(task(16, Exited, Some(ExitReason::UnknownJob), None));
+    tasks.push(task(17, Exited, Some(ExitReason::GangMemberLost), None));
+    tasks.push(task(18, Exited, Some(ExitReason::GangIncomplete), None));
+    tasks.push(task(19, Exited, Some(ExitReason::Other), None));
+    tasks.push(TaskStatus { task: None, ..task(0, Running, None, None) });
+    Heartbeat {
+        machine: "m-000231".into(),
+        endpoint: "10.1.0.232:9000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        epoch: 1,
+        sequence: 88,
+        fencing_token: 41,
+        reclaim_in_s: Some(12.5),
+        tasks: Some(tasks),
+    }
+}
+
+fn orders() -> Vec<WorkerCommand> {
+    vec![
+        WorkerCommand::Start { task: "job-000412/4".into(), attempt: 2 },
+        WorkerCommand::Stop { task: "job-000377/1".into(), attempt: 1, grace_s: 10.0 },
+        WorkerCommand::Forget { task: "job-000398/0".into(), attempt: 1 },
+    ]
+}
+
+#[test]
+fn messages_of_workers_keep_their_form() {
+    let silent = Heartbeat { reclaim_in_s: None, tasks: None, ..report() };
+    assert_messages(
+        "wire/workers.txt",
+        &[
+            example("report:full", write(&report())),
+            example("report:without-tasks", write(&silent)),
+            example("report-answer", write(&HeartbeatResponse { fencing_token: 41, commands: orders() })),
+            example("report-answer:empty", write(&HeartbeatResponse { fencing_token: 41, commands: Vec::new() })),
+            example("commands", write(&CommandBatch { fencing_token: 41, epoch: 3, commands: orders() })),
+        ],
+    );
+}
+
+#[test]
+fn messages_of_the_cloud_keep_their_form() {
+    let flavor = MachineType {
+        name: "g8".into(),
+        cpus: 96.0,
+        gpus: 8.0,
+        memory_gb: 768.0,
+        cache_gb: 200.0,
+        fetch_gb_per_s: 1.5,
+        price_per_hour: 12.0,
+        spot_price_per_hour: 4.5,
+        boot_s: 45.0,
+        zones: vec!["a".into(), "b".into()],
+    };
+    let rent = ScaleOutRequest {
+        request_name: "r-17".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 12,
+    };
+    let listed = ListedMachine {
+        machine: "m-000231".into(),
+        endpoint: Some("10.1.0.232:9000".into()),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        state: "running".into(),
+        age_s: 61.5,
+    };
+    let machines = vec!["m-000231".into(), "m-000232".into()];
+    assert_messages(
+        "wire/cloud.txt",
+        &[
+            example("flavors", write(&MachineTypes { machine_types: vec![flavor] })),
+            example("rent", write(&rent)),
+            example("machine-names", write(&MachineNames { machines })),
+            example("machine-list", write(&MachinePage { machines: vec![listed], more: true })),
+        ],
+    );
+}
+
+#[test]
+fn messages_of_the_state_service_keep_their_form() {
+    let key = |lease| KeyValue { key: "a/b".into(), value: json!({"format": 2}), revision: 412, lease };
+    let put = |lease| StoreWrite::Put { key: "a/b".into(), value: json!(["x"]), lease };
+    let transaction = CompareAndSwap {
+        conditions: vec![
+            RevisionCondition { key: "a/b".into(), revision: 0 },
+            RevisionCondition { key: "leader".into(), revision: 9 },
+        ],
+        writes: vec![put(Some(7)), put(None), StoreWrite::Delete { key: "c/d".into() }],
+    };
+    let failed = CompareAndSwapResponse { revision: 431, failed_keys: vec!["a/b".into()] };
+    assert_messages(
+        "wire/state.txt",
+        &[
+            example("key:with-lease", write(&key(Some(7)))),
+            example("key", write(&key(None))),
+            example("key-page", write(&KeyPage { items: vec![key(Some(7)), key(None)], more: true })),
+            example("transaction", write(&transaction)),
+            example(
+                "transaction-answer:done",
+                write(&CompareAndSwapResponse { revision: 432, failed_keys: Vec::new() }),
+            ),
+            example("transaction-answer:failed", write(&failed)),
+            example("lease", write(&GrantLeaseRequest { ttl_ms: 5000 })),
+            example("lease-answer", write(&GrantLeaseResponse { lease: 7 })),
+        ],
+    );
+}
+
+/// Asserts that these messages are written as the file says, and that what it says is read back with nothing lost.
+fn assert_messages(file: &str, messages: &[Example]) {
+    fixture::assert_examples(file, messages);
+    for (name, text) in examples(file) {
+        assert_eq!(rewritten_as(&name, &text), text, "{name}");
+    }
+}
+
+/// What others may send: each line of the first file, with fields left out, null or unknown, is read as the line of the second.
+#[test]
+fn messages_with_optional_fields_left_out_are_read_as_before() {
+    let read: Vec<Example> = examples("wire/received.txt")
+        .into_iter()
+        .map(|(name, text)| example(name.clone(), rewritten_as(&name, &text)))
+        .collect();
+    fixture::assert_examples("wire/received-as.txt", &read);
+}
+
+/// What admission reads of a submission without parsing all of it.
+#[test]
+fn the_head_of_a_submission_is_read_as_before() {
+    for (name, text) in examples("wire/submissions.txt") {
+        let head: SubmissionHead = serde_json::from_str(&text).expect("the head of a submission");
+        let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+        let read = json!([head.job, head.class, head.team, head.tasks]);
+        assert_eq!(read, json!([all["Ref"], all["Lane"], all["Crew"], all["Pieces"]]), "{name}");
+    }
+}
+
+#[test]
+fn submissions_are_parsed_into_the_same_jobs() {
+    let parsed: Vec<Example> = examples("wire/submissions.txt")
+        .into_iter()
+        .map(|(name, text)| {
+            let job = parse_submission(text.as_bytes(), WallClock::from_millis(1_700_000_000_123))
+                .unwrap_or_else(|_| panic!("{name}"));
+            example(name, serde_json::to_value(job).expect("JSON").to_string())
+        })
+        .collect();
+    fixture::assert_examples("wire/submissions-as-jobs.txt", &parsed);
+}
+
+/// The field at fault and what is wrong with it.
+#[test]
+fn malformed_submissions_are_refused_with_the_same_words() {
+    let refused: Vec<Example> = examples("wire/malformed.txt")
+        .into_iter()
+        .map(|(name, text)| match parse_submission(text.as_bytes(), WallClock::from_millis(0)) {
+            Err(Refusal::Malformed { field, problem }) => example(name, format!("{field}: {problem}")),
+            _ => example(name, "taken"),
+        })
+        .collect();
+    fixture::assert_examples("wire/malformed-as.txt", &refused);
+}
