--- a/benches/plan.rs
+++ b/benches/plan.rs
@@ -1,7 +1,7 @@
 //! What a plan costs: a controller has a tenth of a core. `cargo bench` compares with the last run.
 
 use caperstile::jobs::{JobStore, parse_submission};
-use caperstile::plan::{Entry, Plans, Profile, QueuePriority, Server, World, Zones};
+use caperstile::plan::{JobDirectory, JobProfile, PlannedMachine, Plans, QueueEntry, QueuePriority, ZoneAllowance};
 use caperstile::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
 use caperstile::write_ahead_log::LogRecord;
 use criterion::{Bencher, Criterion, criterion_group, criterion_main};
@@ -10,13 +10,19 @@
 
 struct Like;
 
-impl World for Like {
-    fn profile(&self, _: JobId) -> Option<Profile> {
+impl JobDirectory for Like {
+    fn profile(&self, _: JobId) -> Option<JobProfile> {
         let kinds = vec![Some((Duration::from_secs(30), Duration::from_secs(34)))];
-        Some(Profile { kinds, zone: None, spot: true, avoid: Vec::new(), image: 1 })
+        Some(JobProfile {
+            durations_by_type: kinds,
+            zone: None,
+            allows_spot: true,
+            avoided_machines: Vec::new(),
+            image: 1,
+        })
     }
-    fn zones(&self, _: JobId, _: &BTreeMap<usize, u32>) -> Zones {
-        Zones { left: vec![u32::MAX], together: false }
+    fn zone_allowance(&self, _: JobId, _: &BTreeMap<usize, u32>) -> ZoneAllowance {
+        ZoneAllowance { remaining_tasks: vec![u32::MAX], colocate: false }
     }
 }
 
@@ -24,30 +30,30 @@
 fn machines(count: u64, busy: u64) -> Plans {
     let mut plans = Plans::default();
     let room = |tasks: u64| Resources { cpus: 2000 * tasks, gpus: 0, memory: 6000 * tasks };
-    let server = |id: u64| Server {
+    let server = |id: u64| PlannedMachine {
         id: MachineId(id),
         free: room(16 - busy),
         releases: (0..busy).map(|n| (Timestamp::from_millis(5000 * n + id * 7), room(1))).collect(),
         images: if id.is_multiple_of(2) { vec![1] } else { vec![] },
-        ..Server::default()
+        ..PlannedMachine::default()
     };
-    plans.admit(Timestamp::ZERO, (0..count).map(server).collect());
+    plans.add_machines(Timestamp::ZERO, (0..count).map(server).collect());
     plans
 }
 
-fn job(seq: u64) -> Entry {
-    Entry {
+fn job(seq: u64) -> QueueEntry {
+    QueueEntry {
         job: JobId(seq),
-        order: QueuePriority { rank: 1 + (seq % 3) as u8, seq },
+        queue_priority: QueuePriority { priority: 1 + (seq % 3) as u8, sequence: seq },
         count: 1,
-        need: Resources { cpus: 2000, gpus: 0, memory: 6000 },
-        run: Duration::ZERO,
-        endless: false,
+        resources: Resources { cpus: 2000, gpus: 0, memory: 6000 },
+        predicted_duration: Duration::ZERO,
+        is_service: false,
         deadline: Timestamp::from_millis(60_000 + seq * 1000),
-        constrained: false,
-        gang: false,
-        pushes_aside: None,
-        takes_kept: false,
+        has_zone_constraints: false,
+        is_gang: false,
+        preempts_below: None,
+        uses_headroom: false,
     }
 }
 
@@ -55,7 +61,7 @@
 fn one_more(b: &mut Bencher, plans: &mut Plans, tasks: u32) {
     b.iter(|| {
         black_box(plans.place(Timestamp::ZERO, job(1000), tasks, &Like));
-        plans.remove_job(JobId(1000));
+        plans.unplan_job(JobId(1000));
     });
 }
 
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -172,11 +172,11 @@
 
     /// How long inputs wait for this node: planning does less when they wait long.
     pub(crate) fn set_input_delay(&mut self, delay: Duration) {
-        self.planning.pacing.behind = delay;
+        self.planning.pacing.input_delay = delay;
     }
     /// The last input was slow.
     pub(crate) fn note_slow_input(&mut self, took: Duration) {
-        self.planning.pacing.spent(took);
+        self.planning.pacing.note_slow_input(took);
     }
     /// The zones of the nodes that led not long ago.
     pub(crate) fn set_recent_leader_zones(&mut self, zones: BTreeSet<String>) {
@@ -246,7 +246,7 @@
                     self.planning.replan_needed = true;
                     for id in ids {
                         self.log.append(LogRecord::MachineGone(id));
-                        self.planning.plans.remove(id);
+                        self.planning.plans.remove_machine(id);
                         self.fencing.unfenced.remove(&id);
                         if let Some(mut machine) = self.machines.remove(&id) {
                             info!("gone machine={id}");
@@ -315,7 +315,7 @@
     /// Direct commands that may be under way: fewer when behind, since reports do the same, only later.
     pub(crate) fn commands_at_once(&self) -> usize {
         let most = self.settings.deployment.resources.commands_at_once();
-        (most / (1 + self.planning.pacing.behind.as_millis() as usize / 50)).max(FEW_COMMANDS)
+        (most / (1 + self.planning.pacing.input_delay.as_millis() as usize / 50)).max(FEW_COMMANDS)
     }
 
     /// Sends what is to be sent at once: direct commands and due commits.
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -44,7 +44,7 @@
 
     /// How busy this node was in the last second.
     pub(crate) fn observe_utilization(&mut self, now: Timestamp, utilization: Utilization) {
-        self.admission.observe(now, utilization, self.planning.pacing.behind);
+        self.admission.observe(now, utilization, self.planning.pacing.input_delay);
     }
 
     /// What another node has refused by this leader's tables.
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -135,7 +135,7 @@
                 let Some(job) = self.jobs.get(key.task.job) else { return };
                 let grace = if job.spec.is_service { 0.0 } else { job.spec.checkpoint_duration.as_secs_f64() };
                 info!("evicting {key} machine={machine}");
-                self.stop(machine, key, grace);
+                self.stop_attempt(machine, key, grace);
             }
             disruption::Effect::Stop(Stop::Gang(id)) => {
                 let Some(save) = self.jobs.get(id).map(|job| job.spec.checkpoint_duration) else { return };
@@ -152,7 +152,7 @@
         let Some(machine) = self.machines.get_mut(&id).filter(known) else { return };
         info!("draining machine={id}");
         machine.draining = Some(DRAINED);
-        self.planning.plans.remove(id);
+        self.planning.plans.remove_machine(id);
         self.planning.changed_machines.insert(id);
     }
 
@@ -200,8 +200,10 @@
     fn demand_for_replica(&self, now: Timestamp, hold: &TaskAttempt) -> Option<Demand> {
         let job = self.jobs.get(hold.task.job)?;
         let record = &job.spec;
-        let there = self.parts().by_zone(job);
-        let count = |zone: &str| self.planning.names.zone(zone).and_then(|zone| there.get(&zone).copied()).unwrap_or(0);
+        let there = self.planning_view().tasks_by_zone(job);
+        let count = |zone: &str| {
+            self.planning.names.zone_index_of(zone).and_then(|zone| there.get(&zone).copied()).unwrap_or(0)
+        };
         let zones: BTreeSet<&String> =
             self.cloud.machine_types().into_iter().flatten().flat_map(|f| &f.zones).collect();
         let open = zones.into_iter().filter(|zone| self.zone_unreachable_since(zone, now).is_none());
--- a/src/leader/drains/rooms.rs
+++ b/src/leader/drains/rooms.rs
@@ -90,7 +90,7 @@
         if let Some(left) = left {
             *self.left.entry(left).or_default() += 1;
         }
-        let zones = self.term.parts().by_zone(job);
+        let zones = self.term.planning_view().tasks_by_zone(job);
         let counted = |zone: usize| {
             let there = zones.get(&zone).copied().unwrap_or(0) + self.arrived.get(&(id, zone)).copied().unwrap_or(0);
             there.saturating_sub(self.left.get(&(id, zone)).copied().unwrap_or(0))
@@ -115,7 +115,7 @@
     /// The zone in which a replica is.
     fn zone_of(&self, job: &Job, hold: &TaskAttempt) -> Option<usize> {
         let machine = self.term.machines.get(&job.placements.get(&hold.task.index)?.machine)?;
-        self.term.planning.names.zone(&machine.record.zone)
+        self.term.planning.names.zone_index_of(&machine.record.zone)
     }
 
     fn allowed(&self, job: &Job, room: &Room<'_>) -> bool {
@@ -163,7 +163,7 @@
             machine: Some(machine),
             kind: &machine.record.machine_type,
             zone_name: &machine.record.zone,
-            zone: term.planning.names.zone(&machine.record.zone)?,
+            zone: term.planning.names.zone_index_of(&machine.record.zone)?,
             free,
         })
     };
@@ -178,7 +178,7 @@
     let coming = coming.map(|m| (m.id(), m.record.machine_type.as_str(), m.record.zone.as_str()));
     let room = |(id, kind, zone_name): (MachineId, _, _)| {
         let free = jobs::capacity(term.cloud.machine_type(kind)?);
-        Some(Room { id, machine: None, kind, zone_name, zone: term.planning.names.zone(zone_name)?, free })
+        Some(Room { id, machine: None, kind, zone_name, zone: term.planning.names.zone_index_of(zone_name)?, free })
     };
     booting.chain(coming).filter_map(room).collect()
 }
--- a/src/leader/failure_detection.rs
+++ b/src/leader/failure_detection.rs
@@ -180,7 +180,7 @@
                 if let Some(m) = self.machines.get_mut(&id) {
                     m.draining.get_or_insert(why);
                 }
-                self.planning.plans.remove(id);
+                self.planning.plans.remove_machine(id);
                 self.cloud.release(id, why);
             }
             self.cloud.release_overdue(now);
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -63,7 +63,7 @@
         self.schedule_if_due(now, wall, lease_valid, out);
         if showed {
             // What is planned next here goes with the answer.
-            self.start_next(now, id);
+            self.start_next_tasks(now, id);
         }
         if let Some(machine) = self.machines.get_mut(&id) {
             let keep = self.settings.deployment.workers.copies_over();
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -151,7 +151,7 @@
             "over {id} {}",
             if matches!(self.jobs.terminal_state(id), Some(TerminalState::Done(_))) { "done" } else { "cancelled" }
         );
-        self.planning.plans.remove_job(id);
+        self.planning.plans.unplan_job(id);
         for placed in left {
             self.abandon_attempt(*placed);
         }
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -7,8 +7,8 @@
 use crate::leader::Leader;
 use crate::leader::drains::RoomPlanner;
 use crate::leader::failure_detection::LostZone;
-use crate::leader::scheduling::order_of;
-use crate::plan::{QueuePriority, Server};
+use crate::leader::scheduling::queue_priority;
+use crate::plan::{PlannedMachine, QueuePriority};
 use crate::settings::Objective;
 use crate::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
 use crate::workers::TaskAttempt;
@@ -34,33 +34,36 @@
         // Apart are those for which ordinary machines are rented too.
         let no_spot = self.cloud.all_spot_recently_refused(now);
         let mut counts: BTreeMap<(QueuePriority, JobId, bool), u32> = BTreeMap::new();
-        for server in self.planning.plans.servers().filter(|s| !s.queue.is_empty()) {
-            for (entry, start) in self.planning.plans.starts(server.id, now) {
+        for server in self.planning.plans.machines().filter(|s| !s.queue.is_empty()) {
+            for (entry, start) in self.planning.plans.predicted_starts(server.id, now) {
                 // A machine rented now would be up after `boot`: only what it would start sooner counts.
                 let late = match start {
                     None => true,
-                    Some(at) if entry.endless => at > now + boot + Duration::from_secs(5),
+                    Some(at) if entry.is_service => at > now + boot + Duration::from_secs(5),
                     Some(at) => {
                         let goal = self.jobs.get(entry.job).map_or(Timestamp::NEVER, |j| self.goal(j));
-                        at > now + boot + Duration::from_secs(3) && at + entry.run > goal
+                        at > now + boot + Duration::from_secs(3) && at + entry.predicted_duration > goal
                     }
                 };
                 if late {
-                    let long =
-                        no_spot && self.jobs.get(entry.job).is_some_and(|j| self.worth(j, now, start, entry.run, boot));
-                    *counts.entry((entry.order, entry.job, long)).or_insert(0) += 1;
+                    let long = no_spot
+                        && self
+                            .jobs
+                            .get(entry.job)
+                            .is_some_and(|j| self.worth(j, now, start, entry.predicted_duration, boot));
+                    *counts.entry((entry.queue_priority, entry.job, long)).or_insert(0) += 1;
                 }
             }
         }
         // What was not looked at lately may find room yet.
         const LATELY: Duration = Duration::from_secs(5);
         let tried = |j: &&Job| now.since(j.last_planned_at) < LATELY;
-        for job in self.jobs.waiting().filter(|j| self.startable(j, now)).filter(tried) {
-            let left = job.pending.len().saturating_sub(self.planning.plans.planned(job.spec.id));
+        for job in self.jobs.waiting().filter(|j| self.is_startable(j, now)).filter(tried) {
+            let left = job.pending.len().saturating_sub(self.planning.plans.planned_count(job.spec.id));
             if left > 0 {
                 let run = self.planning.correction.predict(job.spec.estimated_duration);
                 let long = no_spot && self.worth(job, now, None, run, boot);
-                *counts.entry((order_of(job), job.spec.id, long)).or_insert(0) += left;
+                *counts.entry((queue_priority(job), job.spec.id, long)).or_insert(0) += left;
             }
         }
         let headroom = self.headroom(now, boot);
@@ -97,8 +100,8 @@
     /// The zone in which a gang that wants one zone is planned.
     fn planned_zone(&self, job: &Job) -> Option<String> {
         let together = job.gang.is_some() && job.spec.colocate_in_zone;
-        let (machine, _) = self.planning.plans.planned_at(job.spec.id).into_iter().next().filter(|_| together)?;
-        self.planning.names.zone_name(self.planning.plans.server(machine)?.zone).map(str::to_string)
+        let (machine, _) = self.planning.plans.planned_machines(job.spec.id).into_iter().next().filter(|_| together)?;
+        self.planning.names.zone_name(self.planning.plans.machine(machine)?.zone).map(str::to_string)
     }
 
     /// Whether ordinary machines may be rented for a task that could wait for a spot machine: several
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -67,8 +67,8 @@
 
     /// Free room of machines, the fullest first, so that others become idle.
     fn free_rooms(&self) -> Vec<FreeRoom> {
-        let room = |s: &Server| FreeRoom { machine: s.id, free: s.free, soft: s.soft[0] };
-        let mut rooms: Vec<FreeRoom> = self.planning.plans.servers().map(room).collect();
+        let room = |s: &PlannedMachine| FreeRoom { machine: s.id, free: s.free, soft: s.preemptible[0] };
+        let mut rooms: Vec<FreeRoom> = self.planning.plans.machines().map(room).collect();
         rooms.sort_by_key(|room| (room.free.cpus, room.machine));
         rooms
     }
@@ -77,11 +77,13 @@
     fn service_headroom(&self, now: Timestamp, boot: Duration, rooms: &mut [FreeRoom]) -> Option<Demand> {
         let (job, wanted) = self.expected_services(boot.as_secs_f64())?;
         let wanted = wanted + self.stranded(now) + self.held_back(now);
-        let profile = self.parts().profile_of(job);
+        let profile = self.planning_view().job_profile(job);
         let need = job.spec.resources;
         let mut missing = wanted;
         for room in rooms.iter_mut() {
-            if missing > 0 && self.planning.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some()) {
+            if missing > 0
+                && self.planning.plans.machine(room.machine).is_some_and(|s| profile.predicted_duration(s).is_some())
+            {
                 missing -= room.take_with_soft(&need, missing);
             }
         }
@@ -114,10 +116,11 @@
             return None;
         }
         let wanted = ((expected * CLASS_ROOM_SHARE).ceil() as u64).max(LARGEST_JOBS * u64::from(record.task_count));
-        let profile = self.parts().profile_for(record, Vec::new());
+        let profile = self.planning_view().spec_profile(record, Vec::new());
         let mut missing = wanted;
         for room in rooms.iter_mut() {
-            let fits = self.planning.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some());
+            let fits =
+                self.planning.plans.machine(room.machine).is_some_and(|s| profile.predicted_duration(s).is_some());
             let taken = if fits { room.take(&record.resources, missing) } else { 0 };
             if taken > 0 {
                 let kept = kept.entry(room.machine).or_default();
@@ -191,13 +194,14 @@
                 *jobs.entry(hold.task.job).or_default() += 1;
             }
         }
-        let parts = self.parts();
+        let parts = self.planning_view();
         let zones: BTreeSet<&String> =
             self.cloud.machine_types().into_iter().flatten().flat_map(|f| &f.zones).collect();
         let elsewhere = |job: &Job| -> u32 {
-            let there = parts.by_zone(job);
+            let there = parts.tasks_by_zone(job);
             let open = zones.iter().filter(|z| self.zone_unreachable_since(z, now).is_none());
-            let placed = |zone: &str| self.planning.names.zone(zone).and_then(|z| there.get(&z).copied()).unwrap_or(0);
+            let placed =
+                |zone: &str| self.planning.names.zone_index_of(zone).and_then(|z| there.get(&z).copied()).unwrap_or(0);
             open.map(|z| job.spec.max_tasks_per_zone().saturating_sub(placed(z))).fold(0, u32::saturating_add)
         };
         jobs.iter().filter_map(|(id, lost)| Some(u64::from(elsewhere(self.jobs.get(*id)?).min(*lost)))).sum()
--- a/src/leader/provisioning/returns.rs
+++ b/src/leader/provisioning/returns.rs
@@ -34,7 +34,7 @@
                 continue;
             }
             if now.since(m.known_since) < Duration::from_secs(60)
-                || self.planning.plans.server(*id).is_some_and(|s| !s.queue.is_empty())
+                || self.planning.plans.machine(*id).is_some_and(|s| !s.queue.is_empty())
             {
                 continue;
             }
@@ -56,9 +56,9 @@
         m.draining = Some(CONSOLIDATED);
         let attempts: Vec<_> = m.attempts.iter().filter(|(_, h)| h.occupies_resources()).map(|(a, _)| *a).collect();
         for attempt in attempts {
-            self.stop(id, attempt, 0.0);
+            self.stop_attempt(id, attempt, 0.0);
         }
-        self.planning.plans.remove(id);
+        self.planning.plans.remove_machine(id);
     }
 
     /// Whether services of a machine fit into free room of others that hold their images, with room
@@ -79,7 +79,7 @@
         let mut idle = Vec::new();
         for (id, m) in &mut self.machines {
             let busy = m.attempts.values().any(TaskAttempt::occupies_resources)
-                || self.planning.plans.server(*id).is_some_and(|s| !s.queue.is_empty());
+                || self.planning.plans.machine(*id).is_some_and(|s| !s.queue.is_empty());
             if busy || !m.accepts_tasks() || !m.reached_within(now, overdue) {
                 m.idle_since = None;
                 continue;
@@ -96,7 +96,7 @@
             if let Some(m) = self.machines.get_mut(&id) {
                 m.draining = Some("idle");
             }
-            self.planning.plans.remove(id);
+            self.planning.plans.remove_machine(id);
             self.cloud.release(id, "idle");
         }
     }
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -5,7 +5,9 @@
 use crate::effects::Effect;
 use crate::jobs::{self, Job};
 use crate::leader::Leader;
-use crate::plan::{self, Correction, Entry, Plans, Profile, QueuePriority, Server, World, Zones};
+use crate::plan::{
+    self, Correction, JobDirectory, JobProfile, PlannedMachine, Plans, QueueEntry, QueuePriority, ZoneAllowance,
+};
 use crate::types::{AttemptId, Duration, JobId, MachineId, Resources, TaskId, Timestamp, WallClock};
 use crate::workers::{AttemptPhase, Machine, StartUncertainty, TaskAttempt};
 use log::{debug, info};
@@ -19,20 +21,20 @@
 mod view;
 
 pub(crate) use pacing::Pacing;
-pub(crate) use view::{Names, View};
+pub(crate) use view::{NameInterner, PlanningView};
 
 /// Least time between two rounds of drains, beside those that follow a write.
-const DRAIN_EVERY: Duration = Duration::from_secs(1);
+const MIN_DRAIN_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 /// Tasks of one job that are planned at once.
-const BATCH: u32 = 128;
+const MAX_TASKS_PER_PLACEMENT: u32 = 128;
 
 /// A job of which nothing has begun for so long is promoted, so that it begins within four minutes.
-const STARVED_AFTER: Duration = Duration::from_secs(120);
+const STARVATION_THRESHOLD: Duration = Duration::from_secs(120);
 /// To this rank, for its first task: before all but services, which it must not push aside.
-const PROMOTED: u8 = 1;
+const PROMOTED_PRIORITY: u8 = 1;
 
 /// Used by tasks of which nothing is known: no limited team may start anything beside it.
-const UNKNOWN: Resources = Resources { cpus: u64::MAX >> 32, gpus: u64::MAX >> 32, memory: u64::MAX >> 32 };
+const UNKNOWN_USAGE: Resources = Resources { cpus: u64::MAX >> 32, gpus: u64::MAX >> 32, memory: u64::MAX >> 32 };
 
 /// The plans of all machines, and what planning remembers from round to round.
 pub(super) struct Planning {
@@ -45,7 +47,7 @@
     pub(super) latency_sensitive_classes: BTreeSet<String>,
     /// Free resources of machines that are kept for jobs that must start at once.
     pub(super) headroom: BTreeMap<MachineId, Resources>,
-    pub(super) names: Names,
+    pub(super) names: NameInterner,
     /// Machines whose plans have to be brought up to date.
     pub(super) changed_machines: BTreeSet<MachineId>,
     /// Where the last round stopped, if it did not get through all jobs.
@@ -67,7 +69,7 @@
             arrivals: Arrivals::default(),
             latency_sensitive_classes: BTreeSet::new(),
             headroom: BTreeMap::new(),
-            names: Names::default(),
+            names: NameInterner::default(),
             changed_machines: BTreeSet::new(),
             resume_at: None,
             replan_needed: true,
@@ -78,35 +80,35 @@
     }
 }
 
-pub(crate) fn order_of(job: &Job) -> QueuePriority {
-    QueuePriority { rank: job.effective_priority, seq: job.queue_sequence }
+pub(crate) fn queue_priority(job: &Job) -> QueuePriority {
+    QueuePriority { priority: job.effective_priority, sequence: job.queue_sequence }
 }
 
 /// Whether tasks of this job may start in room that is kept ahead: what it is kept for, services, and what has waited too long.
-fn takes_kept_room(job: &Job, prompt_classes: &BTreeSet<String>) -> bool {
+fn may_use_headroom(job: &Job, prompt_classes: &BTreeSet<String>) -> bool {
     job.spec.is_service || job.is_promoted() || prompt_classes.contains(&job.spec.class)
 }
 
-fn entry_of(job: &Job, prompt_classes: &BTreeSet<String>) -> Entry {
-    Entry {
+fn queue_entry(job: &Job, prompt_classes: &BTreeSet<String>) -> QueueEntry {
+    QueueEntry {
         job: job.spec.id,
-        order: order_of(job),
+        queue_priority: queue_priority(job),
         count: 1,
-        need: job.spec.resources,
-        run: Duration::ZERO,
-        endless: job.spec.is_service,
+        resources: job.spec.resources,
+        predicted_duration: Duration::ZERO,
+        is_service: job.spec.is_service,
         deadline: job.deadline(),
-        constrained: job.spec.colocate_in_zone || job.spec.spread_over_zones,
-        gang: job.gang.is_some(),
+        has_zone_constraints: job.spec.colocate_in_zone || job.spec.spread_over_zones,
+        is_gang: job.gang.is_some(),
         // By its own rank: a better one that it was given for its turn stops nobody.
-        pushes_aside: ((job.spec.is_service && job.spec.priority == 0) || job.gang.is_some())
+        preempts_below: ((job.spec.is_service && job.spec.priority == 0) || job.gang.is_some())
             .then_some(job.spec.priority),
-        takes_kept: takes_kept_room(job, prompt_classes),
+        uses_headroom: may_use_headroom(job, prompt_classes),
     }
 }
 
 /// When a hold is predicted to give its room back.
-fn release(hold: &TaskAttempt, now: Timestamp) -> Option<Timestamp> {
+fn predicted_release(hold: &TaskAttempt, now: Timestamp) -> Option<Timestamp> {
     if hold.stop_grace_s.is_some() {
         return Some(now + Duration::from_millis(100));
     }
@@ -118,18 +120,18 @@
 
 /// Whether a task may be stopped to make room for one of this rank: it must be of a lower one, end by
 /// itself, and not be stopping already.
-fn pushable(hold: &TaskAttempt, rank: u8) -> bool {
+fn may_be_preempted(hold: &TaskAttempt, rank: u8) -> bool {
     let running = hold.assigned && hold.occupies_resources() && hold.stop_grace_s.is_none();
     // Stopping one task of a gang loses the work of all.
     running && hold.priority > rank && hold.predicted_duration.is_some() && !hold.in_gang
 }
 
 impl Leader {
-    pub(crate) fn parts(&self) -> View<'_> {
-        View {
+    pub(crate) fn planning_view(&self) -> PlanningView<'_> {
+        PlanningView {
             jobs: &self.jobs,
             machines: &self.machines,
-            inventory: &self.cloud,
+            cloud: &self.cloud,
             correction: self.planning.correction,
             names: &self.planning.names,
         }
@@ -144,11 +146,11 @@
     ) {
         if !self.is_loaded()
             || self.cloud.machine_types().is_none()
-            || now.since(self.planning.last_round_at) < self.planning.pacing.schedule_every()
+            || now.since(self.planning.last_round_at) < self.planning.pacing.round_interval()
         {
             return;
         }
-        let look = now.since(self.planning.last_provisioning_at) >= self.planning.pacing.demand_every();
+        let look = now.since(self.planning.last_provisioning_at) >= self.planning.pacing.provisioning_interval();
         if !self.planning.replan_needed && !look {
             return;
         }
@@ -165,7 +167,7 @@
                 self.scale_out(now, wall, out);
                 self.scale_in_idle(now);
                 self.consolidate(now, wall);
-                if now.since(self.drain_state.last_round_at) >= DRAIN_EVERY {
+                if now.since(self.drain_state.last_round_at) >= MIN_DRAIN_ROUND_INTERVAL {
                     self.drain_state.last_round_at = now;
                     self.run_drain_round(now, wall, out);
                 }
@@ -178,25 +180,25 @@
         self.refresh_plans(now);
         self.drain_reclaimed_machines(now);
         self.update_gangs(now);
-        let everything = look || self.limited();
+        let everything = look || self.has_any_quota();
         if everything {
             self.promote_starved(now);
             let ids: Vec<MachineId> =
-                self.planning.plans.servers().filter(|s| !s.queue.is_empty()).map(|s| s.id).collect();
-            self.planning.plans.release_stuck(now, ids.into_iter());
-            self.release_misplaced();
-            self.unplan_gangs();
+                self.planning.plans.machines().filter(|s| !s.queue.is_empty()).map(|s| s.id).collect();
+            self.planning.plans.unplan_stuck(now, ids.into_iter());
+            self.unplan_misplaced();
+            self.unplan_waiting_gangs();
         }
-        let mut used = self.team_use();
+        let mut used = self.team_usage();
         self.plan_waiting(now, &used);
-        let touched = self.planning.plans.take_touched();
+        let touched = self.planning.plans.take_changed_machines();
         let ids: Vec<MachineId> = if everything {
-            self.planning.plans.servers().filter(|s| !s.queue.is_empty() || s.free.cpus > 0).map(|s| s.id).collect()
+            self.planning.plans.machines().filter(|s| !s.queue.is_empty() || s.free.cpus > 0).map(|s| s.id).collect()
         } else {
             touched.into_iter().collect()
         };
         self.start_planned(now, &ids, &mut used);
-        self.steal(now, &ids, &mut used);
+        self.steal_work(now, &ids, &mut used);
         self.preempt_for_services(now);
         self.preempt_for_gangs(now);
     }
@@ -204,24 +206,24 @@
     /// Takes tasks out of the plan that have room where they wait, but may not start there: their job has as many in that zone as it
     /// may, or is in another one. An idle machine had taken a task from the queue of another zone, so that those planned in its own
     /// were one too many; they waited there for ever.
-    fn release_misplaced(&mut self) {
+    fn unplan_misplaced(&mut self) {
         let mut misplaced = Vec::new();
-        for (_, id, machines) in self.planning.plans.waiting() {
+        for (_, id, machines) in self.planning.plans.planned_jobs() {
             let Some(job) = self.jobs.get(id).filter(|job| job.gang.is_none()) else { continue };
             if !job.spec.spread_over_zones && !job.spec.colocate_in_zone {
                 continue;
             }
-            let there = self.parts().by_zone(job);
+            let there = self.planning_view().tasks_by_zone(job);
             let closed = |zone: usize| {
                 there.get(&zone).is_some_and(|count| *count >= job.spec.max_tasks_per_zone())
                     || (job.spec.colocate_in_zone && there.keys().any(|other| *other != zone))
             };
             let in_closed =
-                |machine: &MachineId| self.planning.plans.server(*machine).is_some_and(|server| closed(server.zone));
+                |machine: &MachineId| self.planning.plans.machine(*machine).is_some_and(|server| closed(server.zone));
             misplaced.extend(machines.filter(in_closed).map(|machine| (machine, id)));
         }
         for (machine, job) in misplaced {
-            self.planning.plans.cancel(machine, job);
+            self.planning.plans.unplan_last(machine, job);
         }
     }
 
@@ -229,22 +231,22 @@
     ///
     /// Its report is about to be answered, and what is ordered with the answer needs no command: each of those took a
     /// connection, and at 980 machines they were more than half of a leader's work.
-    pub(crate) fn start_next(&mut self, now: Timestamp, id: MachineId) {
-        if self.planning.plans.server(id).is_none() || !self.machines.get(&id).is_some_and(Machine::accepts_tasks) {
+    pub(crate) fn start_next_tasks(&mut self, now: Timestamp, id: MachineId) {
+        if self.planning.plans.machine(id).is_none() || !self.machines.get(&id).is_some_and(Machine::accepts_tasks) {
             return;
         }
-        if self.limited() && self.planning.plans.waiting().any(|(_, job, _)| self.has_limit(job)) {
+        if self.has_any_quota() && self.planning.plans.planned_jobs().any(|(_, job, _)| self.has_quota(job)) {
             // What a team with a limit uses is counted over all machines, once a round. Until then its tasks could not
             // start, and lower ones would take the room.
             return;
         }
         self.planning.changed_machines.remove(&id);
-        let Some(server) = self.server_of(now, id) else { return self.planning.plans.remove(id) };
-        self.planning.plans.refresh(server);
+        let Some(server) = self.planned_machine(now, id) else { return self.planning.plans.remove_machine(id) };
+        self.planning.plans.update_machine(server);
         // Nothing of a team with a limit waits; if it did, what it uses may be anything.
-        let mut used = HashMap::from([(String::new(), UNKNOWN)]);
+        let mut used = HashMap::from([(String::new(), UNKNOWN_USAGE)]);
         self.start_planned(now, &[id], &mut used);
-        self.steal(now, &[id], &mut used);
+        self.steal_work(now, &[id], &mut used);
     }
 
     /// Brings the plan's machines up to date, as far as something changed.
@@ -254,19 +256,19 @@
         }
         let mut fresh = Vec::new();
         for id in std::mem::take(&mut self.planning.changed_machines) {
-            match self.server_of(now, id) {
-                Some(server) if self.planning.plans.server(id).is_some() => {
-                    self.planning.plans.refresh(server);
+            match self.planned_machine(now, id) {
+                Some(server) if self.planning.plans.machine(id).is_some() => {
+                    self.planning.plans.update_machine(server);
                 }
                 Some(server) => fresh.push(server),
-                None => self.planning.plans.remove(id),
+                None => self.planning.plans.remove_machine(id),
             }
         }
-        self.planning.plans.admit(now, fresh);
+        self.planning.plans.add_machines(now, fresh);
     }
 
     /// A machine as the plan sees it; `None` if nothing may be planned there.
-    fn server_of(&mut self, now: Timestamp, id: MachineId) -> Option<Server> {
+    fn planned_machine(&mut self, now: Timestamp, id: MachineId) -> Option<PlannedMachine> {
         if self.cloud.is_releasing(id) {
             return None;
         }
@@ -286,47 +288,47 @@
                 return None;
             }
             let mut releases: Vec<(Timestamp, Resources)> = Vec::new();
-            let mut soft = [Resources::default(); plan::PUSHING_RANKS];
+            let mut soft = [Resources::default(); plan::PREEMPTING_PRIORITIES];
             for hold in m.attempts.values().filter(|h| h.occupies_resources()) {
-                releases.extend(release(hold, now).map(|at| (at, hold.resources)));
+                releases.extend(predicted_release(hold, now).map(|at| (at, hold.resources)));
                 for (rank, room) in (0..).zip(&mut soft) {
-                    if pushable(hold, rank) {
+                    if may_be_preempted(hold, rank) {
                         room.add(&hold.resources);
                     }
                 }
             }
             let free = m.free_resources();
             let leaves = self.drain_state.coordinator.as_ref().is_some_and(|drains| drains.is_member(id));
-            return Some(Server {
+            return Some(PlannedMachine {
                 id,
-                zone: self.planning.names.zone_index(&m.record.zone),
-                kind: self.planning.names.kind_index(&m.record.machine_type),
+                zone: self.planning.names.intern_zone(&m.record.zone),
+                machine_type: self.planning.names.intern_machine_type(&m.record.machine_type),
                 spot: m.record.spot,
-                ready: now,
-                slack: if m.accepts_tasks() { Duration::ZERO } else { Duration::from_millis(500) },
+                ready_at: now,
+                min_start_delay: if m.accepts_tasks() { Duration::ZERO } else { Duration::from_millis(500) },
                 // What is to be emptied soon is filled last.
                 bias: if leaves { (u64::MAX, u64::MAX) } else { bias(flavor, m.record.spot, &free) },
                 free,
-                soft,
+                preemptible: soft,
                 releases,
-                kept: self.planning.headroom.get(&id).copied().unwrap_or_default(),
-                images: self.planning.names.images(m.images.iter()),
-                ..Server::default()
+                headroom: self.planning.headroom.get(&id).copied().unwrap_or_default(),
+                images: self.planning.names.intern_images(m.images.iter()),
+                ..PlannedMachine::default()
             });
         }
         let b = self.cloud.pending_instance(id).filter(|b| !self.zones.suspected.contains(&b.zone))?;
         let flavor = self.cloud.machine_type(&b.machine_type)?;
         let free = jobs::capacity(flavor);
-        Some(Server {
+        Some(PlannedMachine {
             id,
-            zone: self.planning.names.zone_index(&b.zone),
-            kind: self.planning.names.kind_index(&b.machine_type),
+            zone: self.planning.names.intern_zone(&b.zone),
+            machine_type: self.planning.names.intern_machine_type(&b.machine_type),
             spot: b.spot,
-            ready: b.requested_at + Duration::from_secs_f64(flavor.boot_s * 1.05),
-            slack: Duration::from_secs(2),
+            ready_at: b.requested_at + Duration::from_secs_f64(flavor.boot_s * 1.05),
+            min_start_delay: Duration::from_secs(2),
             bias: bias(flavor, b.spot, &free),
             free,
-            ..Server::default()
+            ..PlannedMachine::default()
         })
     }
 
@@ -340,17 +342,17 @@
             .waiting()
             .filter(|j| {
                 let begun = !j.placements.is_empty() || !j.finished.is_empty();
-                j.effective_priority > PROMOTED
+                j.effective_priority > PROMOTED_PRIORITY
                     && !begun
-                    && self.startable(j, now)
-                    && now.since(j.submitted_at) >= STARVED_AFTER
+                    && self.is_startable(j, now)
+                    && now.since(j.submitted_at) >= STARVATION_THRESHOLD
             })
             .map(|j| j.spec.id)
             .collect();
         for id in starved {
             info!("promoted {id}: nothing of it has begun");
-            self.planning.plans.remove_job(id);
-            self.jobs.promote(id, PROMOTED);
+            self.planning.plans.unplan_job(id);
+            self.jobs.promote(id, PROMOTED_PRIORITY);
         }
     }
 
@@ -364,12 +366,12 @@
         let waiting: Vec<(JobId, u32)> = self
             .jobs
             .waiting()
-            .filter(|j| self.startable(j, now) && self.within_limit(used, j, 1))
+            .filter(|j| self.is_startable(j, now) && self.within_quota(used, j, 1))
             .filter_map(|j| {
-                let left = j.pending.len().saturating_sub(self.planning.plans.planned(j.spec.id));
+                let left = j.pending.len().saturating_sub(self.planning.plans.planned_count(j.spec.id));
                 // Of a promoted job one task goes first; the others follow at their own rank.
                 let left = if j.is_promoted() && j.gang.is_none() {
-                    left.min(1 - self.planning.plans.planned(j.spec.id).min(1))
+                    left.min(1 - self.planning.plans.planned_count(j.spec.id).min(1))
                 } else {
                     left
                 };
@@ -379,13 +381,13 @@
         // Like tasks that found no machine in this round are not tried one by one, nor larger ones.
         let mut hopeless: Vec<(Resources, bool, bool)> = Vec::new();
         let mut looks = 0;
-        let most = self.planning.pacing.looks(self.planning.plans.servers().count());
-        let top = self.plan_some(now, &waiting, most / 2, &mut looks, &mut hopeless);
+        let most = self.planning.pacing.evaluation_budget(self.planning.plans.machines().count());
+        let top = self.plan_in_order(now, &waiting, most / 2, &mut looks, &mut hopeless);
         let rest = &waiting[top..];
         let from =
             self.planning.resume_at.take().and_then(|id| rest.iter().position(|(job, _)| *job == id)).unwrap_or(0);
         let turned: Vec<(JobId, u32)> = rest[from..].iter().chain(&rest[..from]).copied().collect();
-        let done = self.plan_some(now, &turned, most, &mut looks, &mut hopeless);
+        let done = self.plan_in_order(now, &turned, most, &mut looks, &mut hopeless);
         if let Some((id, _)) = turned.get(done) {
             // The rest is for the next round, so that reports and users are not kept waiting.
             self.planning.replan_needed = true;
@@ -394,7 +396,7 @@
     }
 
     /// Places jobs in this order until so many machines were looked at; returns how many jobs had their turn.
-    fn plan_some(
+    fn plan_in_order(
         &mut self,
         now: Timestamp,
         waiting: &[(JobId, u32)],
@@ -402,7 +404,7 @@
         looks: &mut usize,
         hopeless: &mut Vec<(Resources, bool, bool)>,
     ) -> usize {
-        let servers = self.planning.plans.servers().count();
+        let servers = self.planning.plans.machines().count();
         for (turn, (id, left)) in waiting.iter().enumerate() {
             if *looks >= most {
                 return turn;
@@ -415,17 +417,17 @@
                 continue;
             }
             *looks += servers;
-            let entry = entry_of(job, &self.planning.latency_sensitive_classes);
-            if entry.gang {
+            let entry = queue_entry(job, &self.planning.latency_sensitive_classes);
+            if entry.is_gang {
                 self.plan_gang(now, entry);
                 continue;
             }
-            let want = (*left).min(BATCH);
+            let want = (*left).min(MAX_TASKS_PER_PLACEMENT);
             let mut plans = std::mem::take(&mut self.planning.plans);
-            let parts = self.parts();
+            let parts = self.planning_view();
             let placed = plans.place(now, entry, want, &parts);
             self.planning.plans = plans;
-            if placed < want && plain && !entry.constrained {
+            if placed < want && plain && !entry.has_zone_constraints {
                 hopeless.push((need, spot, service));
             }
         }
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -1,17 +1,17 @@
 //! Gangs: planned, started, completed and stopped as a whole.
 
-use super::room::PressedMachine;
+use super::room::PreemptionTrial;
 use super::*;
 use crate::gang;
 
 /// How long the tasks of a gang wait for one that was lost before all are stopped and tried again.
-const REPLACE_WITHIN: Duration = Duration::from_secs(5);
+const LOST_TASK_REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Share of `gang_wait_s` after which a gang that is not complete is stopped: its workers would give up at the end of it.
-const GATHER_SHARE: f64 = 0.6;
+const GANG_WAIT_SHARE: f64 = 0.6;
 
 /// What a gang needs done.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Act {
+enum GangAction {
     Nothing,
     /// A lost task is to be started again under the same attempt.
     Replace,
@@ -23,38 +23,38 @@
 
 impl Leader {
     /// Plans a gang as a whole.
-    pub(super) fn plan_gang(&mut self, now: Timestamp, entry: Entry) {
+    pub(super) fn plan_gang(&mut self, now: Timestamp, entry: QueueEntry) {
         let Some(job) = self.jobs.get(entry.job) else { return };
         let tasks = job.spec.task_count;
         // Part of it may have lost its machine since it was planned.
-        self.planning.plans.remove_job(entry.job);
+        self.planning.plans.unplan_job(entry.job);
         let mut plans = std::mem::take(&mut self.planning.plans);
-        plans.place_gang(now, entry, tasks, &self.parts());
+        plans.place_gang(now, entry, tasks, &self.planning_view());
         self.planning.plans = plans;
     }
 
     /// Takes gangs that wait out of the plan, so that they are placed anew by what is known now.
-    pub(super) fn unplan_gangs(&mut self) {
+    pub(super) fn unplan_waiting_gangs(&mut self) {
         let waiting: Vec<JobId> =
-            self.jobs.gangs().filter(|j| self.planning.plans.planned(j.spec.id) > 0).map(|j| j.spec.id).collect();
+            self.jobs.gangs().filter(|j| self.planning.plans.planned_count(j.spec.id) > 0).map(|j| j.spec.id).collect();
         for job in waiting {
-            self.planning.plans.remove_job(job);
+            self.planning.plans.unplan_job(job);
         }
     }
 
     /// Whether all tasks of a gang have room now where they are planned.
     pub(super) fn gang_may_start(&self, job: &Job, now: Timestamp, used: &HashMap<String, Resources>) -> bool {
         let tasks = job.spec.task_count;
-        if self.planning.plans.planned(job.spec.id) != tasks
-            || !self.startable(job, now)
-            || !self.within_limit(used, job, u64::from(tasks))
+        if self.planning.plans.planned_count(job.spec.id) != tasks
+            || !self.is_startable(job, now)
+            || !self.within_quota(used, job, u64::from(tasks))
         {
             return false;
         }
-        let parts = self.parts();
-        self.planning.plans.planned_at(job.spec.id).into_iter().all(|(id, count)| {
+        let parts = self.planning_view();
+        self.planning.plans.planned_machines(job.spec.id).into_iter().all(|(id, count)| {
             let Some(machine) = self.machines.get(&id).filter(|m| m.accepts_tasks()) else { return false };
-            parts.allowed(job, id)
+            parts.allows_machine(job, id)
                 && !machine.holds_job(job.spec.id)
                 && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(count)
         })
@@ -62,10 +62,11 @@
 
     /// Starts all tasks of a gang where they are planned, under one attempt.
     pub(super) fn start_gang(&mut self, now: Timestamp, id: JobId, used: &mut HashMap<String, Resources>) {
-        let slots = self.planning.plans.planned_at(id);
+        let slots = self.planning.plans.planned_machines(id);
         let Some(job) = self.jobs.get(id) else { return };
-        let profile = self.parts().profile_of(job);
-        let predicted = |machine: &MachineId| self.planning.plans.server(*machine).and_then(|s| profile.predict(s));
+        let profile = self.planning_view().job_profile(job);
+        let predicted =
+            |machine: &MachineId| self.planning.plans.machine(*machine).and_then(|s| profile.predicted_duration(s));
         // It runs at the speed of its slowest machine.
         let predicted = slots.iter().filter_map(|(machine, _)| predicted(machine)).max();
         let machines: Vec<MachineId> =
@@ -81,7 +82,7 @@
         );
         let (promoted, rank) = (job.is_promoted(), job.spec.priority);
         let attempt = self.next_attempt();
-        self.planning.plans.remove_job(id);
+        self.planning.plans.unplan_job(id);
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
             gang.start(now, attempt, machines.iter().copied());
         }
@@ -98,17 +99,17 @@
     pub(super) fn preempt_for_gangs(&mut self, now: Timestamp) {
         let mut stops = Vec::new();
         // What is left on each machine after the gangs that are ahead.
-        let mut rooms: BTreeMap<MachineId, PressedMachine> = BTreeMap::new();
-        let waiting: Vec<JobId> = self.planning.plans.waiting().map(|(_, job, _)| job).collect();
+        let mut rooms: BTreeMap<MachineId, PreemptionTrial> = BTreeMap::new();
+        let waiting: Vec<JobId> = self.planning.plans.planned_jobs().map(|(_, job, _)| job).collect();
         let gangs = waiting.into_iter().filter_map(|id| self.jobs.get(id)).filter(|job| job.gang.is_some());
-        for job in gangs.filter(|job| self.startable(job, now)) {
+        for job in gangs.filter(|job| self.is_startable(job, now)) {
             let id = job.spec.id;
-            if self.planning.plans.planned(id) != job.spec.task_count {
+            if self.planning.plans.planned_count(id) != job.spec.task_count {
                 continue;
             }
             let mut trial = Vec::new();
             let mut complete = true;
-            for (machine, count) in self.planning.plans.planned_at(id) {
+            for (machine, count) in self.planning.plans.planned_machines(id) {
                 let Some(m) = self.machines.get(&machine).filter(|m| m.accepts_tasks()) else {
                     complete = false;
                     break;
@@ -116,9 +117,9 @@
                 let mut pressed = rooms
                     .get(&machine)
                     .cloned()
-                    .unwrap_or_else(|| PressedMachine::new(m, self.victims(m, now, job.spec.priority)));
-                pressed.spare(job.spec.priority);
-                let stopped = pressed.make_room(&job.spec.resources, count);
+                    .unwrap_or_else(|| PreemptionTrial::new(m, self.victims(m, now, job.spec.priority)));
+                pressed.keep_only_below(job.spec.priority);
+                let stopped = pressed.preempt_for(&job.spec.resources, count);
                 complete &= stopped.is_some();
                 trial.push((machine, pressed, stopped.unwrap_or_default()));
             }
@@ -135,77 +136,77 @@
 
     /// Does for each gang what its state asks for.
     pub(super) fn update_gangs(&mut self, now: Timestamp) {
-        let gather_limit = self.settings.deployment.workers.gang_wait().mul_f64(GATHER_SHARE);
-        let acts: Vec<(JobId, Act)> = self
+        let gather_limit = self.settings.deployment.workers.gang_wait().mul_f64(GANG_WAIT_SHARE);
+        let acts: Vec<(JobId, GangAction)> = self
             .jobs
             .gangs()
-            .map(|job| (job.spec.id, self.gang_act(job, now, gather_limit)))
-            .filter(|(_, act)| *act != Act::Nothing)
+            .map(|job| (job.spec.id, self.next_gang_action(job, now, gather_limit)))
+            .filter(|(_, act)| *act != GangAction::Nothing)
             .collect();
         for (id, act) in acts {
             match act {
-                Act::Nothing => {}
-                Act::Replace => self.replace_lost(now, id),
-                Act::Stop => self.stop_gang(id, Duration::ZERO),
-                Act::Requeue => self.requeue_gang(id),
+                GangAction::Nothing => {}
+                GangAction::Replace => self.restart_lost_gang_task(now, id),
+                GangAction::Stop => self.stop_gang(id, Duration::ZERO),
+                GangAction::Requeue => self.requeue_gang(id),
             }
         }
     }
 
-    fn gang_act(&self, job: &Job, now: Timestamp, gather_limit: Duration) -> Act {
-        let Some(gang) = &job.gang else { return Act::Nothing };
+    fn next_gang_action(&self, job: &Job, now: Timestamp, gather_limit: Duration) -> GangAction {
+        let Some(gang) = &job.gang else { return GangAction::Nothing };
         if job.cancelling || job.finished.len() == job.spec.task_count {
-            return Act::Nothing;
+            return GangAction::Nothing;
         }
         // Tasks on machines of an earlier leader may still be shown.
         let known = self.all_machines_fenced() || job.accepted_by_this_leader;
         let complete = job.placements.len() as u32 == job.spec.task_count;
         match gang.phase {
-            gang::GangPhase::Queued => Act::Nothing,
+            gang::GangPhase::Queued => GangAction::Nothing,
             _ if job.placements.is_empty() => {
                 if known {
-                    Act::Requeue
+                    GangAction::Requeue
                 } else {
-                    Act::Nothing
+                    GangAction::Nothing
                 }
             }
-            gang::GangPhase::Stopping { .. } => Act::Stop,
+            gang::GangPhase::Stopping { .. } => GangAction::Stop,
             gang::GangPhase::Running => {
                 if complete || !known {
-                    Act::Nothing
+                    GangAction::Nothing
                 } else {
-                    Act::Stop
+                    GangAction::Stop
                 }
             }
             gang::GangPhase::AwaitingMembers { since } => {
-                let overdue = gang.missing_since.is_some_and(|at| now.since(at) >= REPLACE_WITHIN);
+                let overdue = gang.missing_since.is_some_and(|at| now.since(at) >= LOST_TASK_REPLACEMENT_TIMEOUT);
                 if now.since(since) >= gather_limit || (overdue && known) {
-                    Act::Stop
+                    GangAction::Stop
                 } else if !complete && known {
-                    Act::Replace
+                    GangAction::Replace
                 } else {
-                    Act::Nothing
+                    GangAction::Nothing
                 }
             }
         }
     }
 
     /// Starts the tasks of a gathering gang that were lost with their machines again, under the attempt of the others.
-    fn replace_lost(&mut self, now: Timestamp, id: JobId) {
-        let mut used = self.team_use();
+    fn restart_lost_gang_task(&mut self, now: Timestamp, id: JobId) {
+        let mut used = self.team_usage();
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(gang) = &mut job.gang else { return };
         gang.missing_since.get_or_insert(now);
         let Some(attempt) = gang.attempt else { return };
         let Some(index) = job.pending.smallest() else { return };
         let Some(job) = self.jobs.get(id) else { return };
-        if !self.within_limit(&used, job, 1) {
+        if !self.within_quota(&used, job, 1) {
             return;
         }
         let task = TaskId { job: id, index };
         let overdue = self.settings.deployment.workers.overdue();
         let fits = |m: &&Machine| {
-            m.accepts_tasks() && m.reached_within(now, overdue) && !m.holds_task(task) && self.may_be_placed(job, m)
+            m.accepts_tasks() && m.reached_within(now, overdue) && !m.holds_task(task) && self.fits_on(job, m)
         };
         let image = &job.spec.image;
         let best =
@@ -229,7 +230,7 @@
         for placed in placed {
             let hold = self.machines.get(&placed.machine).and_then(|m| m.attempts.get(&placed.attempt));
             if hold.is_some_and(|hold| hold.stop_grace_s.is_none()) {
-                self.stop(placed.machine, placed.attempt, grace.as_secs_f64());
+                self.stop_attempt(placed.machine, placed.attempt, grace.as_secs_f64());
             }
         }
     }
--- a/src/leader/scheduling/limits.rs
+++ b/src/leader/scheduling/limits.rs
@@ -4,9 +4,9 @@
 
 impl Leader {
     /// What each team's tasks use, or may use; nothing is counted where no team has a limit.
-    pub(super) fn team_use(&self) -> HashMap<String, Resources> {
+    pub(super) fn team_usage(&self) -> HashMap<String, Resources> {
         let mut used: HashMap<String, Resources> = HashMap::new();
-        if !self.limited() {
+        if !self.has_any_quota() {
             return used;
         }
         for machine in self.machines.values() {
@@ -16,7 +16,7 @@
                 let team = self.jobs.get(hold.task.job).map_or("", |j| j.spec.team.as_str());
                 let need = if hold.resources == Resources::default() { machine.capacity } else { hold.resources };
                 // Of a machine whose room is not known either, anything may be used.
-                let need = if need == Resources::default() { UNKNOWN } else { need };
+                let need = if need == Resources::default() { UNKNOWN_USAGE } else { need };
                 used.entry(team.to_string()).or_default().add(&need);
             }
         }
@@ -24,7 +24,7 @@
     }
 
     /// Whether a team may use this much more.
-    pub(super) fn within_limit(&self, used: &HashMap<String, Resources>, job: &Job, times: u64) -> bool {
+    pub(super) fn within_quota(&self, used: &HashMap<String, Resources>, job: &Job, times: u64) -> bool {
         let Some(team) = self.settings.deployment.teams.iter().find(|t| t.name == job.spec.team) else {
             return false;
         };
@@ -44,7 +44,7 @@
     }
 
     /// Whether tasks of this job may be started at all now.
-    pub(crate) fn startable(&self, job: &Job, now: Timestamp) -> bool {
+    pub(crate) fn is_startable(&self, job: &Job, now: Timestamp) -> bool {
         job.durable
             && !job.cancelling
             && !job.pending.is_empty()
@@ -54,14 +54,14 @@
     }
 
     /// Whether this job's team has a limit.
-    pub(super) fn has_limit(&self, job: JobId) -> bool {
+    pub(super) fn has_quota(&self, job: JobId) -> bool {
         let Some(job) = self.jobs.get(job) else { return false };
         let team = self.settings.deployment.teams.iter().find(|t| t.name == job.spec.team);
         team.is_some_and(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
     }
 
     /// Whether any team has a limit.
-    pub(crate) fn limited(&self) -> bool {
+    pub(crate) fn has_any_quota(&self) -> bool {
         self.settings.deployment.teams.iter().any(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0)
     }
 }
--- a/src/leader/scheduling/pacing/tests.rs
+++ b/src/leader/scheduling/pacing/tests.rs
@@ -5,46 +5,52 @@
 fn planning_takes_a_third_of_the_time_at_the_most_however_long_rounds_are() {
     for took in [10, 100, 400, 800, 3000] {
         let mut pacing = Pacing::default();
-        pacing.spent(Duration::from_millis(took));
+        pacing.note_slow_input(Duration::from_millis(took));
         assert!(
-            pacing.schedule_every().as_millis() >= 3 * took,
+            pacing.round_interval().as_millis() >= 3 * took,
             "a round of {took} ms, the next after {:?}",
-            pacing.schedule_every()
+            pacing.round_interval()
         );
         // A quick round ends it.
         pacing.begin_round();
-        assert_eq!(pacing.schedule_every(), SCHEDULE_EVERY);
+        assert_eq!(pacing.round_interval(), MIN_ROUND_INTERVAL);
     }
 }
 
 #[test]
 fn rounds_that_are_too_long_become_shorter_until_they_are_not() {
     let mut pacing = Pacing::default();
-    let full = pacing.looks(700);
+    let full = pacing.evaluation_budget(700);
     assert_eq!(full, 20_000);
     // Each look costs 40 microseconds, 800 ms for a full round.
     for _ in 0..10 {
-        pacing.spent(Duration::from_millis(pacing.looks(700) as u64 * 40 / 1000));
+        pacing.note_slow_input(Duration::from_millis(pacing.evaluation_budget(700) as u64 * 40 / 1000));
         pacing.begin_round();
     }
-    let took = pacing.looks(700) * 40 / 1000;
+    let took = pacing.evaluation_budget(700) * 40 / 1000;
     assert!((80..=200).contains(&took), "{took} ms");
     // With short queues they grow again.
     for _ in 0..20 {
         pacing.begin_round();
     }
-    assert_eq!(pacing.looks(700), full);
+    assert_eq!(pacing.evaluation_budget(700), full);
     for _ in 0..50 {
-        pacing.spent(Duration::from_secs(60));
+        pacing.note_slow_input(Duration::from_secs(60));
         pacing.begin_round();
     }
-    assert!(pacing.looks(700) >= 2, "some jobs are always looked at");
+    assert!(pacing.evaluation_budget(700) >= 2, "some jobs are always looked at");
 }
 
 #[test]
 fn a_node_that_is_behind_plans_less_often() {
-    let behind = |ms| Pacing { behind: Duration::from_millis(ms), ..Pacing::default() };
-    assert_eq!((behind(0).schedule_every().as_millis(), behind(0).demand_every().as_millis()), (100, 500));
-    assert_eq!((behind(300).schedule_every().as_millis(), behind(300).demand_every().as_millis()), (700, 1100));
-    assert_eq!((behind(9000).schedule_every().as_millis(), behind(9000).demand_every().as_millis()), (1000, 3000));
+    let behind = |ms| Pacing { input_delay: Duration::from_millis(ms), ..Pacing::default() };
+    assert_eq!((behind(0).round_interval().as_millis(), behind(0).provisioning_interval().as_millis()), (100, 500));
+    assert_eq!(
+        (behind(300).round_interval().as_millis(), behind(300).provisioning_interval().as_millis()),
+        (700, 1100)
+    );
+    assert_eq!(
+        (behind(9000).round_interval().as_millis(), behind(9000).provisioning_interval().as_millis()),
+        (1000, 3000)
+    );
 }
--- a/src/leader/scheduling/room.rs
+++ b/src/leader/scheduling/room.rs
@@ -4,13 +4,13 @@
 
 /// A task that may be stopped to make room.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Victim {
-    pub(super) key: AttemptId,
-    pub(super) need: Resources,
+pub(super) struct PreemptionVictim {
+    pub(super) attempt: AttemptId,
+    pub(super) resources: Resources,
     /// Importance of its job, 0 first.
-    pub(super) rank: u8,
+    pub(super) priority: u8,
     /// The work that it would lose.
-    pub(super) lost: Duration,
+    pub(super) lost_work: Duration,
 }
 
 /// Room of a machine once everything that was told to stop is gone.
@@ -23,43 +23,43 @@
 }
 
 /// How many of these victims, from the first on, have to be stopped so that `need` fits; `None`: all are not enough.
-fn victims_needed(need: &Resources, mut free: Resources, victims: &[Victim]) -> Option<usize> {
+fn victims_needed(need: &Resources, mut free: Resources, victims: &[PreemptionVictim]) -> Option<usize> {
     for (count, victim) in victims.iter().enumerate() {
         if need.fits(&free) {
             return Some(count);
         }
-        free.add(&victim.need);
+        free.add(&victim.resources);
     }
     need.fits(&free).then_some(victims.len())
 }
 
 /// A machine on which room is made.
 #[derive(Debug, Clone)]
-pub(super) struct PressedMachine {
+pub(super) struct PreemptionTrial {
     free: Resources,
     /// What may be stopped, least loss first.
-    victims: Vec<Victim>,
+    victims: Vec<PreemptionVictim>,
 }
 
-impl PressedMachine {
+impl PreemptionTrial {
     /// A machine with what may be stopped there.
-    pub(super) fn new(machine: &Machine, victims: Vec<Victim>) -> PressedMachine {
-        PressedMachine { free: room_soon(machine), victims }
+    pub(super) fn new(machine: &Machine, victims: Vec<PreemptionVictim>) -> PreemptionTrial {
+        PreemptionTrial { free: room_soon(machine), victims }
     }
 
     /// Leaves alone what a job of this rank may not stop.
-    pub(super) fn spare(&mut self, rank: u8) {
-        self.victims.retain(|victim| victim.rank > rank);
+    pub(super) fn keep_only_below(&mut self, rank: u8) {
+        self.victims.retain(|victim| victim.priority > rank);
     }
 
     /// Takes room for so many tasks; what has to be stopped for it, or `None` if that is not enough.
-    pub(super) fn make_room(&mut self, need: &Resources, count: u32) -> Option<Vec<AttemptId>> {
+    pub(super) fn preempt_for(&mut self, need: &Resources, count: u32) -> Option<Vec<AttemptId>> {
         let mut stopped = Vec::new();
         for _ in 0..count {
             let enough = victims_needed(need, self.free, &self.victims)?;
             for victim in self.victims.drain(..enough) {
-                self.free.add(&victim.need);
-                stopped.push(victim.key);
+                self.free.add(&victim.resources);
+                stopped.push(victim.attempt);
             }
             self.free.saturating_sub(need);
         }
@@ -74,19 +74,24 @@
     /// that lose least work go first.
     pub(super) fn preempt_for_services(&mut self, now: Timestamp) {
         let mut stops: Vec<(MachineId, AttemptId, JobId)> = Vec::new();
-        let pressed: BTreeSet<MachineId> =
-            self.planning.plans.waiting().take_while(|(order, ..)| order.rank == 0).flat_map(|(.., at)| at).collect();
-        for server in pressed.iter().filter_map(|id| self.planning.plans.server(*id)) {
+        let pressed: BTreeSet<MachineId> = self
+            .planning
+            .plans
+            .planned_jobs()
+            .take_while(|(order, ..)| order.priority == 0)
+            .flat_map(|(.., at)| at)
+            .collect();
+        for server in pressed.iter().filter_map(|id| self.planning.plans.machine(*id)) {
             let Some(machine) = self.machines.get(&server.id).filter(|m| m.accepts_tasks()) else { continue };
-            let mut pressed: Option<PressedMachine> = None;
-            for entry in server.queue.iter().filter(|e| e.endless && e.order.rank == 0) {
-                if !self.jobs.get(entry.job).is_some_and(|job| self.startable(job, now)) {
+            let mut pressed: Option<PreemptionTrial> = None;
+            for entry in server.queue.iter().filter(|e| e.is_service && e.queue_priority.priority == 0) {
+                if !self.jobs.get(entry.job).is_some_and(|job| self.is_startable(job, now)) {
                     continue;
                 }
                 let pressed =
-                    pressed.get_or_insert_with(|| PressedMachine::new(machine, self.victims(machine, now, 0)));
+                    pressed.get_or_insert_with(|| PreemptionTrial::new(machine, self.victims(machine, now, 0)));
                 for _ in 0..entry.count {
-                    let Some(stopped) = pressed.make_room(&entry.need, 1) else { break };
+                    let Some(stopped) = pressed.preempt_for(&entry.resources, 1) else { break };
                     stops.extend(stopped.into_iter().map(|key| (server.id, key, entry.job)));
                 }
             }
@@ -98,24 +103,24 @@
     pub(super) fn preempt(&mut self, stops: Vec<(MachineId, AttemptId, JobId)>) {
         for (id, key, job) in stops {
             info!("preempted {} machine={id} for={job}", key.task);
-            self.stop(id, key, 0.0);
+            self.stop_attempt(id, key, 0.0);
         }
     }
 
     /// What may be stopped on this machine for a job of this rank, with the work it would lose, least first.
-    pub(super) fn victims(&self, machine: &Machine, now: Timestamp, rank: u8) -> Vec<Victim> {
-        let mut victims: Vec<Victim> = machine
+    pub(super) fn victims(&self, machine: &Machine, now: Timestamp, rank: u8) -> Vec<PreemptionVictim> {
+        let mut victims: Vec<PreemptionVictim> = machine
             .attempts
             .iter()
-            .filter(|(_, h)| pushable(h, rank))
+            .filter(|(_, h)| may_be_preempted(h, rank))
             .map(|(key, h)| {
                 let ran = h.running_since.map_or(Duration::ZERO, |r| now.since(r));
                 let every = self.jobs.get(h.task.job).map_or(0, |j| j.spec.checkpoint_interval.as_millis());
                 let lost = if every > 0 { Duration::from_millis(ran.as_millis() % every) } else { ran };
-                Victim { key: *key, need: h.resources, rank: h.priority, lost }
+                PreemptionVictim { attempt: *key, resources: h.resources, priority: h.priority, lost_work: lost }
             })
             .collect();
-        victims.sort_unstable_by_key(|v| v.lost);
+        victims.sort_unstable_by_key(|v| v.lost_work);
         victims
     }
 
@@ -134,7 +139,7 @@
                 .filter(|(_, h)| h.assigned && h.occupies_resources() && h.stop_grace_s.is_none())
             {
                 let Some(job) = self.jobs.get(hold.task.job) else { continue };
-                let ends = release(hold, now).unwrap_or(Timestamp::NEVER);
+                let ends = predicted_release(hold, now).unwrap_or(Timestamp::NEVER);
                 if ends < until {
                     continue;
                 }
@@ -150,7 +155,7 @@
             }
         }
         for (id, key, grace) in stops {
-            self.stop(id, key, grace.as_secs_f64());
+            self.stop_attempt(id, key, grace.as_secs_f64());
         }
         for (id, grace) in gangs {
             self.stop_gang(id, grace);
@@ -158,7 +163,7 @@
     }
 
     /// Orders an attempt to stop and sees to it that the machine is told.
-    pub(crate) fn stop(&mut self, id: MachineId, key: AttemptId, grace_s: f64) {
+    pub(crate) fn stop_attempt(&mut self, id: MachineId, key: AttemptId, grace_s: f64) {
         if self.machines.get_mut(&id).is_some_and(|m| m.request_stop(key, grace_s)) {
             self.command_dispatch.waiting.insert(id);
             self.planning.changed_machines.insert(id);
--- a/src/leader/scheduling/starts.rs
+++ b/src/leader/scheduling/starts.rs
@@ -12,31 +12,31 @@
         now: Timestamp,
         used: &HashMap<String, Resources>,
     ) -> bool {
-        let startable = job.gang.is_none() && self.startable(job, now);
+        let startable = job.gang.is_none() && self.is_startable(job, now);
         machine.accepts_tasks()
             && startable
-            && self.within_limit(used, job, 1)
-            && self.may_be_placed(job, machine)
-            && self.leaves_kept_room(job, machine)
+            && self.within_quota(used, job, 1)
+            && self.fits_on(job, machine)
+            && self.leaves_headroom(job, machine)
     }
 
     /// Whether the machine's room without what is kept ahead is enough for a task of this job, if it must leave that.
-    fn leaves_kept_room(&self, job: &Job, machine: &Machine) -> bool {
+    fn leaves_headroom(&self, job: &Job, machine: &Machine) -> bool {
         let Some(kept) = self.planning.headroom.get(&machine.id()) else { return true };
         let mut room = machine.free_resources();
         room.saturating_sub(kept);
-        job.spec.resources.fits(&room) || takes_kept_room(job, &self.planning.latency_sensitive_classes)
+        job.spec.resources.fits(&room) || may_use_headroom(job, &self.planning.latency_sensitive_classes)
     }
 
     /// Whether one more task of this job may be on this machine, given its room and the job's other tasks.
-    pub(super) fn may_be_placed(&self, job: &Job, machine: &Machine) -> bool {
-        let parts = self.parts();
-        if !parts.allowed(job, machine.id()) || !job.spec.resources.fits(&machine.free_resources()) {
+    pub(super) fn fits_on(&self, job: &Job, machine: &Machine) -> bool {
+        let parts = self.planning_view();
+        if !parts.allows_machine(job, machine.id()) || !job.spec.resources.fits(&machine.free_resources()) {
             return false;
         }
         if job.spec.spread_over_zones || job.spec.colocate_in_zone {
-            let Some(zone) = self.planning.names.zone(&machine.record.zone) else { return false };
-            let zones = parts.by_zone(job);
+            let Some(zone) = self.planning.names.zone_index_of(&machine.record.zone) else { return false };
+            let zones = parts.tasks_by_zone(job);
             if job.spec.colocate_in_zone && zones.keys().any(|z| *z != zone) {
                 return false;
             }
@@ -49,27 +49,27 @@
     pub(super) fn start_planned(&mut self, now: Timestamp, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
         for id in ids.iter().copied() {
             let mut at = 0;
-            let mut kept = Reservation::default();
-            while let Some(entry) = self.planning.plans.server(id).and_then(|s| s.queue.get(at)).copied() {
+            let mut kept = GangReservation::default();
+            while let Some(entry) = self.planning.plans.machine(id).and_then(|s| s.queue.get(at)).copied() {
                 let (Some(machine), Some(job)) = (self.machines.get(&id), self.jobs.get(entry.job)) else { break };
                 if !machine.accepts_tasks() {
                     break;
                 }
-                if entry.gang {
+                if entry.is_gang {
                     if self.gang_may_start(job, now, used) {
                         self.start_gang(now, entry.job, used);
                     } else {
-                        kept.add(&entry, self.planning.plans.common_start(entry.job, now));
+                        kept.reserve(&entry, self.planning.plans.common_start(entry.job, now));
                         at += 1;
                     }
                     continue;
                 }
-                if !kept.leaves_room(&entry, &machine.free_resources(), now) {
+                if !kept.allows(&entry, &machine.free_resources(), now) {
                     at += 1;
                 } else if self.may_start(job, machine, now, used) {
-                    self.planning.plans.take(id, at);
+                    self.planning.plans.dequeue_one(id, at);
                     self.start_task(now, id, entry, used);
-                } else if entry.need.fits(&machine.free_resources()) || entry.endless {
+                } else if entry.resources.fits(&machine.free_resources()) || entry.is_service {
                     // Held back by something else than room, or behind room that endless tasks keep.
                     at += 1;
                 } else {
@@ -83,7 +83,7 @@
         &mut self,
         now: Timestamp,
         id: MachineId,
-        entry: Entry,
+        entry: QueueEntry,
         used: &mut HashMap<String, Resources>,
     ) {
         let attempt = self.next_attempt();
@@ -92,7 +92,7 @@
         let known = |index: &u32| machine.holds_task(TaskId { job: entry.job, index: *index });
         let Some(index) = job.pending.iter().take(64).find(|index| !known(index)) else { return };
         let key = AttemptId { attempt, task: TaskId { job: entry.job, index } };
-        self.start_attempt(now, id, key, (!entry.endless).then_some(entry.run), used);
+        self.start_attempt(now, id, key, (!entry.is_service).then_some(entry.predicted_duration), used);
         let Some(job) = self.jobs.get(entry.job) else { return };
         let (promoted, rank) = (job.is_promoted(), job.spec.priority);
         if promoted {
@@ -147,26 +147,26 @@
     }
 
     /// Machines with nothing planned take the highest-priority fitting task from other plans.
-    pub(super) fn steal(&mut self, now: Timestamp, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
+    pub(super) fn steal_work(&mut self, now: Timestamp, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
         for id in ids.iter().copied() {
             for _ in 0..64 {
-                if self.planning.plans.waiting().next().is_none() {
+                if self.planning.plans.planned_jobs().next().is_none() {
                     return;
                 }
                 let Some(machine) = self.machines.get(&id).filter(|m| m.accepts_tasks()) else { break };
                 let free = machine.free_resources();
-                if free.cpus == 0 || self.planning.plans.server(id).is_none_or(|s| !s.queue.is_empty()) {
+                if free.cpus == 0 || self.planning.plans.machine(id).is_none_or(|s| !s.queue.is_empty()) {
                     break;
                 }
                 let mut plans = std::mem::take(&mut self.planning.plans);
                 plans.set_free(id, free);
-                let parts = self.parts();
-                let taken = plans.steal(id, &|entry, me| {
+                let parts = self.planning_view();
+                let taken = plans.steal_for(id, &|entry, me| {
                     let job = self.jobs.get(entry.job)?;
                     if !self.may_start(job, machine, now, used) {
                         return None;
                     }
-                    parts.profile_of(job).predict(me)
+                    parts.job_profile(job).predicted_duration(me)
                 });
                 self.planning.plans = plans;
                 let Some(entry) = taken else { break };
@@ -179,28 +179,28 @@
 
 /// Room of a machine that is kept for gangs that are ahead in its queue and wait for room elsewhere.
 #[derive(Debug, Default)]
-struct Reservation {
-    room: Resources,
+struct GangReservation {
+    resources: Resources,
     /// When the first of them is predicted to need it.
-    from: Option<Timestamp>,
+    needed_at: Option<Timestamp>,
 }
 
-impl Reservation {
+impl GangReservation {
     /// Keeps room for a gang's tasks from its common start on; nothing for one that is not known to start.
-    fn add(&mut self, entry: &Entry, start: Option<Timestamp>) {
+    fn reserve(&mut self, entry: &QueueEntry, start: Option<Timestamp>) {
         let Some(start) = start else { return };
         for _ in 0..entry.count {
-            self.room.add(&entry.need);
+            self.resources.add(&entry.resources);
         }
-        self.from = Some(self.from.map_or(start, |from| from.min(start)));
+        self.needed_at = Some(self.needed_at.map_or(start, |from| from.min(start)));
     }
 
     /// Whether a task that is behind them in the queue may start now: beside what is kept, or because it is predicted to be over
     /// before that is needed. So kept room does not lie idle while a gang waits long, and no gang is starved by short tasks.
-    fn leaves_room(&self, entry: &Entry, free: &Resources, now: Timestamp) -> bool {
-        let Some(from) = self.from else { return true };
+    fn allows(&self, entry: &QueueEntry, free: &Resources, now: Timestamp) -> bool {
+        let Some(from) = self.needed_at else { return true };
         let mut left = *free;
-        left.saturating_sub(&self.room);
-        entry.need.fits(&left) || (!entry.endless && now + entry.run <= from)
+        left.saturating_sub(&self.resources);
+        entry.resources.fits(&left) || (!entry.is_service && now + entry.predicted_duration <= from)
     }
 }
--- a/src/leader/tasks.rs
+++ b/src/leader/tasks.rs
@@ -62,7 +62,7 @@
 
     /// Stops an attempt that its job does not count as its own any more.
     pub(super) fn abandon_attempt(&mut self, placed: Placement) {
-        self.stop(placed.machine, placed.attempt, 0.0);
+        self.stop_attempt(placed.machine, placed.attempt, 0.0);
         let machine = self.machines.get_mut(&placed.machine);
         if let Some(hold) = machine.and_then(|m| m.attempts.get_mut(&placed.attempt)) {
             hold.assigned = false;
@@ -185,7 +185,7 @@
             let pause = 2u64.saturating_pow(job.consecutive_failures.min(8)).min(LONGEST_PAUSE_S);
             job.retry_not_before = now + Duration::from_millis(pause * 1000);
             job.failed_on.clear();
-            self.planning.plans.remove_job(task.job);
+            self.planning.plans.unplan_job(task.job);
         }
         let job = self.jobs.get(task.job);
         let faulty = job.is_some_and(|j| j.finished.is_empty() && j.consecutive_failures >= 3);
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -140,7 +140,7 @@
         if !job.cancelling && job.finished.len() < job.spec.task_count {
             job.cancelling = true;
             stops.extend(job.placements.values().copied());
-            self.planning.plans.remove_job(job_id);
+            self.planning.plans.unplan_job(job_id);
             self.log.append(LogRecord::JobCancelled(job_id));
         }
         // Stopped before the fact is written, not once it is known to be durable: if the answer to the commit is lost,
@@ -148,7 +148,7 @@
         // that never learnt that its commit was carried out let the tasks run on through an outage. If it was not
         // carried out, the tasks wait again.
         for placed in stops {
-            self.stop(placed.machine, placed.attempt, 0.0);
+            self.stop_attempt(placed.machine, placed.attempt, 0.0);
         }
         None
     }
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -9,44 +9,50 @@
     [Some(10), None, Some(17)],
     [Some(12), Some(14), None],
 ];
-fn server(id: u64) -> Server {
-    Server { id: MachineId(id), kind: id as usize - 1, free: ONE, ..Server::default() }
+fn server(id: u64) -> PlannedMachine {
+    PlannedMachine { id: MachineId(id), machine_type: id as usize - 1, free: ONE, ..PlannedMachine::default() }
 }
 const ONE: Resources = Resources { cpus: 1000, gpus: 0, memory: 0 };
 
-impl World for Table {
-    fn profile(&self, job: JobId) -> Option<Profile> {
+impl JobDirectory for Table {
+    fn profile(&self, job: JobId) -> Option<JobProfile> {
         let times = TIMES[job.0 as usize - 1];
         let kinds = times
             .iter()
             .map(|t| t.map(|t| (Duration::from_millis(t * COARSE), Duration::from_millis(t * COARSE))))
             .collect();
-        Some(Profile { kinds, zone: None, spot: true, avoid: Vec::new(), image: 0 })
+        Some(JobProfile {
+            durations_by_type: kinds,
+            zone: None,
+            allows_spot: true,
+            avoided_machines: Vec::new(),
+            image: 0,
+        })
     }
-    fn zones(&self, _: JobId, _: &BTreeMap<usize, u32>) -> Zones {
-        Zones::default()
+    fn zone_allowance(&self, _: JobId, _: &BTreeMap<usize, u32>) -> ZoneAllowance {
+        ZoneAllowance::default()
     }
 }
 
-fn task(number: u64, priority: u8, deadline: u64) -> Entry {
-    Entry {
+fn task(number: u64, priority: u8, deadline: u64) -> QueueEntry {
+    QueueEntry {
         job: JobId(number),
-        order: QueuePriority { rank: 10 - priority, seq: number },
+        queue_priority: QueuePriority { priority: 10 - priority, sequence: number },
         count: 1,
-        need: ONE,
-        run: Duration::ZERO,
-        endless: false,
+        resources: ONE,
+        predicted_duration: Duration::ZERO,
+        is_service: false,
         deadline: Timestamp::from_millis(deadline * COARSE),
-        constrained: false,
-        gang: false,
-        pushes_aside: None,
-        takes_kept: false,
+        has_zone_constraints: false,
+        is_gang: false,
+        preempts_below: None,
+        uses_headroom: false,
     }
 }
 
 fn shown(plans: &Plans) -> String {
     let queues: Vec<String> = plans
-        .servers()
+        .machines()
         .map(|s| s.queue.iter().map(|e| format!("T{}", e.job.0)).collect::<Vec<_>>().join(","))
         .collect();
     queues.join(" | ")
@@ -56,7 +62,7 @@
 fn figure_2_of_the_paper_step_by_step() {
     let mut plans = Plans::default();
     for id in 1..=3 {
-        plans.admit(Timestamp::ZERO, vec![server(id)]);
+        plans.add_machines(Timestamp::ZERO, vec![server(id)]);
     }
     let steps = [
         (task(1, 3, 15), "T1 |  | "),
@@ -69,14 +75,14 @@
         assert_eq!(plans.place(Timestamp::ZERO, task, 1, &Table), 1);
         assert_eq!(shown(&plans), expected);
     }
-    assert_eq!(plans.planned(JobId(1)), 1);
+    assert_eq!(plans.planned_count(JobId(1)), 1);
 }
 
 #[test]
 fn without_a_machine_that_meets_the_deadline_the_soonest_finish_wins() {
     let mut plans = Plans::default();
     for id in 1..=3 {
-        plans.admit(Timestamp::ZERO, vec![server(id)]);
+        plans.add_machines(Timestamp::ZERO, vec![server(id)]);
     }
     plans.place(Timestamp::ZERO, task(3, 2, 1), 1, &Table);
     assert_eq!(shown(&plans), "T3 |  | ");
@@ -85,12 +91,15 @@
 #[test]
 fn an_idle_machine_takes_the_highest_priority_task_that_fits() {
     let mut plans = Plans::default();
-    plans.admit(Timestamp::ZERO, vec![server(1)]);
+    plans.add_machines(Timestamp::ZERO, vec![server(1)]);
     for t in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
         plans.place(Timestamp::ZERO, t, 1, &Table);
     }
-    plans.admit(Timestamp::ZERO, vec![Server { ready: Timestamp::from_millis(1_000_000), ..server(2) }]);
-    let taken = plans.steal(MachineId(2), &|e, s| Table.profile(e.job)?.predict(s)).unwrap();
+    plans.add_machines(
+        Timestamp::ZERO,
+        vec![PlannedMachine { ready_at: Timestamp::from_millis(1_000_000), ..server(2) }],
+    );
+    let taken = plans.steal_for(MachineId(2), &|e, s| Table.profile(e.job)?.predicted_duration(s)).unwrap();
     assert_eq!(taken.job, JobId(2));
     assert_eq!(shown(&plans), "T4,T1 | T2");
 }
@@ -98,11 +107,11 @@
 #[test]
 fn tasks_behind_services_that_took_their_room_are_planned_anew() {
     let mut plans = Plans::default();
-    plans.admit(Timestamp::ZERO, vec![server(1)]);
+    plans.add_machines(Timestamp::ZERO, vec![server(1)]);
     plans.place(Timestamp::ZERO, task(1, 3, 1000), 1, &Table);
-    plans.refresh(Server { free: Resources::default(), ..server(1) });
-    plans.release_stuck(Timestamp::ZERO, [MachineId(1)].into_iter());
-    assert_eq!((shown(&plans).as_str(), plans.planned(JobId(1))), ("", 0));
+    plans.update_machine(PlannedMachine { free: Resources::default(), ..server(1) });
+    plans.unplan_stuck(Timestamp::ZERO, [MachineId(1)].into_iter());
+    assert_eq!((shown(&plans).as_str(), plans.planned_count(JobId(1))), ("", 0));
 }
 
 #[test]
@@ -123,22 +132,33 @@
     together: bool,
 }
 
-impl World for Cluster {
-    fn profile(&self, _: JobId) -> Option<Profile> {
+impl JobDirectory for Cluster {
+    fn profile(&self, _: JobId) -> Option<JobProfile> {
         let time = Duration::from_millis(10 * COARSE);
-        Some(Profile { kinds: vec![Some((time, time))], zone: None, spot: true, avoid: Vec::new(), image: 0 })
+        Some(JobProfile {
+            durations_by_type: vec![Some((time, time))],
+            zone: None,
+            allows_spot: true,
+            avoided_machines: Vec::new(),
+            image: 0,
+        })
     }
-    fn zones(&self, _: JobId, _: &BTreeMap<usize, u32>) -> Zones {
-        Zones { left: vec![u32::MAX; 3], together: self.together }
+    fn zone_allowance(&self, _: JobId, _: &BTreeMap<usize, u32>) -> ZoneAllowance {
+        ZoneAllowance { remaining_tasks: vec![u32::MAX; 3], colocate: self.together }
     }
 }
 
-fn machine(id: u64, zone: usize, cpus: u64) -> Server {
-    Server { id: MachineId(id), zone, free: Resources { cpus: cpus * 1000, gpus: 0, memory: 0 }, ..Server::default() }
+fn machine(id: u64, zone: usize, cpus: u64) -> PlannedMachine {
+    PlannedMachine {
+        id: MachineId(id),
+        zone,
+        free: Resources { cpus: cpus * 1000, gpus: 0, memory: 0 },
+        ..PlannedMachine::default()
+    }
 }
 
-fn gang(number: u64) -> Entry {
-    Entry { gang: true, constrained: true, deadline: Timestamp::NEVER, ..task(number, 5, 0) }
+fn gang(number: u64) -> QueueEntry {
+    QueueEntry { is_gang: true, has_zone_constraints: true, deadline: Timestamp::NEVER, ..task(number, 5, 0) }
 }
 
 #[test]
@@ -148,12 +168,12 @@
     {
         let mut plans = Plans::default();
         let machines = sizes.iter().enumerate().map(|(zone, cpus)| machine(zone as u64 + 1, zone, *cpus)).collect();
-        plans.admit(Timestamp::ZERO, machines);
+        plans.add_machines(Timestamp::ZERO, machines);
         let world = Cluster { together };
         assert_eq!(plans.place_gang(Timestamp::ZERO, gang(1), 4, &world), placed, "{together} {sizes:?}");
-        assert_eq!(plans.planned(JobId(1)), if placed { 4 } else { 0 });
+        assert_eq!(plans.planned_count(JobId(1)), if placed { 4 } else { 0 });
         if together && placed {
-            assert_eq!(plans.planned_at(JobId(1)), [(MachineId(2), 4)]);
+            assert_eq!(plans.planned_machines(JobId(1)), [(MachineId(2), 4)]);
         }
     }
 }
@@ -162,13 +182,13 @@
 #[test]
 fn tasks_of_a_gang_do_not_wait_for_each_other() {
     let mut plans = Plans::default();
-    plans.admit(Timestamp::ZERO, vec![machine(1, 0, 2)]);
+    plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2)]);
     assert!(!plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
     // Behind what ends in time there is room for all at once.
     let mut busy = machine(2, 0, 1);
     busy.releases = vec![(Timestamp::from_millis(5000), Resources { cpus: 2000, gpus: 0, memory: 0 })];
-    plans.admit(Timestamp::ZERO, vec![busy]);
-    plans.remove(MachineId(1));
+    plans.add_machines(Timestamp::ZERO, vec![busy]);
+    plans.remove_machine(MachineId(1));
     assert!(plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
     assert_eq!(plans.common_start(JobId(1), Timestamp::ZERO), Some(Timestamp::from_millis(5000)));
 }
@@ -177,12 +197,12 @@
 #[test]
 fn a_gang_goes_where_it_pushes_fewest_past_their_deadline() {
     let mut plans = Plans::default();
-    plans.admit(Timestamp::ZERO, vec![machine(1, 0, 2), machine(2, 1, 2)]);
+    plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2), machine(2, 1, 2)]);
     // Low tasks with a deadline that holds only if they start at once, in the first zone.
     for number in 5..7 {
-        let waits = Entry { run: Duration::from_millis(10 * COARSE), ..task(number, 1, 11) };
-        plans.add(MachineId(1), waits);
+        let waits = QueueEntry { predicted_duration: Duration::from_millis(10 * COARSE), ..task(number, 1, 11) };
+        plans.enqueue(MachineId(1), waits);
     }
     assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { together: true }));
-    assert_eq!(plans.planned_at(JobId(1)), [(MachineId(2), 2)]);
+    assert_eq!(plans.planned_machines(JobId(1)), [(MachineId(2), 2)]);
 }
