--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -189,7 +189,7 @@
     }
 
     /// Gives a machine back; final, since names never come back.
-    pub fn release(&mut self, id: MachineId, why: &str) {
+    pub fn release(&mut self, id: MachineId, why: impl std::fmt::Display) {
         if self.returning.insert(id) {
             info!("returning machine={id} reason=\"{why}\"");
         }
--- a/src/gang.rs
+++ b/src/gang.rs
@@ -1,39 +1,40 @@
-//! The life of a gang: a job whose tasks all run at the same time, or none does.
+//! The life cycle of a gang: a job whose tasks all run at the same time, or none does.
 //!
 //! | phase | what is on machines | what ends it |
 //! | --- | --- | --- |
 //! | queued | nothing | a start of all tasks under a new attempt number |
-//! | gathering | tasks of one attempt, which wait for each other | a task runs: all do; a task ends, or the rest cannot come: stopping |
-//! | running | all tasks | a task is done: all are; a task ends or is lost: stopping |
+//! | awaiting members | tasks of one attempt, which wait for each other | a task runs: all do; a task ends, or the rest cannot come: stopping |
+//! | running | all tasks | a task is finished: all are; a task ends or is lost: stopping |
 //! | stopping | what is left of the attempt | the last task is gone: queued |
 //!
-//! This module decides; `scheduling::gangs` carries it out. Nothing of a gang is written to the state service: a new leader learns the
-//! live attempt from the reports of fenced machines. There is only one, since the next one starts when nothing of the last is left.
+//! This module decides; `leader::scheduling::gangs` carries it out. Nothing of a gang's phase is written to the key-value store: a
+//! new leader learns the live attempt from the heartbeats of fenced machines. There is only one, since the next one starts when
+//! nothing of the last is left.
 
 use crate::types::{AttemptNumber, Duration, MachineId, Timestamp};
 use std::collections::BTreeSet;
 
-/// Where a gang is in its life.
+/// Where a gang is in its life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum GangPhase {
     /// No attempt is on any machine.
     #[default]
     Queued,
-    /// Its tasks were ordered to start and wait for each other, since this time.
+    /// The starts of its tasks were requested, and they wait for each other.
     AwaitingMembers {
         /// When the attempt began, or was found by this leader.
         since: Timestamp,
     },
-    /// At least one task was seen running, so all have started.
+    /// At least one task was reported running, so all have started.
     Running,
     /// What is left of the attempt is ending.
     Stopping {
-        /// Time that its tasks have for saving.
+        /// Time that its tasks have for their checkpoints.
         grace: Duration,
     },
 }
 
-/// What an attempt that a machine shows is to its gang.
+/// What an attempt that a machine reports is to its gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adoption {
     /// It belongs to the live attempt.
@@ -44,17 +45,17 @@
     Replaces,
 }
 
-/// State of a gang.
+/// The state of a gang.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Gang {
-    /// Where it is in its life.
+    /// Where it is in its life cycle.
     pub phase: GangPhase,
     /// The live attempt; `None` while it is queued.
     pub attempt: Option<AttemptNumber>,
-    /// Since when a task of a gathering gang is missing.
+    /// Since when a task of a gang that awaits its members is missing.
     pub missing_since: Option<Timestamp>,
-    /// Machines that held tasks of earlier attempts. A worker refuses a task of which it still knows another attempt.
-    pub former: BTreeSet<MachineId>,
+    /// Machines that held tasks of earlier attempts. A worker refuses a task of which it still holds another attempt.
+    pub former_machines: BTreeSet<MachineId>,
 }
 
 impl Gang {
@@ -64,51 +65,62 @@
     }
 
     /// Whether its tasks run.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.phase == GangPhase::Running
     }
 
-    /// An attempt begins.
+    /// Begins an attempt on these machines.
     pub fn start(&mut self, now: Timestamp, attempt: AttemptNumber, machines: impl Iterator<Item = MachineId>) {
         self.phase = GangPhase::AwaitingMembers { since: now };
         self.attempt = Some(attempt);
         self.missing_since = None;
-        self.former.extend(machines);
+        self.former_machines.extend(machines);
     }
 
-    /// A machine shows a task of this attempt that this leader did not start; `ended`: it has ended already.
-    pub fn adopt(&mut self, now: Timestamp, attempt: AttemptNumber, machine: MachineId, ended: bool) -> Adoption {
-        self.former.insert(machine);
-        if self.attempt.is_some_and(|live| attempt < live) {
-            return Adoption::Stale;
-        }
-        if self.attempt == Some(attempt) {
-            if ended {
-                self.stop(Duration::ZERO);
+    /// Notes that a machine reports a task of this attempt that this leader did not start, and whether that has ended already.
+    pub fn adopt(&mut self, now: Timestamp, attempt: AttemptNumber, machine: MachineId, has_ended: bool) -> Adoption {
+        self.former_machines.insert(machine);
+        match self.attempt {
+            Some(live) if attempt < live => Adoption::Stale,
+            Some(live) if attempt == live => {
+                if has_ended {
+                    self.stop(Duration::ZERO);
+                }
+                Adoption::Live
+            }
+            Some(_) => {
+                self.adopt_attempt(now, attempt, has_ended);
+                Adoption::Replaces
+            }
+            None => {
+                self.adopt_attempt(now, attempt, has_ended);
+                Adoption::Live
             }
-            return Adoption::Live;
         }
-        let replaces = self.attempt.is_some();
+    }
+
+    /// Takes an attempt for the live one.
+    fn adopt_attempt(&mut self, now: Timestamp, attempt: AttemptNumber, has_ended: bool) {
         self.attempt = Some(attempt);
         self.missing_since = None;
-        self.phase = if ended {
+        self.phase = if has_ended {
             GangPhase::Stopping { grace: Duration::ZERO }
         } else {
             GangPhase::AwaitingMembers { since: now }
         };
-        if replaces { Adoption::Replaces } else { Adoption::Live }
     }
 
-    /// A task of this attempt was seen running. All tasks start together, so from now on a lost one cannot be replaced.
-    pub fn task_runs(&mut self, attempt: AttemptNumber) {
+    /// Notes that a task of this attempt is reported running. All tasks start together, so from now on a lost one cannot be
+    /// replaced.
+    pub fn task_running(&mut self, attempt: AttemptNumber) {
         if self.attempt == Some(attempt) && matches!(self.phase, GangPhase::AwaitingMembers { .. }) {
             self.phase = GangPhase::Running;
             self.missing_since = None;
         }
     }
 
-    /// A task is surely gone without an end, with its machine. While the gang gathers a replacement can complete it; one that
-    /// ran is over.
+    /// Notes that a task is surely gone without an end, with its machine. While the gang awaits its members a replacement can
+    /// complete it; one that ran is to end.
     pub fn task_lost(&mut self, now: Timestamp) {
         match self.phase {
             GangPhase::AwaitingMembers { .. } => self.missing_since = Some(self.missing_since.unwrap_or(now)),
@@ -116,20 +128,20 @@
         }
     }
 
-    /// A task of the live attempt has ended without being done: the others are ending, or cannot begin any more.
+    /// Notes that a task of the live attempt ended without being finished: the others are ending, or cannot begin any more.
     pub fn task_ended(&mut self) {
         self.stop(Duration::ZERO);
     }
 
-    /// The attempt is to end, its tasks having so long for saving. One that is ending already goes on as it was told.
+    /// Ends the attempt, with this much time for its tasks' checkpoints. One that is ending already goes on as it was told.
     pub fn stop(&mut self, grace: Duration) {
         if matches!(self.phase, GangPhase::AwaitingMembers { .. } | GangPhase::Running) {
             self.phase = GangPhase::Stopping { grace };
         }
     }
 
-    /// Nothing of the attempt is on any machine any more.
-    pub fn emptied(&mut self) {
+    /// Notes that nothing of the attempt is on any machine any more: the gang is queued again.
+    pub fn requeue(&mut self) {
         self.phase = GangPhase::Queued;
         self.attempt = None;
         self.missing_since = None;
--- a/src/gang/tests.rs
+++ b/src/gang/tests.rs
@@ -1,38 +1,38 @@
 use super::*;
 
-const M: MachineId = MachineId(1);
+const MACHINE: MachineId = MachineId(1);
 
-fn gathering() -> Gang {
+fn awaiting_members() -> Gang {
     let mut gang = Gang::default();
-    gang.start(Timestamp::from_millis(10), AttemptNumber(5), [M].into_iter());
+    gang.start(Timestamp::from_millis(10), AttemptNumber(5), [MACHINE].into_iter());
     gang
 }
 
 #[test]
-fn a_gang_gathers_runs_stops_and_is_queued_again() {
-    let mut gang = gathering();
+fn a_gang_awaits_its_members_runs_stops_and_is_queued_again() {
+    let mut gang = awaiting_members();
     assert_eq!(
-        (gang.phase, gang.is_queued(), gang.runs()),
+        (gang.phase, gang.is_queued(), gang.is_running()),
         (GangPhase::AwaitingMembers { since: Timestamp::from_millis(10) }, false, false)
     );
-    gang.task_runs(AttemptNumber(5));
-    assert!(gang.runs());
+    gang.task_running(AttemptNumber(5));
+    assert!(gang.is_running());
     gang.task_ended();
     assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO });
-    gang.emptied();
+    gang.requeue();
     assert!(gang.is_queued() && gang.attempt.is_none());
 }
 
 #[test]
 fn a_lost_task_is_replaced_only_while_the_gang_has_not_started() {
-    let mut gang = gathering();
+    let mut gang = awaiting_members();
     gang.task_lost(Timestamp::from_millis(20));
     gang.task_lost(Timestamp::from_millis(30));
     assert_eq!(
         (gang.phase, gang.missing_since),
         (GangPhase::AwaitingMembers { since: Timestamp::from_millis(10) }, Some(Timestamp::from_millis(20)))
     );
-    gang.task_runs(AttemptNumber(5));
+    gang.task_running(AttemptNumber(5));
     gang.task_lost(Timestamp::from_millis(40));
     assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO });
 }
@@ -41,16 +41,16 @@
 #[test]
 fn a_new_leader_takes_the_latest_attempt_that_it_finds() {
     let mut gang = Gang::default();
-    assert_eq!(gang.adopt(Timestamp::from_millis(1), AttemptNumber(5), M, true), Adoption::Live);
+    assert_eq!(gang.adopt(Timestamp::from_millis(1), AttemptNumber(5), MACHINE, true), Adoption::Live);
     assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "something of it has ended");
-    assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), M, false), Adoption::Replaces);
+    assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), MACHINE, false), Adoption::Replaces);
     assert_eq!(gang.phase, GangPhase::AwaitingMembers { since: Timestamp::from_millis(2) });
-    assert_eq!(gang.adopt(Timestamp::from_millis(3), AttemptNumber(5), M, false), Adoption::Stale);
-    assert_eq!(gang.adopt(Timestamp::from_millis(4), AttemptNumber(9), M, false), Adoption::Live);
-    gang.task_runs(AttemptNumber(5));
-    assert!(!gang.runs(), "a leftover says nothing of the live attempt");
-    gang.task_runs(AttemptNumber(9));
-    assert!(gang.runs());
+    assert_eq!(gang.adopt(Timestamp::from_millis(3), AttemptNumber(5), MACHINE, false), Adoption::Stale);
+    assert_eq!(gang.adopt(Timestamp::from_millis(4), AttemptNumber(9), MACHINE, false), Adoption::Live);
+    gang.task_running(AttemptNumber(5));
+    assert!(!gang.is_running(), "a leftover says nothing of the live attempt");
+    gang.task_running(AttemptNumber(9));
+    assert!(gang.is_running());
 }
 
 #[test]
@@ -61,11 +61,11 @@
     assert!(gang.is_queued());
 }
 
-/// A failure during an orderly stop does not take the others' time for saving away.
+/// A failure during an orderly stop does not take away the others' time for their checkpoints.
 #[test]
-fn an_orderly_stop_keeps_its_time_for_saving() {
-    let mut gang = gathering();
-    gang.task_runs(AttemptNumber(5));
+fn an_orderly_stop_keeps_its_grace_period() {
+    let mut gang = awaiting_members();
+    gang.task_running(AttemptNumber(5));
     gang.stop(Duration::from_secs(3));
     gang.task_ended();
     gang.task_lost(Timestamp::from_millis(30));
--- a/src/jobs/store.rs
+++ b/src/jobs/store.rs
@@ -69,7 +69,7 @@
     fn running_tasks(&self) -> usize {
         let running = self.placements.values().filter(|p| p.running).count();
         match &self.gang {
-            Some(gang) if !gang.runs() || running < self.spec.task_count as usize => 0,
+            Some(gang) if !gang.is_running() || running < self.spec.task_count as usize => 0,
             _ => running,
         }
     }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -10,15 +10,14 @@
     AttemptId, AttemptNumber, Duration, FencingToken, JobId, MachineId, Resources, TaskId, Timestamp, WallClock,
 };
 use crate::upgrade::Format;
-use crate::wire::{ExitReason, Heartbeat, HeartbeatResponse};
-use crate::workers::{self, Machine, Registration};
+use crate::workers::{DrainReason, Machine, Registration};
 use crate::write_ahead_log::{self, LogRecord, MachineRecord, WriteAheadLog};
 use caperstile_admission::{AdmissionControl, AdmissionTable, Decision, Submission};
 use command_dispatch::CommandDispatch;
 use drains::DrainState;
 use failure_detection::{WorkerReachability, ZoneHealth};
 use fencing::Fencing;
-use log::{debug, info, warn};
+use log::{debug, info};
 use pending_requests::PendingRequests;
 use scheduling::Planning;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -188,12 +187,6 @@
         self.pending.refuse_all(out);
     }
 
-    /// An attempt number that no leader has used or will use.
-    pub(crate) fn next_attempt(&mut self) -> AttemptNumber {
-        self.attempt_counter += 1;
-        AttemptNumber((self.token.0 << 24) + self.attempt_counter)
-    }
-
     // ---- cloud ----
 
     /// The cloud answered.
@@ -230,10 +223,10 @@
                 cloud::CloudEvent::Request(id, call) => out.push(Effect::CallCloud(self.token.0, id, call)),
                 cloud::CloudEvent::MachineFailed(id) => {
                     if let Some(machine) = self.machines.get_mut(&id) {
-                        machine.draining.get_or_insert("failed");
+                        machine.draining.get_or_insert(DrainReason::CloudFailure);
                         self.planning.changed_machines.insert(id);
                     }
-                    self.cloud.release(id, "failed");
+                    self.cloud.release(id, DrainReason::CloudFailure);
                 }
                 cloud::CloudEvent::MachinesRented(ids) => {
                     for id in ids {
--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -1,6 +1,10 @@
 //! Direct commands to workers: which machines need one, and how many may be in flight.
 
-use crate::types::MachineId;
+use crate::effects::Effect;
+use crate::leader::Leader;
+use crate::types::{MachineId, Timestamp};
+use crate::wire::CommandBatch;
+use crate::workers::InFlightCommand;
 use std::collections::BTreeSet;
 
 /// Direct commands that are to be sent or in flight.
@@ -13,3 +17,42 @@
     /// Commands that were sent by this leader; numbers them.
     pub(crate) issued: u64,
 }
+
+impl CommandDispatch {
+    /// The number of the next command.
+    fn next_id(&mut self) -> u64 {
+        self.issued += 1;
+        self.issued
+    }
+
+    /// Notes that a command was answered or has timed out.
+    pub(super) fn command_finished(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+}
+
+impl Leader {
+    /// Sends a direct command to a machine, one at a time to each. A machine that left one unanswered gets no more but as a
+    /// `probe`: [`check_machine_health`](Leader::check_machine_health) sends one from time to time, even without commands in it.
+    pub(crate) fn send_direct_command(&mut self, now: Timestamp, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        if machine.in_flight_command.is_some() || (machine.unanswered_commands > 0 && !probe) {
+            return;
+        }
+        let command = self.command_dispatch.next_id();
+        let commands = if machine.fenced { machine.direct_commands(command) } else { Vec::new() };
+        if commands.is_empty() && machine.fenced && !probe {
+            return;
+        }
+        self.command_dispatch.in_flight += 1;
+        machine.last_probe_at = now;
+        machine.in_flight_command = Some(InFlightCommand { id: command, sent_at: now });
+        out.push(Effect::SendCommands {
+            token: self.token.0,
+            machine: id,
+            endpoint: machine.record.endpoint.clone(),
+            id: command,
+            body: CommandBatch { fencing_token: self.token.0, epoch: machine.last_message.epoch.0, commands },
+        });
+    }
+}
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -11,7 +11,7 @@
 use crate::types::{FencingToken, MachineId, Revision, Timestamp, WallClock};
 use crate::upgrade::Format;
 use crate::wire::{CompareAndSwap, CompareAndSwapResponse, KeyPage, StoreWrite};
-use crate::workers::{Machine, TaskAttempt};
+use crate::workers::{DrainReason, Machine, TaskAttempt};
 use caperstile_disruption::store::{Answer, Call, Entry, Write};
 use caperstile_disruption::{self as disruption, Coordinator, Policy, Stop};
 use fleet::{FleetView, place_of};
@@ -19,8 +19,6 @@
 pub(crate) use rooms::RoomPlanner;
 use std::collections::BTreeSet;
 
-/// Why a machine is drained that operators or consolidation empty.
-const DRAINED: &str = "drained";
 /// Share of the state service's changes that drains may use: the log has three quarters, elections need the rest.
 const WRITE_SHARE: f64 = 0.15;
 /// Bytes of a value that are not used, as in the log.
@@ -151,14 +149,15 @@
         let known = |machine: &&mut Machine| machine.fenced && machine.draining.is_none();
         let Some(machine) = self.machines.get_mut(&id).filter(known) else { return };
         info!("draining machine={id}");
-        machine.draining = Some(DRAINED);
+        machine.draining = Some(DrainReason::Drained);
         self.planning.plans.remove(id);
         self.planning.changed_machines.insert(id);
     }
 
     fn uncordon(&mut self, id: MachineId) {
         let returning = self.cloud.is_releasing(id);
-        let drained = self.machines.get_mut(&id).filter(|machine| machine.draining == Some(DRAINED) && !returning);
+        let drained =
+            self.machines.get_mut(&id).filter(|machine| machine.draining == Some(DrainReason::Drained) && !returning);
         let Some(machine) = drained else { return };
         info!("not draining any more machine={id}");
         machine.draining = None;
--- a/src/leader/failure_detection/tests.rs
+++ b/src/leader/failure_detection/tests.rs
@@ -1,33 +1,37 @@
-use super::*;
+use crate::leader::{Leader, StepDownReason};
 use crate::settings::{Settings, tests::SAMPLE};
-use crate::types::{FencingToken, Resources, WallClock};
-use crate::workers::Registration;
+use crate::types::{Duration, FencingToken, MachineId, Resources, Timestamp, WallClock};
+use crate::upgrade::Format;
+use crate::workers::{Machine, Registration};
 use crate::write_ahead_log::MachineRecord;
 
+fn new_leader() -> Leader {
+    Leader::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap())
+}
+
+fn new_machine(id: MachineId) -> Machine {
+    let record = MachineRecord {
+        id,
+        endpoint: String::new(),
+        machine_type: "big".to_string(),
+        zone: "a".to_string(),
+        spot: false,
+        rented_at: WallClock::default(),
+    };
+    Machine::new(record, Resources::default(), Registration::NotRequested, Timestamp::START)
+}
+
 #[test]
 fn silence_counts_only_while_there_are_workers() {
-    let mut term =
-        Leader::new(FencingToken(5), crate::upgrade::Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
-    term.reachability.unreached_for = Duration::from_secs(25);
-    term.detect_isolation();
-    for n in 1..=4 {
-        let (kind, zone, endpoint) = ("big".to_string(), "a".to_string(), String::new());
-        let record = MachineRecord {
-            id: MachineId(n),
-            endpoint,
-            machine_type: kind,
-            zone,
-            spot: false,
-            rented_at: WallClock::default(),
-        };
-        term.machines.insert(
-            MachineId(n),
-            Machine::new(record, Resources::default(), Registration::NotRequested, Timestamp::START),
-        );
+    let mut leader = new_leader();
+    leader.reachability.unreached_for = Duration::from_secs(25);
+    leader.detect_isolation();
+    for id in (1..=4).map(MachineId) {
+        leader.machines.insert(id, new_machine(id));
     }
-    term.detect_isolation();
-    assert_eq!(term.step_down_reason(), None, "they have just come up");
-    term.reachability.unreached_for = Duration::from_millis(3600);
-    term.detect_isolation();
-    assert_eq!(term.step_down_reason(), Some(StepDownReason::NoWorkerReachable));
+    leader.detect_isolation();
+    assert_eq!(leader.step_down_reason(), None, "they have just come up");
+    leader.reachability.unreached_for = Duration::from_millis(3600);
+    leader.detect_isolation();
+    assert_eq!(leader.step_down_reason(), Some(StepDownReason::NoWorkerReachable));
 }
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -1,88 +1,147 @@
-//! What workers report and answer, and what comes of it.
+//! Heartbeats of workers, their answers to direct commands, and what both show.
 
-use super::*;
+use super::{Leader, StepDownReason};
+use crate::api::ApiResponse;
+use crate::effects::{Effect, RequestOrigin};
+use crate::store::ServiceResponse;
+use crate::types::{MachineId, Resources, Timestamp, WallClock};
+use crate::wire::{Heartbeat, HeartbeatResponse};
+use crate::workers::{self, Machine, MachineEvent, Registration};
+use crate::write_ahead_log::{LogRecord, MachineRecord};
+use log::{debug, info};
+
+/// Why a heartbeat is refused. The texts are part of the API.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+enum HeartbeatError {
+    #[error("a newer leader exists")]
+    HigherFencingToken,
+    #[error("the machine's name has the wrong form")]
+    MalformedMachineName,
+    /// A late message of a machine that was given back to the cloud.
+    #[error("this machine was returned")]
+    MachineGone,
+    /// A late copy.
+    #[error("a newer report has come")]
+    Outdated,
+}
+
+impl From<HeartbeatError> for ApiResponse {
+    fn from(error: HeartbeatError) -> ApiResponse {
+        let reason = error.to_string();
+        match error {
+            HeartbeatError::HigherFencingToken | HeartbeatError::MachineGone => ApiResponse::unavailable(&reason),
+            HeartbeatError::MalformedMachineName => ApiResponse::field_error(400, &reason, "Host"),
+            HeartbeatError::Outdated => ApiResponse::field_error(409, &reason, "Tally"),
+        }
+    }
+}
 
 impl Leader {
-    /// A worker reports.
+    /// Takes a worker's heartbeat and answers it with commands.
     pub fn handle_heartbeat(
         &mut self,
         now: Timestamp,
         wall: WallClock,
         lease_valid: bool,
         origin: RequestOrigin,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         out: &mut Vec<Effect>,
     ) {
-        if report.fencing_token > self.token.0 {
+        let id = match self.accept_heartbeat(now, wall, heartbeat) {
+            Ok(id) => id,
+            Err(error) => return out.push(Effect::Respond(origin, error.into())),
+        };
+        let has_news = self.apply_worker_message(now, id, heartbeat);
+        self.note_worker_reached(now, id);
+        self.register_machine(lease_valid, id);
+        self.request_fencing_proof(id);
+        self.schedule_if_due(now, wall, lease_valid, out);
+        if has_news {
+            // What is planned next here goes with the answer.
+            self.start_next(now, id);
+        }
+        if let Some(response) = self.answer_heartbeat(now, id, heartbeat) {
+            out.push(Effect::Respond(origin, ApiResponse::json(200, &response)));
+        }
+        self.flush(now, out);
+    }
+
+    /// Checks whether a heartbeat may be taken, and makes its machine known. Steps down if the worker obeys a later leader.
+    fn accept_heartbeat(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        heartbeat: &Heartbeat,
+    ) -> Result<MachineId, HeartbeatError> {
+        if heartbeat.fencing_token > self.token.0 {
             self.step_down_reason = Some(StepDownReason::HigherFencingToken);
-            out.push(Effect::Respond(origin, ApiResponse::unavailable("a newer leader exists")));
-            return;
+            return Err(HeartbeatError::HigherFencingToken);
         }
-        let Ok(id) = report.machine.parse::<MachineId>() else {
-            let response = ApiResponse::field_error(400, "the machine's name has the wrong form", "Host");
-            out.push(Effect::Respond(origin, response));
-            return;
-        };
+        let id: MachineId = heartbeat.machine.parse().map_err(|_| HeartbeatError::MalformedMachineName)?;
         if self.cloud.is_gone(id) {
-            // A late message of a machine that is no more.
-            out.push(Effect::Respond(origin, ApiResponse::unavailable("this machine was returned")));
-            return;
+            return Err(HeartbeatError::MachineGone);
         }
-        self.machines.entry(id).or_insert_with(|| {
+        let has_peers = !self.settings.seeds.is_empty();
+        let machine = self.discover_machine(now, wall, id, heartbeat);
+        if machine.accept_heartbeat(now, heartbeat, has_peers) { Ok(id) } else { Err(HeartbeatError::Outdated) }
+    }
+
+    /// The machine that sends a heartbeat; the first one makes it known.
+    fn discover_machine(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        id: MachineId,
+        heartbeat: &Heartbeat,
+    ) -> &mut Machine {
+        let machine = self.machines.entry(id).or_insert_with(|| {
+            info!(
+                "machine discovered machine={id} type={} zone={} spot={}",
+                heartbeat.machine_type, heartbeat.zone, heartbeat.spot
+            );
             let record = MachineRecord {
                 id,
-                endpoint: report.endpoint.clone(),
-                machine_type: report.machine_type.clone(),
-                zone: report.zone.clone(),
-                spot: report.spot,
+                endpoint: heartbeat.endpoint.clone(),
+                machine_type: heartbeat.machine_type.clone(),
+                zone: heartbeat.zone.clone(),
+                spot: heartbeat.spot,
                 rented_at: wall,
             };
-            info!("up machine={id} type={} zone={} spot={}", report.machine_type, report.zone, report.spot);
             Machine::new(record, Resources::default(), Registration::NotRequested, now)
         });
-        if let Some(rented) = self.cloud.instance_up(id)
-            && let Some(machine) = self.machines.get_mut(&id)
-        {
-            machine.known_since = rented;
-            machine.record.rented_at = wall.at_timestamp(now, rented);
+        if let Some(rented_at) = self.cloud.instance_up(id) {
+            machine.known_since = rented_at;
+            machine.record.rented_at = wall.at_timestamp(now, rented_at);
         }
-        let others = !self.settings.seeds.is_empty();
-        if !self.machines.get_mut(&id).is_some_and(|m| m.accept_heartbeat(now, report, others)) {
-            let response = ApiResponse::field_error(409, "a newer report has come", "Tally");
-            out.push(Effect::Respond(origin, response));
-            return;
-        }
-        let showed = self.apply_worker_message(now, id, report);
-        self.note_worker_reached(now, id);
-        self.register_machine(lease_valid, id);
-        if self.machines.get(&id).is_some_and(|m| !m.fenced && m.last_answered_heartbeat.0.0 > 0) {
-            // The answer to a worker's first report tells it our token, and it reports that at once; only where it does
-            // not a command asks.
+        machine
+    }
+
+    /// Asks a machine for its proof that it is fenced by a direct command, unless the answer to its first heartbeat will do: that
+    /// tells the worker our fencing token, and it says so at once.
+    fn request_fencing_proof(&mut self, id: MachineId) {
+        if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_answered()) {
             self.command_dispatch.waiting.insert(id);
         }
-        self.schedule_if_due(now, wall, lease_valid, out);
-        if showed {
-            // What is planned next here goes with the answer.
-            self.start_next(now, id);
-        }
-        if let Some(machine) = self.machines.get_mut(&id) {
-            let keep = self.settings.deployment.workers.copies_over();
-            let orders = match machine.fenced {
-                true => machine.heartbeat_commands(now, keep),
-                // The answer renews the lease, whatever runs there. What is cancelled must not run on by that: each new
-                // leader of a chain renewed it once, and the machine was out of reach before the next report.
-                false => workers::kills(report, &|job| self.jobs.terminal_state(job).is_some()),
-            };
-            machine.last_answer_at = now;
-            machine.last_answered_heartbeat = machine.last_heartbeat;
-            let response = HeartbeatResponse { fencing_token: self.token.0, commands: orders };
-            out.push(Effect::Respond(origin, ApiResponse::json(200, &response)));
-        }
-        self.flush(now, out);
     }
 
-    /// Enrols a machine that is new. Only one that has seen this token is surely there: the report of a
-    /// machine that an earlier leader returned may come late.
+    /// The answer to a heartbeat, which renews the worker's lease.
+    fn answer_heartbeat(&mut self, now: Timestamp, id: MachineId, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
+        let late_copy_window = self.settings.deployment.workers.late_copy_window();
+        let machine = self.machines.get_mut(&id)?;
+        let commands = if machine.fenced {
+            machine.heartbeat_commands(now, late_copy_window)
+        } else {
+            // The answer renews the lease, whatever runs there. What is cancelled must not run on by that: each new
+            // leader of a chain renewed it once, and the machine was out of reach before the next heartbeat.
+            workers::stop_ended_jobs(heartbeat, &|job| self.jobs.terminal_state(job).is_some())
+        };
+        machine.last_answer_at = now;
+        machine.last_answered_heartbeat = machine.last_heartbeat;
+        Some(HeartbeatResponse { fencing_token: self.token.0, commands })
+    }
+
+    /// Writes a new machine to the log. Only one that has seen this leader's fencing token is surely there: the heartbeat of a
+    /// machine that an earlier leader gave back may come late.
     pub(super) fn register_machine(&mut self, lease_valid: bool, id: MachineId) {
         if let Some(machine) = self.machines.get_mut(&id)
             && lease_valid
@@ -95,7 +154,7 @@
         }
     }
 
-    /// A worker answered a direct command, or did not.
+    /// Takes a worker's answer to a direct command, or notes that none came.
     #[allow(clippy::too_many_arguments)]
     pub fn handle_command_response(
         &mut self,
@@ -107,73 +166,68 @@
         reply: &ServiceResponse,
         out: &mut Vec<Effect>,
     ) {
-        // 200: executed. 409: nothing executed, and nothing will be. Else it may come to be late.
+        // 200: executed. 409: nothing executed, and nothing will be. Otherwise it may be executed late.
         let answered = matches!(reply.status, 200 | 409);
-        self.command_dispatch.in_flight = self.command_dispatch.in_flight.saturating_sub(1);
+        self.command_dispatch.command_finished();
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.command_finished(now, command, answered);
             self.planning.changed_machines.insert(id);
         }
-        if answered && let Some(report) = reply.parse::<Heartbeat>() {
-            if report.fencing_token > self.token.0 {
+        if answered && let Some(message) = reply.parse::<Heartbeat>() {
+            if message.fencing_token > self.token.0 {
                 self.step_down_reason = Some(StepDownReason::HigherFencingToken);
                 return;
             }
-            if report.machine == id.to_string() {
-                self.apply_worker_message(now, id, &report);
+            if message.machine == id.to_string() {
+                self.apply_worker_message(now, id, &message);
             }
         }
         self.note_worker_reached(now, id);
         self.register_machine(lease_valid, id);
         if answered {
-            // Orders may have come in the meantime, or it is not fenced yet.
+            // More commands may have been requested in the meantime, or it is not fenced yet.
             self.command_dispatch.waiting.insert(id);
         }
         self.schedule_if_due(now, wall, lease_valid, out);
         self.flush(now, out);
     }
 
-    /// Takes a worker's message; true if it showed something.
-    pub(super) fn apply_worker_message(&mut self, now: Timestamp, id: MachineId, report: &Heartbeat) -> bool {
-        let token = self.token;
+    /// Applies a worker's message; true if it showed something.
+    fn apply_worker_message(&mut self, now: Timestamp, id: MachineId, message: &Heartbeat) -> bool {
         let Some(machine) = self.machines.get_mut(&id) else { return false };
-        let had_notice = machine.reclaim_at.is_some();
+        let was_reclaimed = machine.reclaim_at.is_some();
         let mut events = Vec::new();
-        machine.apply_message(now, report, token, &mut events);
+        machine.apply_message(now, message, self.token, &mut events);
         self.planning.changed_machines.insert(id);
-        if !had_notice && machine.reclaim_at.is_some() {
-            info!("spot notice machine={id} seconds={:?}", report.reclaim_in_s);
+        if !was_reclaimed && machine.reclaim_at.is_some() {
+            info!("interruption notice machine={id} reclaim_in_s={}", message.reclaim_in_s.unwrap_or_default());
             self.reclaimed_machines.insert(id);
             self.planning.replan_needed = true;
         }
-        let showed = !events.is_empty();
-        self.planning.replan_needed |= showed;
+        let has_news = !events.is_empty();
+        self.planning.replan_needed |= has_news;
         self.apply_machine_events(now, id, events);
-        showed
+        has_news
     }
 
-    pub(crate) fn apply_machine_events(&mut self, now: Timestamp, id: MachineId, events: Vec<workers::MachineEvent>) {
+    /// Applies what a worker's message, or the loss of its machine, showed.
+    pub(crate) fn apply_machine_events(&mut self, now: Timestamp, id: MachineId, events: Vec<MachineEvent>) {
         for event in events {
             match event {
-                workers::MachineEvent::Fenced => {
-                    info!("fenced machine={id} token={}", self.token);
-                    if self.fencing.unfenced.remove(&id) {
-                        self.fencing.last_fenced_at = now;
-                    }
+                MachineEvent::Fenced => {
+                    info!("machine fenced machine={id} token={}", self.token);
+                    self.fencing.machine_fenced(now, id);
                 }
-                workers::MachineEvent::ImageCached(image) => self.log.append(LogRecord::ImageCached(id, image)),
-                workers::MachineEvent::AttemptFound { id: attempt, has_ended } => {
+                MachineEvent::ImageCached(image) => self.log.append(LogRecord::ImageCached(id, image)),
+                MachineEvent::AttemptFound { id: attempt, has_ended } => {
                     self.adopt_attempt(now, id, attempt, has_ended)
                 }
-                workers::MachineEvent::AttemptRunning(key) => self.attempt_running(now, key),
-                workers::MachineEvent::AttemptLost(task) => {
-                    debug!("lost {task} machine={id}");
-                    self.remove_placement(id, task);
-                    if let Some(gang) = self.jobs.get_mut(task.job).and_then(|job| job.gang.as_mut()) {
-                        gang.task_lost(now);
-                    }
+                MachineEvent::AttemptRunning(attempt) => self.attempt_running(now, attempt),
+                MachineEvent::AttemptLost(task) => {
+                    debug!("task lost task={task} machine={id}");
+                    self.attempt_lost(now, id, task);
                 }
-                workers::MachineEvent::AttemptExited(exit) => self.attempt_exited(now, id, exit),
+                MachineEvent::AttemptExited(exit) => self.attempt_exited(now, id, exit),
             }
         }
     }
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -11,7 +11,7 @@
 use crate::plan::{QueuePriority, Server};
 use crate::settings::Objective;
 use crate::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
-use crate::workers::TaskAttempt;
+use crate::workers::{DrainReason, TaskAttempt};
 use caperstile_disruption::Coordinator;
 use log::{debug, info};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/src/leader/provisioning/returns.rs
+++ b/src/leader/provisioning/returns.rs
@@ -2,16 +2,13 @@
 
 use super::*;
 
-/// Why a machine is drained whose services were moved to others.
-const CONSOLIDATED: &str = "its services fit elsewhere";
-
 impl Leader {
     /// Empties an ordinary machine whose services fit on others that hold their images: a replica is
     /// moved within a fraction of a second, and an ordinary machine is dear.
     pub(crate) fn consolidate(&mut self, now: Timestamp, wall: WallClock) {
         // A start counts only if the task is not stopped within 30 s.
         const SETTLED: Duration = Duration::from_secs(40);
-        let draining = self.machines.values().any(|m| m.draining == Some(CONSOLIDATED))
+        let draining = self.machines.values().any(|m| m.draining == Some(DrainReason::Consolidated))
             || self.drain_state.coordinator.as_ref().is_some_and(Coordinator::consolidates);
         if !self.all_machines_fenced()
             || draining
@@ -53,7 +50,7 @@
         }
         let Some(m) = self.machines.get_mut(&id) else { return };
         info!("consolidating machine={id} services={}", m.attempts.values().filter(|h| h.occupies_resources()).count());
-        m.draining = Some(CONSOLIDATED);
+        m.draining = Some(DrainReason::Consolidated);
         let attempts: Vec<_> = m.attempts.iter().filter(|(_, h)| h.occupies_resources()).map(|(a, _)| *a).collect();
         for attempt in attempts {
             self.stop(id, attempt, 0.0);
@@ -94,10 +91,10 @@
         idle.retain(|id| !self.is_replacement(*id));
         for id in idle {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.draining = Some("idle");
+                m.draining = Some(DrainReason::Idle);
             }
             self.planning.plans.remove(id);
-            self.cloud.release(id, "idle");
+            self.cloud.release(id, DrainReason::Idle);
         }
     }
 }
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -214,7 +214,7 @@
         info!("replacing {task} attempt={attempt} machine={machine}");
         let predicted = Some(self.planning.correction.predict(job.spec.estimated_duration));
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
-            gang.former.insert(machine);
+            gang.former_machines.insert(machine);
         }
         self.start_attempt(now, machine, AttemptId { attempt, task }, predicted, &mut used);
     }
@@ -238,7 +238,7 @@
     fn requeue_gang(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if let Some(gang) = &mut job.gang {
-            gang.emptied();
+            gang.requeue();
         }
         let tasks = job.spec.task_count;
         for index in 0..tasks {
--- a/src/leader/scheduling/view.rs
+++ b/src/leader/scheduling/view.rs
@@ -34,7 +34,7 @@
         let mut avoid = job.failed_on.clone();
         if let Some(gang) = &job.gang {
             let knows = |id: &&MachineId| self.machines.get(id).is_some_and(|m| m.holds_job(job.spec.id));
-            avoid.extend(gang.former.iter().filter(knows));
+            avoid.extend(gang.former_machines.iter().filter(knows));
         }
         self.profile_for(&job.spec, avoid)
     }
--- /dev/null
+++ b/src/leader/tasks/exits.rs
@@ -0,0 +1,146 @@
+//! Attempts that ended: finished, failed, refused or stopped.
+
+use crate::jobs::Job;
+use crate::leader::{LEARNT_EVERY, Leader};
+use crate::types::{Duration, MachineId, TaskId, Timestamp};
+use crate::wire::ExitReason;
+use crate::workers::{AttemptExit, DrainReason};
+use crate::write_ahead_log::LogRecord;
+use log::{debug, info};
+
+/// Machines on which a job fails before it is tried less and less often.
+const FAILED_MACHINES_BEFORE_BACKOFF: usize = 3;
+/// Different jobs that fail on a machine before it gets no further tasks.
+const FAILED_JOBS_BEFORE_QUARANTINE: usize = 2;
+/// Consecutive failures of a job without any success that show that the job, not the machine, is at fault.
+const FAILURES_OF_FAULTY_JOB: u32 = 3;
+/// Largest exponent of the backoff of a job that fails wherever it runs.
+const MAX_BACKOFF_EXPONENT: u32 = 8;
+/// Longest backoff of a job that fails wherever it runs, in seconds.
+const MAX_BACKOFF_S: u64 = 60;
+/// Backoff after a worker refused a task.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(500);
+
+impl Leader {
+    /// Notes that an attempt ended: its task is finished or waits again.
+    pub(in crate::leader) fn attempt_exited(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit) {
+        let task = exit.id.task;
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        let Some(attempt) = machine.attempts.get_mut(&exit.id) else { return };
+        attempt.forgettable = true;
+        let was_assigned = std::mem::replace(&mut attempt.assigned, false);
+        let Some(job) = self.jobs.get_mut(task.job) else { return };
+        if exit.reason == ExitReason::Done && !job.spec.is_service {
+            return self.task_finished(now, id, exit, was_assigned);
+        }
+        if !was_assigned {
+            return;
+        }
+        if let Some(gang) = &mut job.gang {
+            gang.task_ended();
+        }
+        match exit.reason {
+            ExitReason::Stopped => debug!("task stopped task={task} machine={id}"),
+            // The task or machine at fault is another one.
+            ExitReason::GangMemberLost | ExitReason::GangIncomplete => {
+                info!("task ended task={task} machine={id} reason={:?}", exit.reason)
+            }
+            ExitReason::Error => self.task_failed(now, id, exit),
+            reason => {
+                info!("task refused task={task} machine={id} reason={reason:?}");
+                job.retry_not_before = job.retry_not_before.max(now + REFUSED_BACKOFF);
+            }
+        }
+        self.remove_placement(id, task);
+    }
+
+    /// Notes that a task finished; of a gang all tasks did.
+    fn task_finished(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit, was_assigned: bool) {
+        let task = exit.id.task;
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(task.job) else { return };
+        machine.failed_jobs.clear();
+        job.consecutive_failures = 0;
+        job.placements.remove(&task.index);
+        let newly_finished = finish_tasks(job, task);
+        if newly_finished.is_empty() {
+            return;
+        }
+        let duration = now.since(exit.requested_at);
+        debug!("task finished task={} machine={id} duration_s={}", exit.id, duration.as_secs_f64());
+        if let Some(attempt) = machine.attempts.get_mut(&exit.id) {
+            attempt.forgettable = false;
+        }
+        self.unconfirmed_finishes.insert(task, (id, exit.id.attempt));
+        for index in newly_finished {
+            self.log.append_task_done(TaskId { job: task.job, index });
+        }
+        if was_assigned
+            && self.has_started(exit.id.attempt)
+            && let Some(predicted) = exit.predicted_duration
+        {
+            self.learn_correction(duration, predicted);
+        }
+    }
+
+    /// Learns from an execution how long tasks take compared with their estimates, and writes that to the log now and then.
+    fn learn_correction(&mut self, actual: Duration, predicted: Duration) {
+        let correction = &mut self.planning.correction;
+        correction.learn(actual, predicted);
+        if correction.executions.is_multiple_of(LEARNT_EVERY) {
+            self.log.append(LogRecord::CorrectionLearnt(correction.percent, correction.executions));
+        }
+    }
+
+    /// Notes that a task failed. A job that fails wherever it runs is tried less and less often; a machine on which different
+    /// jobs fail is at fault itself.
+    fn task_failed(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit) {
+        let task = exit.id.task;
+        let Some(job) = self.jobs.get_mut(task.job) else { return };
+        let ran_s = exit.running_since.map_or(0.0, |since| now.since(since).as_secs_f64());
+        info!("task failed task={task} machine={id} ran_s={ran_s}");
+        job.consecutive_failures += 1;
+        if !job.failed_on.contains(&id) {
+            job.failed_on.push(id);
+        }
+        if job.failed_on.len() >= FAILED_MACHINES_BEFORE_BACKOFF {
+            job.retry_not_before = now + failure_backoff(job.consecutive_failures);
+            job.failed_on.clear();
+            self.planning.plans.remove_job(task.job);
+        }
+        self.quarantine_if_at_fault(id, task);
+    }
+
+    /// Drains a machine on which a task failed, if it is the machine that is at fault.
+    fn quarantine_if_at_fault(&mut self, id: MachineId, task: TaskId) {
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get(task.job) else { return };
+        let succeeded_elsewhere = !job.finished.is_empty();
+        let job_at_fault = !succeeded_elsewhere && job.consecutive_failures >= FAILURES_OF_FAULTY_JOB;
+        if !job_at_fault {
+            machine.failed_jobs.insert(task.job);
+        }
+        let machine_at_fault = succeeded_elsewhere || machine.failed_jobs.len() >= FAILED_JOBS_BEFORE_QUARANTINE;
+        if machine_at_fault && machine.draining.is_none() {
+            info!("machine quarantined machine={id} failed_jobs={}", machine.failed_jobs.len());
+            machine.draining = Some(DrainReason::FailingTasks);
+            self.planning.changed_machines.insert(id);
+        }
+    }
+}
+
+/// Marks a task, or all tasks of its gang, as finished; returns those that were not before.
+fn finish_tasks(job: &mut Job, task: TaskId) -> Vec<u32> {
+    let finished: Vec<u32> = if job.gang.is_some() { (0..job.spec.task_count).collect() } else { vec![task.index] };
+    let newly_finished: Vec<u32> = finished.into_iter().filter(|index| job.finished.insert(*index)).collect();
+    for index in &newly_finished {
+        job.pending.remove(*index);
+    }
+    newly_finished
+}
+
+/// How long a job waits that fails wherever it runs.
+fn failure_backoff(consecutive_failures: u32) -> Duration {
+    let seconds = 2u64.saturating_pow(consecutive_failures.min(MAX_BACKOFF_EXPONENT));
+    Duration::from_secs(seconds.min(MAX_BACKOFF_S))
+}
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -21,16 +21,33 @@
 }
 
 impl WorkerTimes {
-    /// A machine that nothing has reached for so long gets no further tasks: two reports and a little.
+    /// A machine that nothing has reached for this long gets no further tasks: two heartbeat intervals and a margin.
     pub fn overdue(&self) -> Duration {
         Duration::from_secs_f64(self.report_s * 2.0 + 2.0)
     }
 
-    /// When so many workers that report regularly are silent for so long, it is not by chance: each reports
+    /// A machine that nothing has reached for this long is unreached: the longest interval between two heartbeats and a margin.
+    pub fn unreached_after(&self) -> Duration {
+        Duration::from_secs_f64(self.longest_heartbeat_interval_s() + UNREACHED_MARGIN_S)
+    }
+
+    /// An unreached machine that leaves commands unanswered is given back after this time.
+    pub fn release_unreached_after(&self) -> Duration {
+        Duration::from_secs_f64(self.longest_heartbeat_interval_s() + RELEASE_MARGIN_S)
+    }
+
+    /// A worker's lease has surely expired this long after the last answer to it: its clock may run slow by as much as ours
+    /// runs fast, and a process may be late.
+    pub fn lease_expired_after(&self) -> Duration {
+        Duration::from_secs_f64(self.lease_s * LEASE_DRIFT_FACTOR + LEASE_MARGIN_S)
+    }
+
+    /// When this many workers that send heartbeats regularly are silent for this long, it is not by chance: each sends one
     /// within the longest interval, and of many some do in a small part of it.
-    pub fn silence(&self, workers: usize) -> Duration {
-        let gaps = 20.0 * self.report_s / workers.max(1) as f64;
-        Duration::from_secs_f64(gaps.clamp(1.5, (self.report_s * 1.25 + 0.5).max(1.5)))
+    pub fn silence_timeout(&self, workers: usize) -> Duration {
+        let likely_gap_s = SILENCE_INTERVALS * self.report_s / workers.max(1) as f64;
+        let longest_s = (self.longest_heartbeat_interval_s() + UNREACHED_MARGIN_S).max(SHORTEST_SILENCE_S);
+        Duration::from_secs_f64(likely_gap_s.clamp(SHORTEST_SILENCE_S, longest_s))
     }
 
     /// How long the tasks of a gang wait for each other.
@@ -38,13 +55,35 @@
         Duration::from_secs_f64(self.gang_wait_s)
     }
 
-    /// A copy of a message may come well over a lease late; after this time none is expected any more. With two leases a copy of a start
-    /// that came 35 s late, at a lease of 16 s, found its attempt forgotten and ran it again.
-    pub fn copies_over(&self) -> Duration {
-        Duration::from_secs_f64(self.lease_s * 2.5)
+    /// How late a copy of a message may arrive: well over a lease. With two leases a copy of a start that came 35 s late, at a
+    /// lease of 16 s, found its attempt forgotten and ran it again.
+    pub fn late_copy_window(&self) -> Duration {
+        Duration::from_secs_f64(self.lease_s * LATE_COPY_LEASES)
+    }
+
+    /// The longest interval between two heartbeats of a worker that is well.
+    fn longest_heartbeat_interval_s(&self) -> f64 {
+        self.report_s * LONGEST_INTERVAL_FACTOR
     }
 }
 
+/// The longest interval between two heartbeats, in heartbeat intervals.
+const LONGEST_INTERVAL_FACTOR: f64 = 1.25;
+/// Delay of a heartbeat that is not taken for silence, in seconds.
+const UNREACHED_MARGIN_S: f64 = 0.5;
+/// Delay of a heartbeat before its machine may be given back, in seconds.
+const RELEASE_MARGIN_S: f64 = 1.5;
+/// How much longer a lease may last by a worker's clock than by ours.
+const LEASE_DRIFT_FACTOR: f64 = 1.002;
+/// How late a worker may act on the end of its lease, in seconds.
+const LEASE_MARGIN_S: f64 = 1.5;
+/// Heartbeat intervals, shared by all workers, without a heartbeat that are not by chance.
+const SILENCE_INTERVALS: f64 = 20.0;
+/// The shortest silence that means something, in seconds.
+const SHORTEST_SILENCE_S: f64 = 1.5;
+/// How late a copy of a message may arrive, in leases.
+const LATE_COPY_LEASES: f64 = 2.5;
+
 /// Limits of the state service, shared by all nodes.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,9 +1,12 @@
 use super::*;
+use crate::types::{AttemptId, AttemptNumber, Duration, FencingToken, MachineId, Resources, Timestamp, WallClock};
+use crate::wire::{Heartbeat, WorkerCommand};
+use crate::write_ahead_log::MachineRecord;
 use serde_json::json;
 
-fn report(session: u64, seq: u64, token: u64, tasks: serde_json::Value) -> Heartbeat {
+fn heartbeat(epoch: u64, sequence: u64, token: u64, tasks: serde_json::Value) -> Heartbeat {
     serde_json::from_value(json!({"Host": "m-000001", "Endpoint": "10.0.0.1:1", "Build": "small", "Yard": "a",
-        "Shift": session, "Tally": seq, "Baton": token, "Pieces": tasks}))
+        "Shift": epoch, "Tally": sequence, "Baton": token, "Pieces": tasks}))
     .unwrap()
 }
 
@@ -14,7 +17,7 @@
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        rented_at: crate::types::WallClock::default(),
+        rented_at: WallClock::default(),
     };
     Machine::new(record, Resources { cpus: 4000, gpus: 0, memory: 16_000 }, Registration::Durable, Timestamp::ZERO)
 }
@@ -23,16 +26,16 @@
     AttemptId { attempt: AttemptNumber(1), task: "job-000001/0".parse().unwrap() }
 }
 
-fn hold(task: &str, doubt: StartUncertainty) -> TaskAttempt {
+fn requested_attempt(task: &str, start_uncertainty: StartUncertainty) -> TaskAttempt {
     TaskAttempt {
         task: task.parse().unwrap(),
         phase: AttemptPhase::StartRequested,
         acknowledged: false,
-        start_uncertainty: doubt,
+        start_uncertainty,
         stop_grace_s: None,
-        start_sent: doubt != StartUncertainty::None,
+        start_sent: start_uncertainty != StartUncertainty::None,
         stop_sent: false,
-        started_directly: doubt != StartUncertainty::None,
+        started_directly: start_uncertainty != StartUncertainty::None,
         ended_at: Timestamp::ZERO,
         forgettable: true,
         assigned: true,
@@ -46,138 +49,148 @@
     }
 }
 
-/// Found by random faults: a session that was seen only through direct commands inherited the
+/// Found by random faults: an epoch that was seen only through direct commands inherited the
 /// lease of the one before.
 #[test]
-fn the_lease_of_a_new_session_counts_from_its_beginning() {
-    let (mut m, mut out) = (machine(), Vec::new());
-    m.apply_message(Timestamp::from_millis(100), &report(1, 5, 7, json!([])), FencingToken(7), &mut out);
-    assert_eq!((m.fenced, m.last_answer_at), (true, Timestamp::from_millis(100)));
-    m.attempts.insert(first_attempt(), hold("job-000001/0", StartUncertainty::None));
-    out.clear();
-    m.apply_message(Timestamp::from_millis(16_500), &report(2, 1, 7, json!([])), FencingToken(7), &mut out);
-    assert_eq!(out, [MachineEvent::AttemptLost("job-000001/0".parse().unwrap())]);
-    assert_eq!(m.last_answer_at, Timestamp::from_millis(16_500));
+fn the_lease_of_a_new_epoch_counts_from_its_beginning() {
+    let (mut machine, mut events) = (machine(), Vec::new());
+    machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), FencingToken(7), &mut events);
+    assert_eq!((machine.fenced, machine.last_answer_at), (true, Timestamp::from_millis(100)));
+    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::None));
+    events.clear();
+    machine.apply_message(Timestamp::from_millis(16_500), &heartbeat(2, 1, 7, json!([])), FencingToken(7), &mut events);
+    assert_eq!(events, [MachineEvent::AttemptLost("job-000001/0".parse().unwrap())]);
+    assert_eq!(machine.last_answer_at, Timestamp::from_millis(16_500));
 }
 
 #[test]
 fn an_older_message_changes_nothing() {
-    let (mut m, mut out) = (machine(), Vec::new());
+    let (mut machine, mut events) = (machine(), Vec::new());
     let running = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "running"}]);
-    m.apply_message(Timestamp::from_millis(100), &report(1, 5, 7, running), FencingToken(7), &mut out);
-    out.clear();
-    m.apply_message(Timestamp::from_millis(101), &report(1, 4, 7, json!([])), FencingToken(7), &mut out);
-    m.apply_message(Timestamp::from_millis(102), &report(0, 9, 7, json!([])), FencingToken(7), &mut out);
-    assert!(out.is_empty() && m.attempts.len() == 1);
+    machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, running), FencingToken(7), &mut events);
+    events.clear();
+    machine.apply_message(Timestamp::from_millis(101), &heartbeat(1, 4, 7, json!([])), FencingToken(7), &mut events);
+    machine.apply_message(Timestamp::from_millis(102), &heartbeat(0, 9, 7, json!([])), FencingToken(7), &mut events);
+    assert!(events.is_empty() && machine.attempts.len() == 1);
 }
 
-/// A late copy of a report shows nothing and counts as no answered report; a report that was passed
+/// A late copy of a heartbeat shows nothing and counts as no answered one; a heartbeat that was passed
 /// by the answer to a direct command is no copy, since its worker may be waiting for the answer.
 #[test]
-fn only_a_newer_report_counts() {
-    let (mut m, mut out) = (machine(), Vec::new());
-    assert!(m.accept_heartbeat(Timestamp::from_millis(100), &report(1, 5, 7, json!([])), true));
-    m.apply_message(Timestamp::from_millis(100), &report(1, 5, 7, json!([])), FencingToken(7), &mut out);
-    m.apply_message(Timestamp::from_millis(110), &report(1, 7, 7, json!([])), FencingToken(7), &mut out); // answer to a command
-    assert!(m.accept_heartbeat(Timestamp::from_millis(120), &report(1, 6, 7, json!([])), true));
-    assert!(!m.accept_heartbeat(Timestamp::from_millis(130), &report(1, 6, 7, json!([])), true), "once more");
-    assert!(!m.accept_heartbeat(Timestamp::from_millis(140), &report(1, 4, 7, json!([])), true), "an old one");
-    m.apply_message(Timestamp::from_millis(150), &report(2, 1, 7, json!([])), FencingToken(7), &mut out);
+fn only_a_newer_heartbeat_counts() {
+    let (mut machine, mut events) = (machine(), Vec::new());
+    assert!(machine.accept_heartbeat(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), true));
+    machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), FencingToken(7), &mut events);
+    machine.apply_message(Timestamp::from_millis(110), &heartbeat(1, 7, 7, json!([])), FencingToken(7), &mut events); // answer to a command
+    assert!(machine.accept_heartbeat(Timestamp::from_millis(120), &heartbeat(1, 6, 7, json!([])), true));
+    assert!(!machine.accept_heartbeat(Timestamp::from_millis(130), &heartbeat(1, 6, 7, json!([])), true), "once more");
+    assert!(!machine.accept_heartbeat(Timestamp::from_millis(140), &heartbeat(1, 4, 7, json!([])), true), "an old one");
+    machine.apply_message(Timestamp::from_millis(150), &heartbeat(2, 1, 7, json!([])), FencingToken(7), &mut events);
     assert!(
-        !m.accept_heartbeat(Timestamp::from_millis(160), &report(1, 9, 7, json!([])), true),
-        "of a session that is over"
+        !machine.accept_heartbeat(Timestamp::from_millis(160), &heartbeat(1, 9, 7, json!([])), true),
+        "of an epoch that is over"
     );
 }
 
-/// Reports alone do not show that anything of ours arrives: only the next report after an answered
-/// one, an order that took effect, our token, or the answer to a command do.
+/// Heartbeats alone do not show that anything of ours arrives: only the next heartbeat after an answered
+/// one, a command that took effect, our token, or the answer to a command do.
 #[test]
-fn a_deaf_machine_is_told_from_one_that_hears() {
-    let (mut m, mut out) = (machine(), Vec::new());
-    let mut hear = |m: &mut Machine, at: u64, r: &Heartbeat| {
-        assert!(m.accept_heartbeat(Timestamp::from_millis(at), r, true));
-        m.apply_message(Timestamp::from_millis(at), r, FencingToken(7), &mut out);
-        m.last_answered_heartbeat = m.last_heartbeat;
+fn heartbeats_alone_do_not_prove_that_a_machine_is_reached() {
+    let (mut machine, mut events) = (machine(), Vec::new());
+    let mut receive = |machine: &mut Machine, at: u64, heartbeat: &Heartbeat| {
+        assert!(machine.accept_heartbeat(Timestamp::from_millis(at), heartbeat, true));
+        machine.apply_message(Timestamp::from_millis(at), heartbeat, FencingToken(7), &mut events);
+        machine.last_answered_heartbeat = machine.last_heartbeat;
     };
-    hear(&mut m, 100, &report(1, 5, 7, json!([])));
-    assert_eq!(m.last_reached_at, Timestamp::from_millis(100), "it has seen our token");
-    hear(&mut m, 2100, &report(1, 6, 7, json!([])));
-    assert_eq!(m.last_reached_at, Timestamp::from_millis(2100), "it came back with the next one");
-    m.command_finished(Timestamp::from_millis(4000), 1, false);
-    hear(&mut m, 12_100, &report(1, 8, 7, json!([])));
+    receive(&mut machine, 100, &heartbeat(1, 5, 7, json!([])));
+    assert_eq!(machine.last_reached_at, Timestamp::from_millis(100), "it has seen our token");
+    receive(&mut machine, 2100, &heartbeat(1, 6, 7, json!([])));
+    assert_eq!(machine.last_reached_at, Timestamp::from_millis(2100), "it came back with the next one");
+    machine.command_finished(Timestamp::from_millis(4000), 1, false);
+    receive(&mut machine, 12_100, &heartbeat(1, 8, 7, json!([])));
     assert_eq!(
-        (m.last_reached_at, m.unanswered_commands),
+        (machine.last_reached_at, machine.unanswered_commands),
         (Timestamp::from_millis(2100), 1),
         "it went elsewhere in between"
     );
-    m.attempts.insert(first_attempt(), hold("job-000001/0", StartUncertainty::Lost));
-    hear(&mut m, 22_100, &report(1, 10, 7, json!([])));
-    assert_eq!(m.last_reached_at, Timestamp::from_millis(2100), "the order had no effect");
+    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::Lost));
+    receive(&mut machine, 22_100, &heartbeat(1, 10, 7, json!([])));
+    assert_eq!(machine.last_reached_at, Timestamp::from_millis(2100), "the command had no effect");
     let fetching = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "fetching"}]);
-    hear(&mut m, 32_100, &report(1, 12, 7, fetching));
+    receive(&mut machine, 32_100, &heartbeat(1, 12, 7, fetching));
     assert_eq!(
-        (m.last_reached_at, m.unanswered_commands),
+        (machine.last_reached_at, machine.unanswered_commands),
         (Timestamp::from_millis(32_100), 0),
-        "the order took effect"
+        "the command took effect"
     );
 }
 
 #[test]
-fn a_start_in_doubt_is_settled_by_run_and_kill_and_not_reaped() {
-    let mut m = machine();
-    m.attempts.insert(first_attempt(), hold("job-000001/0", StartUncertainty::Lost));
-    m.request_stop(first_attempt(), 0.0);
+fn an_uncertain_start_is_resolved_by_start_and_stop_and_not_forgotten() {
+    let mut machine = machine();
+    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::Lost));
+    machine.request_stop(first_attempt(), 0.0);
     let (task, attempt) = ("job-000001/0".to_string(), 1);
-    let kill = WorkerCommand::Stop { task: task.clone(), attempt, grace_s: 0.0 };
+    let stop = WorkerCommand::Stop { task: task.clone(), attempt, grace_s: 0.0 };
     assert_eq!(
-        m.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO),
-        [WorkerCommand::Start { task, attempt }, kill]
+        machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO),
+        [WorkerCommand::Start { task, attempt }, stop]
     );
-    assert!(m.direct_commands(9).is_empty(), "only answers to reports are never executed late");
-    m.fenced = true;
+    assert!(machine.direct_commands(9).is_empty(), "only answers to heartbeats are never executed late");
+    machine.fenced = true;
     let exited = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "exited", "Cause": "halted"}]);
-    m.apply_message(Timestamp::from_millis(1), &report(1, 1, 7, exited), FencingToken(7), &mut Vec::new());
+    machine.apply_message(Timestamp::from_millis(1), &heartbeat(1, 1, 7, exited), FencingToken(7), &mut Vec::new());
     assert!(
-        m.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(),
+        machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(),
         "a late copy would start it anew"
     );
 }
 
-/// A task that was saving when its job was cancelled got no second order, and went on for as long as it saved.
+/// A task that was checkpointing when its job was cancelled got no second stop, and went on for as long as its checkpoint took.
 #[test]
-fn a_task_that_saves_is_ended_by_a_second_order() {
-    let mut m = machine();
-    m.attempts.insert(first_attempt(), hold("job-000001/0", StartUncertainty::None));
-    m.fenced = true;
-    m.request_stop(first_attempt(), 10.0);
-    let saving = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "flushing"}]);
-    m.apply_message(Timestamp::from_millis(1), &report(1, 1, 7, saving), FencingToken(7), &mut Vec::new());
-    assert!(m.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(), "it may save");
-    m.request_stop(first_attempt(), 0.0);
-    let kill = WorkerCommand::Stop { task: "job-000001/0".into(), attempt: 1, grace_s: 0.0 };
-    assert_eq!(m.heartbeat_commands(Timestamp::from_millis(2), Duration::ZERO), [kill]);
+fn a_checkpointing_task_is_ended_by_a_second_stop() {
+    let mut machine = machine();
+    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::None));
+    machine.fenced = true;
+    machine.request_stop(first_attempt(), 10.0);
+    let checkpointing = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "flushing"}]);
+    machine.apply_message(
+        Timestamp::from_millis(1),
+        &heartbeat(1, 1, 7, checkpointing),
+        FencingToken(7),
+        &mut Vec::new(),
+    );
+    assert!(machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(), "it may save");
+    machine.request_stop(first_attempt(), 0.0);
+    let stop = WorkerCommand::Stop { task: "job-000001/0".into(), attempt: 1, grace_s: 0.0 };
+    assert_eq!(machine.heartbeat_commands(Timestamp::from_millis(2), Duration::ZERO), [stop]);
 }
 
-/// A copy of an answered command, carried out late, started a task anew that had been reaped.
+/// A copy of an answered command, executed late, started a task anew that had been forgotten.
 #[test]
-fn what_a_direct_command_started_is_reaped_only_when_no_copy_comes_any_more() {
-    let mut m = machine();
-    m.attempts.insert(first_attempt(), hold("job-000001/0", StartUncertainty::InFlight(3)));
-    m.command_finished(Timestamp::from_millis(10), 3, true);
-    m.fenced = true;
+fn a_directly_started_attempt_is_forgotten_only_when_no_late_copy_can_come() {
+    let mut machine = machine();
+    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::InFlight(3)));
+    machine.command_finished(Timestamp::from_millis(10), 3, true);
+    machine.fenced = true;
     let exited = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "exited", "Cause": "done"}]);
-    m.apply_message(Timestamp::from_millis(1000), &report(1, 1, 7, exited), FencingToken(7), &mut Vec::new());
-    assert!(m.heartbeat_commands(Timestamp::from_millis(30_999), Duration::from_secs(30)).is_empty());
-    let reap = WorkerCommand::Forget { task: "job-000001/0".into(), attempt: 1 };
-    assert_eq!(m.heartbeat_commands(Timestamp::from_millis(31_000), Duration::from_secs(30)), [reap]);
+    machine.apply_message(Timestamp::from_millis(1000), &heartbeat(1, 1, 7, exited), FencingToken(7), &mut Vec::new());
+    assert!(machine.heartbeat_commands(Timestamp::from_millis(30_999), Duration::from_secs(30)).is_empty());
+    let forget = WorkerCommand::Forget { task: "job-000001/0".into(), attempt: 1 };
+    assert_eq!(machine.heartbeat_commands(Timestamp::from_millis(31_000), Duration::from_secs(30)), [forget]);
 }
 
 #[test]
-fn before_fencing_a_report_says_nothing_of_tasks() {
-    let (mut m, mut out) = (machine(), Vec::new());
+fn a_heartbeat_before_fencing_changes_no_attempts() {
+    let (mut machine, mut events) = (machine(), Vec::new());
     let running = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "running"}]);
-    m.apply_message(Timestamp::from_millis(100), &report(1, 5, 6, running.clone()), FencingToken(7), &mut out);
-    assert!(out.is_empty() && !m.fenced);
-    m.apply_message(Timestamp::from_millis(101), &report(1, 6, 7, running), FencingToken(7), &mut out);
-    assert_eq!(out, [MachineEvent::Fenced, MachineEvent::AttemptFound { id: first_attempt(), has_ended: false }]);
+    machine.apply_message(
+        Timestamp::from_millis(100),
+        &heartbeat(1, 5, 6, running.clone()),
+        FencingToken(7),
+        &mut events,
+    );
+    assert!(events.is_empty() && !machine.fenced);
+    machine.apply_message(Timestamp::from_millis(101), &heartbeat(1, 6, 7, running), FencingToken(7), &mut events);
+    assert_eq!(events, [MachineEvent::Fenced, MachineEvent::AttemptFound { id: first_attempt(), has_ended: false }]);
 }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -617,8 +617,9 @@
     let held = with_replicas(&sim);
     let out_of_order = |sim: &Sim| {
         let term = sim.leader().and_then(|node| sim.nodes[node].as_ref()).and_then(|node| node.leader());
-        let failing =
-            |m: &&caperstile::workers::Machine| m.draining == Some("fails its tasks") && held.contains(&m.id().0);
+        let failing = |m: &&caperstile::workers::Machine| {
+            m.draining == Some(caperstile::workers::DrainReason::FailingTasks) && held.contains(&m.id().0)
+        };
         term.and_then(|term| term.machines().find(failing).map(|m| m.id().0))
     };
     let sick = loop {
