--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -205,7 +205,7 @@
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.draining.get_or_insert(reason);
         }
-        self.planning.plans.remove(id);
+        self.planning.plans.remove_machine(id);
         self.cloud.release(id, reason);
     }
 
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -58,7 +58,7 @@
         self.schedule_if_due(now, wall, lease_valid, out);
         if has_news {
             // What is planned next here goes with the answer.
-            self.start_next(now, id);
+            self.start_next_tasks(now, id);
         }
         if let Some(response) = self.answer_heartbeat(now, id, heartbeat) {
             out.push(Effect::Respond(origin, ApiResponse::json(200, &response)));
--- a/src/leader/tasks.rs
+++ b/src/leader/tasks.rs
@@ -26,7 +26,7 @@
 
     /// Stops an attempt that its job does not count as its own any more.
     pub(super) fn abandon_attempt(&mut self, placement: Placement) {
-        self.stop(placement.machine, placement.attempt, 0.0);
+        self.stop_attempt(placement.machine, placement.attempt, 0.0);
         let machine = self.machines.get_mut(&placement.machine);
         if let Some(attempt) = machine.and_then(|machine| machine.attempts.get_mut(&placement.attempt)) {
             attempt.assigned = false;
--- a/src/leader/tasks/exits.rs
+++ b/src/leader/tasks/exits.rs
@@ -106,7 +106,7 @@
         if job.failed_on.len() >= FAILED_MACHINES_BEFORE_BACKOFF {
             job.retry_not_before = now + failure_backoff(job.consecutive_failures);
             job.failed_on.clear();
-            self.planning.plans.remove_job(task.job);
+            self.planning.plans.unplan_job(task.job);
         }
         self.quarantine_if_at_fault(id, task);
     }
