--- a/src/jobs/store.rs
+++ b/src/jobs/store.rs
@@ -4,7 +4,7 @@
 use crate::gang::Gang;
 use crate::types::{AttemptId, JobId, MachineId, TaskId, TaskIndexSet, Timestamp, WallClock};
 use crate::wire::{JobStatus, JobStatusResponse};
-use crate::write_ahead_log::{FINALS_LIMIT, LogRecord, RANGES_LIMIT};
+use crate::write_ahead_log::{LogRecord, MAX_ENDED_JOBS, MAX_TASK_RANGES};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -266,14 +266,14 @@
         }
         done.sort_unstable();
         cancelled.sort_unstable();
-        for part in done.chunks(FINALS_LIMIT) {
+        for part in done.chunks(MAX_ENDED_JOBS) {
             let mut last = 0;
             facts.push(LogRecord::EndedJobs(
                 part.iter().map(|(id, n)| (id - std::mem::replace(&mut last, *id), *n)).collect(),
                 vec![],
             ));
         }
-        for part in cancelled.chunks(FINALS_LIMIT) {
+        for part in cancelled.chunks(MAX_ENDED_JOBS) {
             let mut last = 0;
             facts.push(LogRecord::EndedJobs(
                 vec![],
@@ -282,7 +282,7 @@
         }
         for job in self.live.values().filter(|j| j.durable) {
             facts.push(LogRecord::JobAccepted((*job.spec).clone()));
-            for part in job.durably_finished.split_by_ranges(RANGES_LIMIT) {
+            for part in job.durably_finished.split_by_ranges(MAX_TASK_RANGES) {
                 facts.push(LogRecord::TasksDone(job.spec.id, part));
             }
         }
--- a/src/write_ahead_log/tests.rs
+++ b/src/write_ahead_log/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
-use crate::settings::{NextLimits, StateLimits, Tuning};
+use crate::settings::NextLimits;
+use crate::types::{JobId, MachineId, WallClock};
+use crate::wire::StoreWrite;
 use serde_json::json;
 
 fn answer(status: u16, body: serde_json::Value) -> ServiceResponse {
@@ -32,7 +34,7 @@
 /// A thousand machines that came up together held a submission up for seconds: each commit had one value, in the
 /// order in which facts came.
 #[test]
-fn what_somebody_waits_for_goes_first_and_the_rest_fills_the_transaction() {
+fn records_that_somebody_waits_for_go_first_and_the_rest_fills_the_request() {
     let (mut records, mut out) = (loaded(), Vec::new());
     for n in 0..2000 {
         records.append(LogRecord::ImageCached(MachineId(n), "an-image-with-a-long-name".into()));
@@ -93,21 +95,21 @@
 }
 
 #[test]
-fn a_job_that_is_too_large_for_lowered_values_is_kept_in_parts() {
+fn a_job_too_large_for_lowered_values_is_kept_in_fragments() {
     let facts = [LogRecord::JobCancelled(JobId(1)), large_job(), LogRecord::CorrectionLearnt(90.0, 3)];
     let mut records = lowered(Format::Two);
     records.begin_snapshot(facts.clone().into_iter());
     // All that the snapshot writes, as the next leader reads it.
     let mut pairs = Vec::new();
-    for change in records.snapshot.as_ref().unwrap().steps.iter().flatten() {
+    for change in records.snapshot_write.as_ref().unwrap().writes() {
         let StoreWrite::Put { key, value, .. } = change else { continue };
         assert!(value.to_string().len() <= 2048, "{key} has {} bytes", value.to_string().len());
         pairs.push(json!({"K": key, "V": value, "Stamp": 6}));
     }
     let (mut next, mut out) = (lowered(Format::Two), Vec::new());
-    (next.loaded, next.in_flight) = (false, Vec::new());
+    (next.loaded, next.in_flight) = (false, InFlightRequests::default());
     next.start(Timestamp::from_millis(5), &mut out);
-    let id = next.request_counter;
+    let Some(LogEvent::Request(id, _)) = out.pop() else { panic!("{out:?}") };
     next.handle_response(
         Timestamp::from_millis(6),
         id,
@@ -119,13 +121,13 @@
     assert_eq!(read, facts.iter().collect::<Vec<_>>());
 }
 
-/// The version in production would drop a chunk with parts, so nothing is rewritten while it may lead; the log stays as it is.
+/// The version in production would drop a chunk with fragments, so nothing is rewritten while it may lead; the log stays as it is.
 #[test]
-fn nothing_is_written_in_parts_while_the_previous_version_may_read_it() {
+fn nothing_is_written_in_fragments_while_the_previous_version_may_read_it() {
     let mut records = lowered(Format::One);
-    records.since_snapshot = 500;
+    records.entries_since_snapshot = 500;
     records.begin_snapshot([large_job()].into_iter());
-    assert!(records.snapshot.is_none() && !records.snapshot_due());
+    assert!(records.snapshot_write.is_none() && !records.snapshot_due());
     records.begin_snapshot([LogRecord::JobCancelled(JobId(1))].into_iter());
-    assert!(records.snapshot.is_some());
+    assert!(records.snapshot_write.is_some());
 }
