--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -56,19 +56,18 @@
 
     /// Whether the lease of the machine's worker has surely expired, so that its attempts are gone.
     ///
-    /// A machine that nothing reaches renews no lease, whatever it reports; but that an
-    /// answer did not reach it cannot be known, so the lease counts from the last one given. A leader whose own lease is in
-    /// doubt cannot know at all: cut off with its own zone it took the others' leases for expired, which
-    /// the next leader went on renewing, and started their tasks a second time.
+    /// A machine that nothing reaches renews no lease, whatever it reports; but that an answer did not reach it cannot be known,
+    /// so the lease counts from the last one given. A leader whose own lease is in doubt cannot know at all: cut off with its own
+    /// zone it took the others' leases for expired, which the next leader went on renewing, and started their tasks a second time.
     fn lease_expired(&self, machine: &Machine) -> bool {
         self.lease_valid && machine.fenced && self.now.since(machine.last_answer_at) >= self.lease_expired_after
     }
 
     /// Whether the machine is kept although it is out of reach, because its zone is.
     ///
-    /// In a zone that is cut off as a whole tasks go on until their leases
-    /// expire, and its machines are there again after the outage: they are kept for a while. A new leader
-    /// does so only if an earlier one is in that zone, since unfenced machines hold older jobs back meanwhile.
+    /// In a zone that is cut off as a whole tasks go on until their leases expire, and its machines are there again after the
+    /// outage: they are kept for a while. A new leader does so only if an earlier one is in that zone, since unfenced machines
+    /// hold older jobs back meanwhile.
     fn is_retained(&self, machine: &Machine) -> bool {
         let zone = &machine.record.zone;
         if machine.fenced {
@@ -147,6 +146,42 @@
     }
 }
 
+/// What a health check found.
+#[derive(Debug, Default)]
+struct Findings {
+    /// Machines that are out of reach, or not fenced while the others of their zone are.
+    suspected: Vec<MachineId>,
+    /// Attempts that are surely gone, by machine.
+    lost: Vec<(MachineId, Vec<MachineEvent>)>,
+    /// Machines that are to be given back.
+    releases: Vec<(MachineId, DrainReason)>,
+    /// Machines that are to be asked whether they answer.
+    probes: Probes,
+}
+
+impl Findings {
+    /// Checks one machine.
+    fn inspect(&mut self, check: &HealthCheck<'_>, machine: &mut Machine) {
+        expire_command(check.now, machine);
+        let id = machine.id();
+        let is_unreached = check.is_unreached(machine);
+        if is_unreached || machine.unanswered_commands > 0 {
+            self.probes.add(check.now, machine);
+        }
+        if is_unreached || check.is_fencing_straggler(machine) {
+            self.suspected.push(id);
+            if check.lease_expired(machine) && !machine.attempts.is_empty() {
+                info!("lease expired machine={id}");
+                let mut events = Vec::new();
+                machine.drop_attempts(&mut events);
+                self.lost.push((id, events));
+            }
+            self.releases.extend(check.unreachable_verdict(machine).map(|reason| (id, reason)));
+        }
+        self.releases.extend(drained_verdict(machine).map(|reason| (id, reason)));
+    }
+}
+
 impl Leader {
     /// Checks all machines: gives up attempts whose lease expired, gives back machines that are out of reach or empty, and
     /// probes those that do not answer.
@@ -166,38 +201,27 @@
             unresponsive_zones: self.unresponsive_zones(),
             zones: &self.zones,
         };
-        let mut lost: Vec<(MachineId, Vec<MachineEvent>)> = Vec::new();
-        let mut releases: Vec<(MachineId, DrainReason)> = Vec::new();
-        let mut probes = Probes::default();
-        for (id, machine) in &mut self.machines {
-            expire_command(now, machine);
-            let is_unreached = check.is_unreached(machine);
-            if is_unreached || machine.unanswered_commands > 0 {
-                probes.add(now, machine);
-            }
-            if is_unreached || check.is_fencing_straggler(machine) {
-                self.planning.changed_machines.insert(*id);
-                if check.lease_expired(machine) && !machine.attempts.is_empty() {
-                    info!("lease expired machine={id}");
-                    let mut events = Vec::new();
-                    machine.drop_attempts(&mut events);
-                    lost.push((*id, events));
-                }
-                releases.extend(check.unreachable_verdict(machine).map(|reason| (*id, reason)));
-            }
-            releases.extend(drained_verdict(machine).map(|reason| (*id, reason)));
+        let mut findings = Findings::default();
+        for machine in self.machines.values_mut() {
+            findings.inspect(&check, machine);
         }
-        for (id, events) in lost {
+        self.apply_findings(now, lease_valid, findings, out);
+    }
+
+    /// Acts on what a health check found. Without a valid lease nothing is given back.
+    fn apply_findings(&mut self, now: Timestamp, lease_valid: bool, findings: Findings, out: &mut Vec<Effect>) {
+        self.planning.changed_machines.extend(findings.suspected);
+        for (id, events) in findings.lost {
             self.planning.replan_needed = true;
             self.apply_machine_events(now, id, events);
         }
         if lease_valid {
-            for (id, reason) in releases {
+            for (id, reason) in findings.releases {
                 self.release_machine(id, reason);
             }
             self.cloud.release_overdue(now);
         }
-        self.send_probes(now, probes, out);
+        self.send_probes(now, findings.probes, out);
     }
 
     /// Drains a machine and gives it back to the cloud.
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -19,7 +19,7 @@
 
 impl Leader {
     /// Notes that this node reaches workers, if something of ours reached this machine just now.
-    pub(crate) fn note_worker_reached(&mut self, now: Timestamp, id: MachineId) {
+    pub(crate) fn update_reachability(&mut self, now: Timestamp, id: MachineId) {
         if self.machines.get(&id).is_some_and(|machine| machine.last_reached_at == now && machine.fenced) {
             self.reachability.unreached_for = Duration::ZERO;
             self.reachability.ever_reached = true;
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -52,7 +52,7 @@
             Err(error) => return out.push(Effect::Respond(origin, error.into())),
         };
         let has_news = self.apply_worker_message(now, id, heartbeat);
-        self.note_worker_reached(now, id);
+        self.update_reachability(now, id);
         self.register_machine(lease_valid, id);
         self.request_fencing_proof(id);
         self.schedule_if_due(now, wall, lease_valid, out);
@@ -182,7 +182,7 @@
                 self.apply_worker_message(now, id, &message);
             }
         }
-        self.note_worker_reached(now, id);
+        self.update_reachability(now, id);
         self.register_machine(lease_valid, id);
         if answered {
             // More commands may have been requested in the meantime, or it is not fenced yet.
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -6,16 +6,16 @@
 /// Worker timing.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTimes {
-    /// Interval of reports.
+    /// Interval of heartbeats, in seconds.
     pub report_s: f64,
-    /// A worker's lease.
+    /// How long a worker's lease lasts, in seconds.
     pub lease_s: f64,
-    /// Time until a cancelled job's tasks must be gone.
+    /// Seconds until a cancelled job's tasks must be gone.
     pub cancel_s: f64,
-    /// Time after which a task gives up waiting for the other tasks of its gang.
+    /// Seconds after which a task gives up waiting for the other tasks of its gang.
     #[serde(default = "default_gang_wait")]
     pub gang_wait_s: f64,
-    /// Time within which tasks of a gang notice that another is gone, and within which all must be told to stop.
+    /// Seconds within which tasks of a gang notice that another is gone, and within which all must be told to stop.
     #[serde(default = "default_gang_peer")]
     pub gang_peer_s: f64,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,59 +1,61 @@
-//! Workers: heartbeats with the status of all tasks, and commands.
+//! Messages between workers and the leader: heartbeats with the status of all tasks, and commands.
+//!
+//! The names in `serde` attributes are those of PROTOCOL and must not change.
 
 use crate::types::TaskId;
 use serde::{Deserialize, Serialize};
 
-/// A worker's report, also the body of its answers to direct commands.
+/// A worker's heartbeat; it is also the body of the worker's answers to direct commands.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Heartbeat {
     /// The machine's name.
     #[serde(rename = "Host")]
     pub machine: String,
-    /// Where the worker takes direct commands.
+    /// The address at which the worker takes direct commands.
     #[serde(rename = "Endpoint")]
     pub endpoint: String,
-    /// Machine type.
+    /// The machine's type.
     #[serde(rename = "Build")]
     pub machine_type: String,
-    /// Zone.
+    /// The machine's zone.
     #[serde(rename = "Yard")]
     pub zone: String,
     /// Whether this is a spot machine.
     #[serde(rename = "Loaners", default)]
     pub spot: bool,
-    /// Session.
+    /// The agent's epoch: it grows whenever the worker's lease expires and all its tasks are killed.
     #[serde(rename = "Shift")]
     pub epoch: u64,
-    /// Order of messages within the session.
+    /// Number of the message within the epoch.
     #[serde(rename = "Tally")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// The highest fencing token that the worker has seen; 0 if none.
     #[serde(rename = "Baton", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine back.
+    /// Seconds until the cloud reclaims the machine, if it has told so.
     #[serde(rename = "RecallS", default)]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, ended ones that the worker was not told to forget among them.
     #[serde(rename = "Pieces", default)]
     pub tasks: Option<Vec<TaskStatus>>,
 }
 
-/// One task in a report.
+/// The status of one task in a heartbeat.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct TaskStatus {
     /// The task; `None` if its name has another form. Read in place: a leader reads some thousand names a second.
     #[serde(rename = "Piece", with = "task_name")]
     pub task: Option<TaskId>,
-    /// Attempt.
+    /// The number of the attempt.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// State.
+    /// How far the task is.
     #[serde(rename = "Status")]
     pub state: TaskState,
-    /// Why it exited.
+    /// Why the task ended, if it did.
     #[serde(rename = "Cause", default)]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a stopped task's progress was saved.
+    /// Whether the checkpoint of a stopped task was saved.
     #[serde(rename = "Kept", default)]
     pub checkpoint_saved: Option<bool>,
 }
@@ -96,17 +98,17 @@
 pub enum TaskState {
     /// Waiting for its image.
     Fetching,
-    /// A task of a gang that waits for the other tasks of its attempt.
+    /// Waiting for the other tasks of its gang's attempt.
     #[serde(rename = "gathering")]
     AwaitingGang,
     /// Running.
     Running,
-    /// Told to stop and saving.
+    /// Saving a checkpoint after it was told to stop.
     #[serde(rename = "flushing")]
     Checkpointing,
     /// Ended.
     Exited,
-    /// A word of a later protocol: a report with it must still be taken.
+    /// A state of a later protocol: a heartbeat with it must still be taken.
     #[serde(other)]
     Other,
 }
@@ -115,29 +117,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// Completed.
+    /// It finished.
     Done,
-    /// Stopped by command.
+    /// It was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// Failed.
+    /// It failed.
     Error,
-    /// Refused: no room.
+    /// The worker refused it: the machine has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Refused: another attempt of the task is there.
+    /// The worker refused it: it holds another attempt of the task.
     #[serde(rename = "in_use")]
     DuplicateTask,
-    /// Refused: the worker could not learn about the job.
+    /// The worker refused it: it could not get the job's specification.
     #[serde(rename = "unknown")]
     UnknownJob,
-    /// Another task of the gang is gone.
+    /// Another task of its gang is gone.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// The gang was not complete in time.
+    /// Its gang was not complete in time.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// A word of a later protocol.
+    /// A reason of a later protocol.
     #[serde(other)]
     Other,
 }
@@ -146,45 +148,45 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb", rename_all = "lowercase")]
 pub enum WorkerCommand {
-    /// Start an attempt.
+    /// Start an attempt; without effect if the worker holds it already.
     #[serde(rename = "run")]
     Start {
-        /// Task id.
+        /// The task.
         #[serde(rename = "Piece")]
         task: String,
-        /// Attempt.
+        /// The number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
     },
     /// Stop an attempt.
     #[serde(rename = "kill")]
     Stop {
-        /// Task id.
+        /// The task.
         #[serde(rename = "Piece")]
         task: String,
-        /// Attempt.
+        /// The number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
-        /// Time given for saving.
+        /// Seconds that the task has for its checkpoint.
         #[serde(rename = "WindDownS")]
         grace_s: f64,
     },
-    /// Remove an exited attempt from the reports.
+    /// Forget an ended attempt: heartbeats do not list it any more.
     #[serde(rename = "reap")]
     Forget {
-        /// Task id.
+        /// The task.
         #[serde(rename = "Piece")]
         task: String,
-        /// Attempt.
+        /// The number of the attempt.
         #[serde(rename = "Try")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// The answer to a heartbeat; it renews the worker's lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The leader's token.
+    /// The leader's fencing token.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
     /// Commands, executed in order.
@@ -192,13 +194,13 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Body of `POST /commands`.
+/// Direct commands to a worker: the body of `POST /commands`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The leader's token.
+    /// The leader's fencing token.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// The session that the commands are for.
+    /// The agent's epoch that the commands are for; they are refused in another one.
     #[serde(rename = "Shift")]
     pub epoch: u64,
     /// Commands, executed in order.
@@ -206,7 +208,7 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Answer to a heartbeat at a node that does not lead: the node that does.
+/// The answer of a node that does not lead to a heartbeat: the node that does.
 #[derive(Debug, Clone, Serialize)]
 pub struct LeaderRedirect<'a> {
     /// The leader's name.
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -30,11 +30,12 @@
 }
 
 impl Machine {
-    /// Notes a heartbeat's position among the others; false for a late copy of one, which shows nothing,
-    /// renews nothing and needs no answer.
+    /// Notes a heartbeat's position among the others; false for a late copy of one, which shows nothing, renews nothing and needs
+    /// no answer.
     ///
-    /// A heartbeat that is older than the answer to a direct command is no copy: its worker may be waiting
-    /// for the answer, which would renew the worker's lease. `has_peers`: there are other nodes that the worker could go to.
+    /// A heartbeat that is older than the answer to a direct command is no copy: its worker may be waiting for the answer, which
+    /// would renew the worker's lease. `has_peers`: there are other nodes that the worker could go to.
+    #[must_use]
     pub fn accept_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat, has_peers: bool) -> bool {
         let position = MessagePosition::from(heartbeat);
         if position <= self.last_heartbeat || position.epoch < self.last_message.epoch {
