--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,6 +13,9 @@
 pub mod cloud;
 pub mod controller;
 pub mod effects;
+#[cfg(test)]
+#[path = "../tests/support/fixture.rs"]
+mod fixture;
 pub mod gang;
 pub mod jobs;
 pub mod leader;
