--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -2,7 +2,7 @@
 
 use caperstile::units::{Duration, JobId, Time, Token};
 use caperstile_admission::{AdmissionControl, AdmissionPolicy, AdmissionTable, Submission, Utilization};
-use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
+use criterion::{BatchSize, BenchmarkId, Criterion};
 use std::hint::black_box;
 
 const PAIRS: [usize; 3] = [10, 100, 1_000];
@@ -58,5 +58,8 @@
     }
 }
 
-criterion_group!(benches, admission);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    admission(&mut criterion);
+    criterion.final_summary();
+}
--- a/benches/leader.rs
+++ b/benches/leader.rs
@@ -6,7 +6,7 @@
 
 use caperstile::controller::{Input, Origin};
 use caperstile::peers::UserCall;
-use criterion::{Criterion, criterion_group, criterion_main};
+use criterion::Criterion;
 use leading::{World, job, log, report};
 
 const MACHINES: u64 = 2080;
@@ -41,5 +41,8 @@
     });
 }
 
-criterion_group!(benches, leader);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    leader(&mut criterion);
+    criterion.final_summary();
+}
--- a/benches/plan.rs
+++ b/benches/plan.rs
@@ -4,7 +4,7 @@
 use caperstile::plan::{Entry, Order, Plans, Profile, Server, World, Zones};
 use caperstile::records::Record;
 use caperstile::units::{Duration, JobId, MachineId, Resources, Time, Wall};
-use criterion::{Bencher, Criterion, criterion_group, criterion_main};
+use criterion::{Bencher, Criterion};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
@@ -102,5 +102,10 @@
     c.bench_function("a poll of a job that is over", |b| b.iter(|| black_box(book.state(JobId(5000)))));
 }
 
-criterion_group!(benches, plan, grown, intake);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    plan(&mut criterion);
+    grown(&mut criterion);
+    intake(&mut criterion);
+    criterion.final_summary();
+}
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -10,7 +10,6 @@
 //!
 //! There is no I/O and no clock here.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod backlog;
 mod capacity;
--- a/crates/disruption/src/lib.rs
+++ b/crates/disruption/src/lib.rs
@@ -6,7 +6,6 @@
 //!
 //! There is no I/O and no clock here. Given the same records, facts and time, every leader decides the same.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod allowance;
 pub mod budget;
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,6 +1,5 @@
 //! Small types for ids, versions, amounts and times, so that none is mistaken for another.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,6 @@
 //! Inside a process the core is a state machine ([`controller`]): timed inputs go in, and what to
 //! send, write and answer comes out. Only [`runtime`] has sockets and clocks.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub use caperstile_units as units;
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -196,10 +196,10 @@
         let ini = ini::Ini::load_from_str(text).map_err(|e| SettingsError::Ini(e.to_string()))?;
         let teams = self.team_names();
         let mut admission = AdmissionPolicy::default();
-        for (section, properties) in ini.iter() {
+        for (section, properties) in &ini {
             let section = section.unwrap_or("");
             if AdmissionPolicy::is_section(section) {
-                for (key, value) in properties.iter() {
+                for (key, value) in properties {
                     admission.set(section, key, value, &teams)?;
                 }
             }
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -41,12 +41,12 @@
     pub fn parse(text: &str) -> Result<Tuning, SettingsError> {
         let ini = ini::Ini::load_from_str(text).map_err(|e| SettingsError::Ini(e.to_string()))?;
         let mut tuning = Tuning::default();
-        for (section, properties) in ini.iter() {
+        for (section, properties) in &ini {
             let section = section.unwrap_or("");
             if policy::is_section(section) || AdmissionPolicy::is_section(section) {
                 continue;
             }
-            for (name, value) in properties.iter() {
+            for (name, value) in properties {
                 let path = format!("{section}.{name}");
                 let within = |what: &str, low: f64, high: f64| -> Result<f64, SettingsError> {
                     match value.parse::<f64>() {
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -25,15 +25,18 @@
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         COUNT.fetch_add(1, Ordering::Relaxed);
+        // SAFETY: the caller keeps the contract of the system's allocator.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn realloc(&self, at: *mut u8, layout: Layout, size: usize) -> *mut u8 {
         COUNT.fetch_add(1, Ordering::Relaxed);
+        // SAFETY: the caller keeps the contract of the system's allocator.
         unsafe { System.realloc(at, layout, size) }
     }
 
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
+        // SAFETY: the caller keeps the contract of the system's allocator.
         unsafe { System.dealloc(at, layout) }
     }
 }
