--- a/benches/plan.rs
+++ b/benches/plan.rs
@@ -4,7 +4,7 @@
 use caperstile::plan::{JobDirectory, JobProfile, PlannedMachine, Plans, QueueEntry, QueuePriority, ZoneAllowance};
 use caperstile::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
 use caperstile::write_ahead_log::LogRecord;
-use criterion::{Bencher, Criterion, criterion_group, criterion_main};
+use criterion::{Bencher, Criterion};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
@@ -114,5 +114,10 @@
     c.bench_function("a poll of a job that is over", |b| b.iter(|| black_box(book.status(JobId(5000)))));
 }
 
-criterion_group!(benches, plan, grown, intake);
-criterion_main!(benches);
+fn main() {
+    let mut criterion = Criterion::default().configure_from_args();
+    plan(&mut criterion);
+    grown(&mut criterion);
+    intake(&mut criterion);
+    criterion.final_summary();
+}
