--- a/src/arrivals/tests.rs
+++ b/src/arrivals/tests.rs
@@ -2,7 +2,7 @@
 use crate::jobs::{parse_submission, tests::submission};
 use crate::types::WallClock;
 
-fn record(class: &str, tasks: u64) -> Rc<JobSpec> {
+fn job_spec(class: &str, tasks: u64) -> Rc<JobSpec> {
     let mut body = submission("job-000001");
     body["Lane"] = class.into();
     body["Pieces"] = tasks.into();
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn what_comes_regularly_is_expected_and_what_came_long_ago_is_not() {
+fn regular_arrivals_are_expected_and_old_ones_are_forgotten() {
     let mut arrivals = Arrivals::default();
     for n in 0..12 {
-        arrivals.note(Timestamp::from_millis(n * 5000), &record("train", 2 + n % 3));
+        arrivals.record(Timestamp::from_millis(n * 5000), &job_spec("train", 2 + n % 3));
     }
     let (name, class) = arrivals.classes().next().unwrap();
-    assert_eq!((name, class.largest().task_count), ("train", 4));
+    assert_eq!((name, class.largest_job().task_count), ("train", 4));
     // 36 tasks in a minute.
     let expected = class.expected_tasks(Timestamp::from_millis(60_000), Duration::from_secs(20));
     assert!((11.0..13.5).contains(&expected), "{expected}");
@@ -25,9 +25,9 @@
 
 /// The first job of a class says little of how often they come: it is taken for one within the time that is asked about.
 #[test]
-fn one_job_alone_is_expected_once() {
+fn single_arrival_is_expected_once() {
     let mut arrivals = Arrivals::default();
-    arrivals.note(Timestamp::from_millis(1000), &record("train", 3));
+    arrivals.record(Timestamp::from_millis(1000), &job_spec("train", 3));
     let (_, class) = arrivals.classes().next().unwrap();
     assert_eq!(class.expected_tasks(Timestamp::from_millis(1100), Duration::from_secs(20)), 3.0);
 }
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -3,8 +3,9 @@
 mod fleet;
 mod rooms;
 
-use crate::cloud::{Demand, InstancePool, RENT_LIMIT};
+use crate::cloud::{InstancePool, MAX_INSTANCES_PER_REQUEST};
 use crate::effects::{Effect, StoreCaller};
+use crate::leader::provisioning::MachineDemand;
 use crate::leader::{Leader, StepDownReason};
 use crate::settings::Settings;
 use crate::store::{ServiceResponse, StoreRequest, condition};
@@ -177,15 +178,15 @@
         if self.cloud.scale_out_in_flight() || self.cloud.available_calls() == 0 {
             return;
         }
-        let place: InstancePool = (place.kind, place.zone, place.spot);
+        let pool = InstancePool::from(place);
         let mut events = Vec::new();
-        self.cloud.scale_out(now, &place, count.min(RENT_LIMIT), &mut events);
+        self.cloud.scale_out(now, &pool, count.min(MAX_INSTANCES_PER_REQUEST), &mut events);
         self.apply_cloud_events(now, wall, events, out);
     }
 
     /// Ordinary machines for replicas that have to leave theirs and have no place to go to, neither on machines that are up nor on
     /// those on their way.
-    pub(crate) fn demands_of_drains(&self, now: Timestamp) -> Vec<Demand> {
+    pub(crate) fn demands_of_drains(&self, now: Timestamp) -> Vec<MachineDemand> {
         let waiting = self.drain_state.coordinator.as_ref().map(Coordinator::without_room).unwrap_or_default();
         if waiting.is_empty() {
             return Vec::new();
@@ -197,7 +198,7 @@
         homeless.filter_map(|hold| self.demand_for_replica(now, hold)).collect()
     }
 
-    fn demand_for_replica(&self, now: Timestamp, hold: &TaskAttempt) -> Option<Demand> {
+    fn demand_for_replica(&self, now: Timestamp, hold: &TaskAttempt) -> Option<MachineDemand> {
         let job = self.jobs.get(hold.task.job)?;
         let record = &job.spec;
         let there = self.parts().by_zone(job);
@@ -207,16 +208,16 @@
         let open = zones.into_iter().filter(|zone| self.zone_unreachable_since(zone, now).is_none());
         let allowed = open.filter(|zone| record.zone.as_ref().is_none_or(|only| only == *zone));
         let zone = allowed.min_by_key(|zone| count(zone))?;
-        Some(Demand {
+        Some(MachineDemand {
             job: record.id,
-            need: record.resources,
+            resources: record.resources,
             count: 1,
-            spot: false,
-            ordinary: true,
-            types: record.machine_types.clone(),
+            allows_spot: false,
+            allows_on_demand: true,
+            machine_types: record.machine_types.clone(),
             zone: Some(zone.clone()),
-            zone_cap: u32::MAX,
-            one_zone: false,
+            max_per_zone: u32::MAX,
+            colocate_in_zone: false,
         })
     }
 
--- a/src/leader/drains/fleet.rs
+++ b/src/leader/drains/fleet.rs
@@ -195,7 +195,7 @@
         Supply {
             up: up.len() as u32,
             booting: (coming.len() + booting) as u32,
-            refused: inventory.recently_refused(&(place.kind.clone(), place.zone.clone(), place.spot), self.now),
+            refused: inventory.recently_refused(&place.clone().into(), self.now),
         }
     }
 }
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -45,7 +45,7 @@
                     let mut jobs: Vec<&jobs::Job> = self.jobs.live().collect();
                     jobs.sort_unstable_by_key(|job| job.submitted_at);
                     for job in jobs {
-                        self.planning.arrivals.note(job.submitted_at, &job.spec);
+                        self.planning.arrivals.record(job.submitted_at, &job.spec);
                     }
                     self.command_dispatch.waiting.extend(self.machines.keys());
                     self.planning.changed_machines.extend(self.machines.keys());
@@ -131,7 +131,7 @@
                 match self.jobs.apply(other, now, wall) {
                     ApplyOutcome::JobAccepted(id) => {
                         if let Some(job) = self.jobs.get(id) {
-                            self.planning.arrivals.note(now, &job.spec);
+                            self.planning.arrivals.record(now, &job.spec);
                             self.admission.accepted(now, id);
                             debug!("accepted {id} class={} tasks={}", job.spec.class, job.spec.task_count);
                             for origin in self.pending.take_submissions(id) {
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -1,41 +1,49 @@
-//! Room that is kept ahead for what must not wait for a boot.
+//! Headroom: room that is kept ahead for what must not wait until a machine has booted.
 
-use super::*;
+use super::MachineDemand;
+use crate::arrivals::ClassArrivals;
+use crate::leader::Leader;
+use crate::plan::Server;
+use crate::types::{Duration, MachineId, Resources, Timestamp};
+use std::collections::BTreeMap;
 
-/// From a job's coming until a machine for it is asked for, and from its boot until it can be used.
-const COMMIT_AND_RENT: Duration = Duration::from_secs(5);
+/// From a job's submission until a machine for it is asked for, and from its boot until it can be used.
+const COMMIT_AND_REQUEST: Duration = Duration::from_secs(5);
 /// Share of the tasks expected within a boot for which room is kept ahead; the others find that of jobs that end.
-const CLASS_ROOM_SHARE: f64 = 0.5;
+const CLASS_HEADROOM_SHARE: f64 = 0.5;
 /// Room is kept for so many of the largest jobs of a class, whatever is expected.
-const LARGEST_JOBS: u64 = 2;
+const MIN_LARGEST_JOBS: u64 = 2;
+
+/// Resources of machines that are kept for jobs that must start at once.
+type ReservedRoom = BTreeMap<MachineId, Resources>;
 
 /// Room of a machine that is not promised to anything yet.
 struct FreeRoom {
     machine: MachineId,
     free: Resources,
-    /// Room of tasks that services may push aside.
-    soft: Resources,
+    /// Resources of tasks that services may preempt.
+    preemptible: Resources,
 }
 
 impl FreeRoom {
-    /// Takes free room for tasks, so many at the most; how many fit.
-    fn take(&mut self, need: &Resources, most: u64) -> u64 {
-        let count = need.copies_in(&self.free).min(most);
+    /// Takes free room for this many tasks at the most; how many fit.
+    fn take(&mut self, per_task: &Resources, limit: u64) -> u64 {
+        let count = per_task.copies_in(&self.free).min(limit);
         for _ in 0..count {
-            self.free.saturating_sub(need);
+            self.free.saturating_sub(per_task);
         }
         count
     }
 
-    /// The same with the room of tasks that may be pushed aside, which goes first.
-    fn take_with_soft(&mut self, need: &Resources, most: u64) -> u64 {
-        let mut all = self.free;
-        all.add(&self.soft);
-        let count = need.copies_in(&all).min(most);
+    /// The same with the room of tasks that may be preempted, which goes first.
+    fn take_with_preemption(&mut self, per_task: &Resources, limit: u64) -> u64 {
+        let mut total = self.free;
+        total.add(&self.preemptible);
+        let count = per_task.copies_in(&total).min(limit);
         for _ in 0..count {
-            let mut from_free = *need;
-            from_free.saturating_sub(&self.soft);
-            self.soft.saturating_sub(need);
+            let mut from_free = *per_task;
+            from_free.saturating_sub(&self.preemptible);
+            self.preemptible.saturating_sub(per_task);
             self.free.saturating_sub(&from_free);
         }
         count
@@ -43,163 +51,110 @@
 }
 
 impl Leader {
-    /// Ordinary machines for what is likely to come before a machine rented for it would be up and must not wait so long: services,
-    /// and jobs whose class has an aim at starting. Notes the machines whose room is kept for the latter.
-    pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<Demand> {
+    /// On-demand machines for what is likely to come before a machine rented for it would be up and must not wait so
+    /// long: services, and jobs whose class has an objective at starting. Notes the machines whose room is kept for the
+    /// latter.
+    pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<MachineDemand> {
         let mut rooms = self.free_rooms();
-        let mut demands: Vec<Demand> = self.service_headroom(now, boot, &mut rooms).into_iter().collect();
+        let mut demands: Vec<MachineDemand> = self.service_headroom(now, boot, &mut rooms).into_iter().collect();
         self.planning.latency_sensitive_classes = self.settings.deployment.classes_to_start_within(boot);
-        let prompt = |(name, class): &(&str, &ClassArrivals)| {
-            !class.largest().is_service && self.planning.latency_sensitive_classes.contains(*name)
-        };
-        let mut classes: Vec<&ClassArrivals> =
-            self.planning.arrivals.classes().filter(prompt).map(|(_, class)| class).collect();
-        classes.sort_by_key(|class| class.largest().priority);
-        let mut kept = BTreeMap::new();
-        for class in classes {
-            demands.extend(self.class_headroom(now, boot, class, &mut rooms, &mut kept));
+        let mut reserved = ReservedRoom::new();
+        for class in self.latency_sensitive_arrivals() {
+            demands.extend(self.class_headroom(now, boot, class, &mut rooms, &mut reserved));
         }
-        let changed = |id: &&MachineId| self.planning.headroom.get(id) != kept.get(id);
-        self.planning.changed_machines.extend(self.planning.headroom.keys().chain(kept.keys()).filter(changed));
-        self.planning.headroom = kept;
+        self.reserve_headroom(reserved);
         demands
     }
 
+    /// Arrivals of the classes that must start at once, the highest priority first; services have headroom of their own.
+    fn latency_sensitive_arrivals(&self) -> Vec<&ClassArrivals> {
+        let names = &self.planning.latency_sensitive_classes;
+        let classes = self.planning.arrivals.classes().filter(|(name, _)| names.contains(*name));
+        let classes = classes.map(|(_, class)| class).filter(|class| !class.largest_job().is_service);
+        let mut classes: Vec<&ClassArrivals> = classes.collect();
+        classes.sort_by_key(|class| class.largest_job().priority);
+        classes
+    }
+
+    /// Keeps this room from now on. Machines whose part changes are planned anew.
+    fn reserve_headroom(&mut self, reserved: ReservedRoom) {
+        let old = &self.planning.headroom;
+        let changed = old.keys().chain(reserved.keys()).filter(|id| old.get(id) != reserved.get(id));
+        self.planning.changed_machines.extend(changed);
+        self.planning.headroom = reserved;
+    }
+
     /// Free room of machines, the fullest first, so that others become idle.
     fn free_rooms(&self) -> Vec<FreeRoom> {
-        let room = |s: &Server| FreeRoom { machine: s.id, free: s.free, soft: s.soft[0] };
-        let mut rooms: Vec<FreeRoom> = self.planning.plans.servers().map(room).collect();
+        let room_of = |server: &Server| FreeRoom { machine: server.id, free: server.free, preemptible: server.soft[0] };
+        let mut rooms: Vec<FreeRoom> = self.planning.plans.servers().map(room_of).collect();
         rooms.sort_by_key(|room| (room.free.cpus, room.machine));
         rooms
     }
 
     /// Without room, even that of lower tasks, services would wait for the boot.
-    fn service_headroom(&self, now: Timestamp, boot: Duration, rooms: &mut [FreeRoom]) -> Option<Demand> {
-        let (job, wanted) = self.expected_services(boot.as_secs_f64())?;
-        let wanted = wanted + self.stranded(now) + self.held_back(now);
+    fn service_headroom(&self, now: Timestamp, boot: Duration, rooms: &mut [FreeRoom]) -> Option<MachineDemand> {
+        let expected = self.expected_services(boot.as_secs_f64())?;
+        let job = expected.typical_job;
         let profile = self.parts().profile_of(job);
-        let need = job.spec.resources;
-        let mut missing = wanted;
+        let mut missing = expected.tasks + self.replicas_out_of_reach(now) + self.replicas_held_back(now);
         for room in rooms.iter_mut() {
-            if missing > 0 && self.planning.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some()) {
-                missing -= room.take_with_soft(&need, missing);
+            let server = self.planning.plans.server(room.machine);
+            if missing > 0 && server.is_some_and(|server| profile.predict(server).is_some()) {
+                missing -= room.take_with_preemption(&job.spec.resources, missing);
             }
         }
-        Some(Demand {
+        Some(MachineDemand {
             job: job.spec.id,
-            need,
+            resources: job.spec.resources,
             count: missing as u32,
-            spot: false,
-            ordinary: true,
-            types: None,
+            allows_spot: false,
+            allows_on_demand: true,
+            machine_types: None,
             zone: None,
-            zone_cap: u32::MAX,
-            one_zone: false,
+            max_per_zone: u32::MAX,
+            colocate_in_zone: false,
         })
     }
 
-    /// Room for jobs of a class that are likely to come within a boot: what ends meanwhile makes room for half of them, but the
-    /// largest one must find room at any time.
+    /// Room for jobs of a class that are likely to come within a boot: what ends meanwhile makes room for half of them,
+    /// but the largest one must find room at any time.
     fn class_headroom(
         &self,
         now: Timestamp,
         boot: Duration,
         class: &ClassArrivals,
         rooms: &mut [FreeRoom],
-        kept: &mut BTreeMap<MachineId, Resources>,
-    ) -> Option<Demand> {
-        let record = class.largest();
-        let expected = class.expected_tasks(now, boot + COMMIT_AND_RENT);
+        reserved: &mut ReservedRoom,
+    ) -> Option<MachineDemand> {
+        let spec = class.largest_job();
+        let expected = class.expected_tasks(now, boot + COMMIT_AND_REQUEST);
         if expected <= 0.0 {
             return None;
         }
-        let wanted = ((expected * CLASS_ROOM_SHARE).ceil() as u64).max(LARGEST_JOBS * u64::from(record.task_count));
-        let profile = self.parts().profile_for(record, Vec::new());
-        let mut missing = wanted;
+        let for_largest_jobs = MIN_LARGEST_JOBS * u64::from(spec.task_count);
+        let mut missing = ((expected * CLASS_HEADROOM_SHARE).ceil() as u64).max(for_largest_jobs);
+        let profile = self.parts().profile_for(spec, Vec::new());
         for room in rooms.iter_mut() {
-            let fits = self.planning.plans.server(room.machine).is_some_and(|s| profile.predict(s).is_some());
-            let taken = if fits { room.take(&record.resources, missing) } else { 0 };
+            let server = self.planning.plans.server(room.machine);
+            let may_run_there = server.is_some_and(|server| profile.predict(server).is_some());
+            let taken = if may_run_there { room.take(&spec.resources, missing) } else { 0 };
             if taken > 0 {
-                let kept = kept.entry(room.machine).or_default();
-                (0..taken).for_each(|_| kept.add(&record.resources));
+                let reserved = reserved.entry(room.machine).or_default();
+                (0..taken).for_each(|_| reserved.add(&spec.resources));
                 missing -= taken;
             }
         }
-        Some(Demand {
-            job: record.id,
-            need: record.resources,
+        Some(MachineDemand {
+            job: spec.id,
+            resources: spec.resources,
             count: missing as u32,
-            spot: false,
-            ordinary: true,
-            types: record.machine_types.clone(),
-            zone: record.zone.clone(),
-            zone_cap: record.max_tasks_per_zone(),
-            one_zone: record.colocate_in_zone,
+            allows_spot: false,
+            allows_on_demand: true,
+            machine_types: spec.machine_types.clone(),
+            zone: spec.zone.clone(),
+            max_per_zone: spec.max_tasks_per_zone(),
+            colocate_in_zone: spec.colocate_in_zone,
         })
     }
-
-    /// How many tasks of services are likely to come within a boot, and a job like them.
-    pub(super) fn expected_services(&self, boot_s: f64) -> Option<(&Job, u64)> {
-        const WINDOW: Duration = Duration::from_secs(120);
-        const SLOT: Duration = Duration::from_secs(10);
-        // Jobs that come all at once, as at a start, say little of what comes next: a slot counts for no
-        // more than this, or than three ordinary ones.
-        const SLOT_LIMIT: u32 = 6;
-        let mut slots: BTreeMap<u64, u32> = BTreeMap::new();
-        let mut typical: Option<&Job> = None;
-        let now = self.planning.last_round_at;
-        for job in self.jobs.live().filter(|j| j.spec.is_service && j.spec.priority == 0 && j.spec.zone.is_none()) {
-            let age = now.since(job.submitted_at);
-            if age < WINDOW {
-                *slots.entry(age.as_millis() / SLOT.as_millis()).or_insert(0) += job.spec.task_count;
-            }
-            if typical.is_none_or(|t| t.spec.resources.cpus < job.spec.resources.cpus) {
-                typical = Some(job);
-            }
-        }
-        let job = typical?;
-        let mut sizes: Vec<u32> =
-            (0..WINDOW.as_millis() / SLOT.as_millis()).map(|n| slots.get(&n).copied().unwrap_or(0)).collect();
-        sizes.sort_unstable();
-        let limit = SLOT_LIMIT.max(3 * sizes[sizes.len() / 2]);
-        let rate = sizes.iter().map(|n| f64::from((*n).min(limit))).sum::<f64>() / WINDOW.as_secs_f64();
-        Some((job, ((rate * (boot_s + 10.0) * self.settings.tuning.room_ahead).ceil() as u64).max(3)))
-    }
-
-    /// Replicas that a new leader holds back because a zone does not answer: they are most likely lost with it, and
-    /// the machines for them should be up when that is sure.
-    pub(super) fn held_back(&self, now: Timestamp) -> u64 {
-        if self.all_machines_fenced()
-            || now.since(self.leader_since) < Duration::from_secs(3)
-            || self.unfenced_zones().is_subset(&self.zones.recent_leader_zones)
-        {
-            return 0;
-        }
-        let services =
-            self.jobs.live().filter(|j| j.spec.is_service && j.durable && !j.accepted_by_this_leader && !j.cancelling);
-        services.map(|j| u64::from(j.pending.len().min(j.spec.max_tasks_per_zone()))).sum()
-    }
-
-    /// Replicas in zones that are cut off and may run elsewhere. They go on until their leases end; room for
-    /// them should be up by then.
-    pub(super) fn stranded(&self, now: Timestamp) -> u64 {
-        let mut jobs: HashMap<JobId, u32> = HashMap::new();
-        for m in self.machines.values().filter(|m| self.zone_unreachable_since(&m.record.zone, now).is_some()) {
-            for hold in
-                m.attempts.values().filter(|h| h.assigned && h.predicted_duration.is_none() && h.occupies_resources())
-            {
-                *jobs.entry(hold.task.job).or_default() += 1;
-            }
-        }
-        let parts = self.parts();
-        let zones: BTreeSet<&String> =
-            self.cloud.machine_types().into_iter().flatten().flat_map(|f| &f.zones).collect();
-        let elsewhere = |job: &Job| -> u32 {
-            let there = parts.by_zone(job);
-            let open = zones.iter().filter(|z| self.zone_unreachable_since(z, now).is_none());
-            let placed = |zone: &str| self.planning.names.zone(zone).and_then(|z| there.get(&z).copied()).unwrap_or(0);
-            open.map(|z| job.spec.max_tasks_per_zone().saturating_sub(placed(z))).fold(0, u32::saturating_add)
-        };
-        jobs.iter().filter_map(|(id, lost)| Some(u64::from(elsewhere(self.jobs.get(*id)?).min(*lost)))).sum()
-    }
 }
--- a/src/leader/provisioning/zones.rs
+++ b/src/leader/provisioning/zones.rs
@@ -1,16 +1,31 @@
 //! Zones that may be out of reach: what is rented there while that is not known.
 
-use super::*;
+use super::ZONE_AVOIDANCE;
+use crate::cloud::InstancePool;
+use crate::leader::Leader;
+use crate::leader::failure_detection::LostZone;
+use crate::types::{Duration, Timestamp};
+use crate::wire::MachineType;
+use std::collections::{BTreeSet, HashMap};
+
+/// Zones without machines are suspicious only while at least so many machines are up in others.
+const MIN_MACHINES_ELSEWHERE: usize = 4;
+/// For so long after its machines fell silent or did not come up, an empty zone is suspected.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(120);
+/// A machine in an empty zone is late after this many boot times and `LATE_MARGIN_S`.
+const LATE_BOOT_TIMES: f64 = 1.6;
+/// Seconds beyond `LATE_BOOT_TIMES` until a machine in an empty zone is late.
+const LATE_MARGIN_S: f64 = 3.0;
 
 impl Leader {
-    /// Whether most machines of a zone were seen silent, or not coming up, so lately.
-    pub(super) fn lost_within(&self, zone: &str, now: Timestamp, span: Duration) -> bool {
-        self.zones.unreachable.get(zone).is_some_and(|z| now.since(z.seen) < span)
+    /// Whether most machines of a zone were seen silent, or not coming up, within this time.
+    pub(super) fn zone_unreachable_within(&self, zone: &str, now: Timestamp, span: Duration) -> bool {
+        self.zones.unreachable.get(zone).is_some_and(|lost| now.since(lost.seen) < span)
     }
 
     /// Whether a machine is on its way in a zone.
-    pub(super) fn coming(&self, zone: &str) -> bool {
-        self.cloud.pending().any(|(_, b)| b.zone == zone)
+    pub(super) fn has_pending_instance(&self, zone: &str) -> bool {
+        self.cloud.pending().any(|(_, instance)| instance.zone == zone)
     }
 
     /// Notes the zones in which no machine is up while others have several.
@@ -19,43 +34,62 @@
     /// a new leader cannot know. One machine at a time is rented there; and where machines fell silent or
     /// do not come up, nothing is planned on those on their way.
     pub(crate) fn update_suspected_zones(&mut self, now: Timestamp) {
-        const SEVERAL: usize = 4;
-        const REMEMBERED: Duration = Duration::from_secs(120);
+        let empty = self.zones_without_machines(now);
+        self.note_late_instances(now, &empty);
+        let is_suspected = |zone: &&String| self.zone_unreachable_within(zone, now, SUSPICION_TIMEOUT);
+        let suspected: BTreeSet<String> = empty.iter().filter(is_suspected).cloned().collect();
+        if suspected != self.zones.suspected {
+            self.zones.suspected = suspected;
+            self.planning.changed_machines.extend(self.cloud.pending().map(|(id, _)| *id));
+        }
+        self.zones.empty = empty;
+    }
+
+    /// Zones without a machine that is up; none while few machines are up at all.
+    fn zones_without_machines(&self, now: Timestamp) -> BTreeSet<String> {
         let overdue = self.settings.deployment.workers.overdue();
-        let mut up: HashMap<&str, usize> = HashMap::new();
-        for m in self.machines.values().filter(|m| m.fenced && now.since(m.last_reached_at) < overdue) {
-            *up.entry(&m.record.zone).or_default() += 1;
+        let machines = self.machines.values();
+        let mut up_by_zone: HashMap<&str, usize> = HashMap::new();
+        for machine in machines.filter(|machine| machine.fenced && now.since(machine.last_reached_at) < overdue) {
+            *up_by_zone.entry(&machine.record.zone).or_default() += 1;
         }
-        let mut empty = BTreeSet::new();
-        if up.values().sum::<usize>() >= SEVERAL {
-            let zones = self.cloud.machine_types().into_iter().flatten().flat_map(|f| &f.zones);
-            empty.extend(zones.filter(|zone| !up.contains_key(zone.as_str())).cloned());
+        if up_by_zone.values().sum::<usize>() < MIN_MACHINES_ELSEWHERE {
+            return BTreeSet::new();
         }
-        for (_, b) in self.cloud.pending().filter(|(_, b)| empty.contains(&b.zone)) {
-            let boot = self.cloud.machine_type(&b.machine_type).map_or(60.0, |f| f.boot_s);
-            if now.since(b.requested_at) > Duration::from_secs_f64(boot * 1.6 + 3.0) {
-                self.zones.unreachable.entry(b.zone.clone()).or_insert(LostZone { since: now, seen: now }).seen = now;
+        self.cloud.zones().filter(|zone| !up_by_zone.contains_key(zone.as_str())).cloned().collect()
+    }
+
+    /// An empty zone in which a machine does not come up counts as unreachable.
+    fn note_late_instances(&mut self, now: Timestamp, empty_zones: &BTreeSet<String>) {
+        for (_, instance) in self.cloud.pending().filter(|(_, instance)| empty_zones.contains(&instance.zone)) {
+            let limit_s = self.cloud.boot_s(&instance.machine_type) * LATE_BOOT_TIMES + LATE_MARGIN_S;
+            if now.since(instance.requested_at) > Duration::from_secs_f64(limit_s) {
+                let lost = self.zones.unreachable.entry(instance.zone.clone());
+                lost.or_insert(LostZone { since: now, seen: now }).seen = now;
             }
         }
-        let lost = |zone: &&String| self.lost_within(zone, now, REMEMBERED);
-        let doubtful: BTreeSet<String> = empty.iter().filter(lost).cloned().collect();
-        if doubtful != self.zones.suspected {
-            self.zones.suspected = doubtful;
-            self.planning.changed_machines.extend(self.cloud.pending().map(|(id, _)| *id));
-        }
-        self.zones.empty = empty;
     }
 
-    /// One machine for each doubtful zone that has none on its way: it shows whether the zone is there.
-    pub(super) fn probes(&self, now: Timestamp) -> Vec<InstancePool> {
-        let none_coming = |zone: &&String| !self.lost_within(zone, now, AVOID_ZONE) && !self.coming(zone);
-        let cheapest = |zone: &String| {
-            let here = self.cloud.machine_types().into_iter().flatten().filter(|f| f.zones.contains(zone));
-            let places = here.flat_map(|f| [(f.spot_price_per_hour, f, true), (f.price_per_hour, f, false)]);
-            let places = places.map(|(price, f, spot)| (price, (f.name.clone(), zone.clone(), spot)));
-            let open = places.filter(|(_, place)| !self.cloud.recently_refused(place, now));
-            open.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, place)| place)
-        };
-        self.zones.suspected.iter().filter(none_coming).filter_map(cheapest).collect()
+    /// One machine for each suspected zone that has none on its way: it shows whether the zone can be reached.
+    pub(super) fn zone_probes(&self, now: Timestamp) -> Vec<InstancePool> {
+        let to_probe = self.zones.suspected.iter().filter(|zone| {
+            !self.zone_unreachable_within(zone, now, ZONE_AVOIDANCE) && !self.has_pending_instance(zone)
+        });
+        to_probe.filter_map(|zone| self.cheapest_pool(zone, now)).collect()
     }
+
+    /// The pool of a zone with the cheapest machines, among those that have not refused lately.
+    fn cheapest_pool(&self, zone: &str, now: Timestamp) -> Option<InstancePool> {
+        let machine_types = self.cloud.machine_types().into_iter().flatten();
+        let offered = machine_types.filter(|machine_type| machine_type.zones.iter().any(|other| other == zone));
+        let priced = offered.flat_map(|machine_type| priced_pools(machine_type, zone));
+        let available = priced.filter(|(_, pool)| !self.cloud.recently_refused(pool, now));
+        available.min_by(|(price, _), (other, _)| price.total_cmp(other)).map(|(_, pool)| pool)
+    }
+}
+
+/// The spot and the on-demand pool of a machine type in a zone, with their prices per hour.
+fn priced_pools(machine_type: &MachineType, zone: &str) -> [(f64, InstancePool); 2] {
+    let pool = |spot| InstancePool { machine_type: machine_type.name.clone(), zone: zone.to_string(), spot };
+    [(machine_type.spot_price_per_hour, pool(true)), (machine_type.price_per_hour, pool(false))]
 }
