--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -233,7 +233,7 @@
     }
 
     /// Gives a machine back; final, since the cloud never uses a name again.
-    pub fn release(&mut self, id: MachineId, reason: &str) {
+    pub fn release(&mut self, id: MachineId, reason: impl fmt::Display) {
         if self.releasing.insert(id) {
             info!("scale in requested machine={id} reason=\"{reason}\"");
         }
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -10,15 +10,14 @@
     AttemptId, AttemptNumber, Duration, FencingToken, JobId, MachineId, Resources, TaskId, Timestamp, WallClock,
 };
 use crate::upgrade::Format;
-use crate::wire::{ExitReason, Heartbeat, HeartbeatResponse};
-use crate::workers::{self, Machine, Registration};
+use crate::workers::{DrainReason, Machine, Registration};
 use crate::write_ahead_log::{self, LogRecord, MachineRecord, WriteAheadLog};
 use caperstile_admission::{AdmissionControl, AdmissionTable, Decision, Submission};
 use command_dispatch::CommandDispatch;
 use drains::DrainState;
 use failure_detection::{WorkerReachability, ZoneHealth};
 use fencing::Fencing;
-use log::{debug, info, warn};
+use log::{debug, info};
 use pending_requests::PendingRequests;
 use scheduling::Planning;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -172,11 +171,11 @@
 
     /// How long inputs wait for this node: planning does less when they wait long.
     pub(crate) fn set_input_delay(&mut self, delay: Duration) {
-        self.planning.pacing.behind = delay;
+        self.planning.pacing.input_delay = delay;
     }
     /// The last input was slow.
     pub(crate) fn note_slow_input(&mut self, took: Duration) {
-        self.planning.pacing.spent(took);
+        self.planning.pacing.note_slow_input(took);
     }
     /// The zones of the nodes that led not long ago.
     pub(crate) fn set_recent_leader_zones(&mut self, zones: BTreeSet<String>) {
@@ -188,12 +187,6 @@
         self.pending.refuse_all(out);
     }
 
-    /// An attempt number that no leader has used or will use.
-    pub(crate) fn next_attempt(&mut self) -> AttemptNumber {
-        self.attempt_counter += 1;
-        AttemptNumber((self.token.0 << 24) + self.attempt_counter)
-    }
-
     // ---- cloud ----
 
     /// The cloud answered.
@@ -230,10 +223,10 @@
                 cloud::CloudEvent::Request(id, call) => out.push(Effect::CallCloud(self.token.0, id, call)),
                 cloud::CloudEvent::MachineFailed(id) => {
                     if let Some(machine) = self.machines.get_mut(&id) {
-                        machine.draining.get_or_insert("failed");
+                        machine.draining.get_or_insert(DrainReason::CloudFailure);
                         self.planning.changed_machines.insert(id);
                     }
-                    self.cloud.release(id, "failed");
+                    self.cloud.release(id, DrainReason::CloudFailure);
                 }
                 cloud::CloudEvent::MachinesRented(ids) => {
                     for id in ids {
@@ -246,7 +239,7 @@
                     self.planning.replan_needed = true;
                     for id in ids {
                         self.log.append(LogRecord::MachineGone(id));
-                        self.planning.plans.remove(id);
+                        self.planning.plans.remove_machine(id);
                         self.fencing.unfenced.remove(&id);
                         if let Some(mut machine) = self.machines.remove(&id) {
                             info!("gone machine={id}");
@@ -315,7 +308,7 @@
     /// Direct commands that may be under way: fewer when behind, since reports do the same, only later.
     pub(crate) fn commands_at_once(&self) -> usize {
         let most = self.settings.deployment.resources.commands_at_once();
-        (most / (1 + self.planning.pacing.behind.as_millis() as usize / 50)).max(FEW_COMMANDS)
+        (most / (1 + self.planning.pacing.input_delay.as_millis() as usize / 50)).max(FEW_COMMANDS)
     }
 
     /// Sends what is to be sent at once: direct commands and due commits.
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -12,7 +12,7 @@
 use crate::types::{FencingToken, MachineId, Revision, Timestamp, WallClock};
 use crate::upgrade::Format;
 use crate::wire::{CompareAndSwap, CompareAndSwapResponse, KeyPage, StoreWrite};
-use crate::workers::{Machine, TaskAttempt};
+use crate::workers::{DrainReason, Machine, TaskAttempt};
 use caperstile_disruption::store::{Answer, Call, Entry, Write};
 use caperstile_disruption::{self as disruption, Coordinator, Policy, Stop};
 use fleet::{FleetView, place_of};
@@ -20,8 +20,6 @@
 pub(crate) use rooms::RoomPlanner;
 use std::collections::BTreeSet;
 
-/// Why a machine is drained that operators or consolidation empty.
-const DRAINED: &str = "drained";
 /// Share of the state service's changes that drains may use: the log has three quarters, elections need the rest.
 const WRITE_SHARE: f64 = 0.15;
 /// Bytes of a value that are not used, as in the log.
@@ -136,7 +134,7 @@
                 let Some(job) = self.jobs.get(key.task.job) else { return };
                 let grace = if job.spec.is_service { 0.0 } else { job.spec.checkpoint_duration.as_secs_f64() };
                 info!("evicting {key} machine={machine}");
-                self.stop(machine, key, grace);
+                self.stop_attempt(machine, key, grace);
             }
             disruption::Effect::Stop(Stop::Gang(id)) => {
                 let Some(save) = self.jobs.get(id).map(|job| job.spec.checkpoint_duration) else { return };
@@ -152,14 +150,15 @@
         let known = |machine: &&mut Machine| machine.fenced && machine.draining.is_none();
         let Some(machine) = self.machines.get_mut(&id).filter(known) else { return };
         info!("draining machine={id}");
-        machine.draining = Some(DRAINED);
-        self.planning.plans.remove(id);
+        machine.draining = Some(DrainReason::Drained);
+        self.planning.plans.remove_machine(id);
         self.planning.changed_machines.insert(id);
     }
 
     fn uncordon(&mut self, id: MachineId) {
         let returning = self.cloud.is_releasing(id);
-        let drained = self.machines.get_mut(&id).filter(|machine| machine.draining == Some(DRAINED) && !returning);
+        let drained =
+            self.machines.get_mut(&id).filter(|machine| machine.draining == Some(DrainReason::Drained) && !returning);
         let Some(machine) = drained else { return };
         info!("not draining any more machine={id}");
         machine.draining = None;
@@ -201,8 +200,10 @@
     fn demand_for_replica(&self, now: Timestamp, hold: &TaskAttempt) -> Option<MachineDemand> {
         let job = self.jobs.get(hold.task.job)?;
         let record = &job.spec;
-        let there = self.parts().by_zone(job);
-        let count = |zone: &str| self.planning.names.zone(zone).and_then(|zone| there.get(&zone).copied()).unwrap_or(0);
+        let there = self.planning_view().tasks_by_zone(job);
+        let count = |zone: &str| {
+            self.planning.names.zone_index_of(zone).and_then(|zone| there.get(&zone).copied()).unwrap_or(0)
+        };
         let zones: BTreeSet<&String> =
             self.cloud.machine_types().into_iter().flatten().flat_map(|f| &f.zones).collect();
         let open = zones.into_iter().filter(|zone| self.zone_unreachable_since(zone, now).is_none());
@@ -277,3 +278,6 @@
         .parse::<CompareAndSwapResponse>()
         .is_some_and(|answer| answer.failed_keys.iter().any(|key| key == format.leader_key()))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -3,7 +3,7 @@
 use super::MachineDemand;
 use crate::jobs::Job;
 use crate::leader::Leader;
-use crate::leader::scheduling::order_of;
+use crate::leader::scheduling::queue_priority;
 use crate::plan::QueuePriority;
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::BTreeMap;
@@ -74,23 +74,23 @@
 
     /// Counts tasks that wait in a machine's queue and would start too late there.
     fn count_late_planned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
-        for server in self.planning.plans.servers().filter(|server| !server.queue.is_empty()) {
-            for (entry, start) in self.planning.plans.starts(server.id, round.now) {
+        for machine in self.planning.plans.machines().filter(|machine| !machine.queue.is_empty()) {
+            for (entry, start) in self.planning.plans.predicted_starts(machine.id, round.now) {
                 let job = self.jobs.get(entry.job);
                 let is_late = match start {
                     None => true,
-                    Some(start) if entry.endless => start > round.machine_up_at() + SERVICE_START_MARGIN,
+                    Some(start) if entry.is_service => start > round.machine_up_at() + SERVICE_START_MARGIN,
                     Some(start) => {
                         let target = job.map_or(Timestamp::NEVER, |job| self.completion_target(job));
-                        start > round.machine_up_at() + BATCH_START_MARGIN && start + entry.run > target
+                        start > round.machine_up_at() + BATCH_START_MARGIN && start + entry.predicted_duration > target
                     }
                 };
                 if is_late {
                     let late = LateTasks {
-                        priority: entry.order,
+                        priority: entry.queue_priority,
                         job: entry.job,
                         justifies_on_demand: job
-                            .is_some_and(|job| self.justifies_on_demand(job, round, start, entry.run)),
+                            .is_some_and(|job| self.justifies_on_demand(job, round, start, entry.predicted_duration)),
                     };
                     *late_tasks.entry(late).or_insert(0) += 1;
                 }
@@ -100,13 +100,13 @@
 
     /// Counts tasks for which no machine's queue has a place.
     fn count_unplanned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
-        let startable = self.jobs.waiting().filter(|job| self.startable(job, round.now));
+        let startable = self.jobs.waiting().filter(|job| self.is_startable(job, round.now));
         for job in startable.filter(|job| round.now.since(job.last_planned_at) < RECENTLY_PLANNED) {
-            let unplanned = job.pending.len().saturating_sub(self.planning.plans.planned(job.spec.id));
+            let unplanned = job.pending.len().saturating_sub(self.planning.plans.planned_count(job.spec.id));
             if unplanned > 0 {
                 let run = self.planning.correction.predict(job.spec.estimated_duration);
                 let late = LateTasks {
-                    priority: order_of(job),
+                    priority: queue_priority(job),
                     job: job.spec.id,
                     justifies_on_demand: self.justifies_on_demand(job, round, None, run),
                 };
@@ -137,8 +137,8 @@
         if !is_colocated_gang(job) {
             return None;
         }
-        let (machine, _) = self.planning.plans.planned_at(job.spec.id).into_iter().next()?;
-        let zone = self.planning.plans.server(machine)?.zone;
+        let (machine, _) = self.planning.plans.planned_machines(job.spec.id).into_iter().next()?;
+        let zone = self.planning.plans.machine(machine)?.zone;
         self.planning.names.zone_name(zone).map(str::to_string)
     }
 
--- a/src/leader/provisioning/expected_services.rs
+++ b/src/leader/provisioning/expected_services.rs
@@ -97,9 +97,9 @@
 
     /// How many more replicas of a job these zones may take.
     fn replicas_allowed_in(&self, job: &Job, zones: &[&String]) -> u32 {
-        let placed_by_zone = self.parts().by_zone(job);
+        let placed_by_zone = self.planning_view().tasks_by_zone(job);
         let placed = |zone: &str| {
-            let zone = self.planning.names.zone(zone);
+            let zone = self.planning.names.zone_index_of(zone);
             zone.and_then(|zone| placed_by_zone.get(&zone).copied()).unwrap_or(0)
         };
         let allowed = zones.iter().map(|zone| job.spec.max_tasks_per_zone().saturating_sub(placed(zone)));
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -3,7 +3,7 @@
 use super::MachineDemand;
 use crate::arrivals::ClassArrivals;
 use crate::leader::Leader;
-use crate::plan::Server;
+use crate::plan::PlannedMachine;
 use crate::types::{Duration, MachineId, Resources, Timestamp};
 use std::collections::BTreeMap;
 
@@ -86,8 +86,12 @@
 
     /// Free room of machines, the fullest first, so that others become idle.
     fn free_rooms(&self) -> Vec<FreeRoom> {
-        let room_of = |server: &Server| FreeRoom { machine: server.id, free: server.free, preemptible: server.soft[0] };
-        let mut rooms: Vec<FreeRoom> = self.planning.plans.servers().map(room_of).collect();
+        let room_of = |machine: &PlannedMachine| FreeRoom {
+            machine: machine.id,
+            free: machine.free,
+            preemptible: machine.preemptible[0],
+        };
+        let mut rooms: Vec<FreeRoom> = self.planning.plans.machines().map(room_of).collect();
         rooms.sort_by_key(|room| (room.free.cpus, room.machine));
         rooms
     }
@@ -96,11 +100,11 @@
     fn service_headroom(&self, now: Timestamp, boot: Duration, rooms: &mut [FreeRoom]) -> Option<MachineDemand> {
         let expected = self.expected_services(boot.as_secs_f64())?;
         let job = expected.typical_job;
-        let profile = self.parts().profile_of(job);
+        let profile = self.planning_view().job_profile(job);
         let mut missing = expected.tasks + self.replicas_out_of_reach(now) + self.replicas_held_back(now);
         for room in rooms.iter_mut() {
-            let server = self.planning.plans.server(room.machine);
-            if missing > 0 && server.is_some_and(|server| profile.predict(server).is_some()) {
+            let machine = self.planning.plans.machine(room.machine);
+            if missing > 0 && machine.is_some_and(|machine| profile.predicted_duration(machine).is_some()) {
                 missing -= room.take_with_preemption(&job.spec.resources, missing);
             }
         }
@@ -134,10 +138,10 @@
         }
         let for_largest_jobs = MIN_LARGEST_JOBS * u64::from(spec.task_count);
         let mut missing = ((expected * CLASS_HEADROOM_SHARE).ceil() as u64).max(for_largest_jobs);
-        let profile = self.parts().profile_for(spec, Vec::new());
+        let profile = self.planning_view().spec_profile(spec, Vec::new());
         for room in rooms.iter_mut() {
-            let server = self.planning.plans.server(room.machine);
-            let may_run_there = server.is_some_and(|server| profile.predict(server).is_some());
+            let machine = self.planning.plans.machine(room.machine);
+            let may_run_there = machine.is_some_and(|machine| profile.predicted_duration(machine).is_some());
             let taken = if may_run_there { room.take(&spec.resources, missing) } else { 0 };
             if taken > 0 {
                 let reserved = reserved.entry(room.machine).or_default();
--- a/src/leader/provisioning/scale_in.rs
+++ b/src/leader/provisioning/scale_in.rs
@@ -3,14 +3,10 @@
 use crate::leader::Leader;
 use crate::leader::drains::RoomPlanner;
 use crate::types::{Duration, MachineId, Timestamp, WallClock};
-use crate::workers::{Machine, TaskAttempt};
+use crate::workers::{DrainReason, Machine, TaskAttempt};
 use caperstile_disruption::Coordinator;
 use log::info;
 
-/// Why a machine is drained whose services were moved to others.
-const CONSOLIDATED: &str = "its services fit elsewhere";
-/// Why a machine is drained on which nothing runs.
-const IDLE: &str = "idle";
 /// How long a replica runs, and a leader leads, before replicas are moved: a start counts only if the task is not stopped
 /// within 30 s.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(40);
@@ -40,7 +36,7 @@
 
     /// One consolidation at a time, by a leader that knows all machines, and not while more are being rented.
     fn may_consolidate(&self, now: Timestamp) -> bool {
-        let consolidating = self.machines.values().any(|machine| machine.draining == Some(CONSOLIDATED))
+        let consolidating = self.machines.values().any(|machine| machine.draining == Some(DrainReason::Consolidated))
             || self.drain_state.coordinator.as_ref().is_some_and(Coordinator::consolidates);
         self.all_machines_fenced()
             && !consolidating
@@ -89,7 +85,7 @@
     }
 
     fn has_queued_tasks(&self, id: MachineId) -> bool {
-        self.planning.plans.server(id).is_some_and(|server| !server.queue.is_empty())
+        self.planning.plans.machine(id).is_some_and(|planned| !planned.queue.is_empty())
     }
 
     /// Stops all services of a machine, to start elsewhere, and drains it.
@@ -98,11 +94,11 @@
         let running = machine.attempts.iter().filter(|(_, attempt)| attempt.occupies_resources());
         let running: Vec<_> = running.map(|(attempt, _)| *attempt).collect();
         info!("consolidation started machine={id} services={}", running.len());
-        machine.draining = Some(CONSOLIDATED);
+        machine.draining = Some(DrainReason::Consolidated);
         for attempt in running {
-            self.stop(id, attempt, STOP_GRACE_S);
+            self.stop_attempt(id, attempt, STOP_GRACE_S);
         }
-        self.planning.plans.remove(id);
+        self.planning.plans.remove_machine(id);
     }
 
     /// Whether services of a machine fit into free room of others that hold their images, with room
@@ -122,10 +118,10 @@
         idle.retain(|id| !self.is_replacement(*id));
         for id in idle {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.draining = Some(IDLE);
+                machine.draining = Some(DrainReason::Idle);
             }
-            self.planning.plans.remove(id);
-            self.cloud.release(id, IDLE);
+            self.planning.plans.remove_machine(id);
+            self.cloud.release(id, DrainReason::Idle);
         }
     }
 
@@ -135,7 +131,7 @@
         let mut idle = Vec::new();
         for (id, machine) in &mut self.machines {
             let is_busy = machine.attempts.values().any(TaskAttempt::occupies_resources)
-                || self.planning.plans.server(*id).is_some_and(|server| !server.queue.is_empty());
+                || self.planning.plans.machine(*id).is_some_and(|planned| !planned.queue.is_empty());
             if is_busy || !machine.accepts_tasks() || !machine.reached_within(now, overdue) {
                 machine.idle_since = None;
                 continue;
