--- a/benches/plan.rs
+++ b/benches/plan.rs
@@ -1,20 +1,25 @@
 //! What a plan costs: a controller has a tenth of a core. `cargo bench` compares with the last run.
 
 use caperstile::jobs::{JobStore, parse_submission};
-use caperstile::plan::{JobDirectory, JobProfile, PlannedMachine, Plans, QueueEntry, QueuePriority, ZoneAllowance};
+use caperstile::plan::{
+    JobDirectory, JobProfile, PlannedMachine, Plans, PredictedDurations, QueueEntry, QueuePriority, ResourceRelease,
+    ZoneAllowance,
+};
 use caperstile::types::{Duration, JobId, MachineId, Resources, Timestamp, WallClock};
 use caperstile::write_ahead_log::LogRecord;
 use criterion::{Bencher, Criterion, criterion_group, criterion_main};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
-struct Like;
+/// All jobs are alike and may run anywhere.
+struct LikeJobs;
 
-impl JobDirectory for Like {
+impl JobDirectory for LikeJobs {
     fn profile(&self, _: JobId) -> Option<JobProfile> {
-        let kinds = vec![Some((Duration::from_secs(30), Duration::from_secs(34)))];
+        let durations =
+            PredictedDurations { image_cached: Duration::from_secs(30), image_fetched: Duration::from_secs(34) };
         Some(JobProfile {
-            durations_by_type: kinds,
+            durations_by_type: vec![Some(durations)],
             zone: None,
             allows_spot: true,
             avoided_machines: Vec::new(),
@@ -29,15 +34,16 @@
 /// Machines of 32 CPUs, each with tasks that end one by one.
 fn machines(count: u64, busy: u64) -> Plans {
     let mut plans = Plans::default();
-    let room = |tasks: u64| Resources { cpus: 2000 * tasks, gpus: 0, memory: 6000 * tasks };
-    let server = |id: u64| PlannedMachine {
+    let resources = |tasks: u64| Resources { cpus: 2000 * tasks, gpus: 0, memory: 6000 * tasks };
+    let release = |at_ms: u64| ResourceRelease { at: Timestamp::from_millis(at_ms), resources: resources(1) };
+    let machine = |id: u64| PlannedMachine {
         id: MachineId(id),
-        free: room(16 - busy),
-        releases: (0..busy).map(|n| (Timestamp::from_millis(5000 * n + id * 7), room(1))).collect(),
+        free: resources(16 - busy),
+        releases: (0..busy).map(|n| release(5000 * n + id * 7)).collect(),
         images: if id.is_multiple_of(2) { vec![1] } else { vec![] },
         ..PlannedMachine::default()
     };
-    plans.add_machines(Timestamp::ZERO, (0..count).map(server).collect());
+    plans.add_machines(Timestamp::ZERO, (0..count).map(machine).collect());
     plans
 }
 
@@ -60,7 +66,7 @@
 /// Places one more job and takes it out again.
 fn one_more(b: &mut Bencher, plans: &mut Plans, tasks: u32) {
     b.iter(|| {
-        black_box(plans.place(Timestamp::ZERO, job(1000), tasks, &Like));
+        black_box(plans.place(Timestamp::ZERO, job(1000), tasks, &LikeJobs));
         plans.unplan_job(JobId(1000));
     });
 }
@@ -70,14 +76,14 @@
         b.iter(|| {
             let mut plans = machines(40, 0);
             for seq in 0..40 {
-                black_box(plans.place(Timestamp::ZERO, job(seq), 14, &Like));
+                black_box(plans.place(Timestamp::ZERO, job(seq), 14, &LikeJobs));
             }
         });
     });
     c.bench_function("one more job behind a burst", |b| {
         let mut plans = machines(40, 0);
         for seq in 0..60 {
-            plans.place(Timestamp::ZERO, job(seq), 14, &Like);
+            plans.place(Timestamp::ZERO, job(seq), 14, &LikeJobs);
         }
         one_more(b, &mut plans, 14);
     });
@@ -92,7 +98,7 @@
     c.bench_function("a job of 70 tasks behind a backlog on 1,000 full machines", |b| {
         let mut plans = machines(1000, 16);
         for seq in 0..100 {
-            plans.place(Timestamp::ZERO, job(seq), 100, &Like);
+            plans.place(Timestamp::ZERO, job(seq), 100, &LikeJobs);
         }
         one_more(b, &mut plans, 70);
     });
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -6,7 +6,8 @@
 use crate::jobs::{self, Job};
 use crate::leader::Leader;
 use crate::plan::{
-    self, Correction, JobDirectory, JobProfile, PlannedMachine, Plans, QueueEntry, QueuePriority, ZoneAllowance,
+    self, Correction, JobDirectory, JobProfile, PlacementBias, PlannedMachine, Plans, PredictedDurations, QueueEntry,
+    QueuePriority, ResourceRelease, ZoneAllowance,
 };
 use crate::types::{AttemptId, Duration, JobId, MachineId, Resources, TaskId, Timestamp, WallClock};
 use crate::workers::{AttemptPhase, Machine, StartUncertainty, TaskAttempt};
@@ -208,7 +209,8 @@
     /// were one too many; they waited there for ever.
     fn unplan_misplaced(&mut self) {
         let mut misplaced = Vec::new();
-        for (_, id, machines) in self.planning.plans.planned_jobs() {
+        for planned in self.planning.plans.planned_jobs() {
+            let (id, machines) = (planned.id(), planned.machines());
             let Some(job) = self.jobs.get(id).filter(|job| job.gang.is_none()) else { continue };
             if !job.spec.spread_over_zones && !job.spec.colocate_in_zone {
                 continue;
@@ -235,7 +237,7 @@
         if self.planning.plans.machine(id).is_none() || !self.machines.get(&id).is_some_and(Machine::accepts_tasks) {
             return;
         }
-        if self.has_any_quota() && self.planning.plans.planned_jobs().any(|(_, job, _)| self.has_quota(job)) {
+        if self.has_any_quota() && self.planning.plans.planned_jobs().any(|planned| self.has_quota(planned.id())) {
             // What a team with a limit uses is counted over all machines, once a round. Until then its tasks could not
             // start, and lower ones would take the room.
             return;
@@ -276,7 +278,7 @@
         // fuller machine is preferred, so that others become idle and can be given back.
         let bias = |flavor: &crate::wire::MachineType, spot: bool, free: &Resources| {
             let price = (flavor.price_per_hour / flavor.cpus.max(1.0) * 1e4) as u64;
-            (price << 32 | free.cpus, u64::from(!spot) << 32 | free.cpus)
+            PlacementBias { for_services: price << 32 | free.cpus, for_other_tasks: u64::from(!spot) << 32 | free.cpus }
         };
         if let Some(m) = self.machines.get_mut(&id) {
             let overdue = self.settings.deployment.workers.overdue();
@@ -287,10 +289,11 @@
             if m.draining.is_some() || m.reclaim_at.is_some() || !m.reached_within(now, overdue) {
                 return None;
             }
-            let mut releases: Vec<(Timestamp, Resources)> = Vec::new();
+            let mut releases: Vec<ResourceRelease> = Vec::new();
             let mut soft = [Resources::default(); plan::PREEMPTING_PRIORITIES];
             for hold in m.attempts.values().filter(|h| h.occupies_resources()) {
-                releases.extend(predicted_release(hold, now).map(|at| (at, hold.resources)));
+                releases
+                    .extend(predicted_release(hold, now).map(|at| ResourceRelease { at, resources: hold.resources }));
                 for (rank, room) in (0..).zip(&mut soft) {
                     if may_be_preempted(hold, rank) {
                         room.add(&hold.resources);
@@ -307,7 +310,7 @@
                 ready_at: now,
                 min_start_delay: if m.accepts_tasks() { Duration::ZERO } else { Duration::from_millis(500) },
                 // What is to be emptied soon is filled last.
-                bias: if leaves { (u64::MAX, u64::MAX) } else { bias(flavor, m.record.spot, &free) },
+                bias: if leaves { PlacementBias::LAST } else { bias(flavor, m.record.spot, &free) },
                 free,
                 preemptible: soft,
                 releases,
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -100,7 +100,7 @@
         let mut stops = Vec::new();
         // What is left on each machine after the gangs that are ahead.
         let mut rooms: BTreeMap<MachineId, PreemptionTrial> = BTreeMap::new();
-        let waiting: Vec<JobId> = self.planning.plans.planned_jobs().map(|(_, job, _)| job).collect();
+        let waiting: Vec<JobId> = self.planning.plans.planned_jobs().map(|planned| planned.id()).collect();
         let gangs = waiting.into_iter().filter_map(|id| self.jobs.get(id)).filter(|job| job.gang.is_some());
         for job in gangs.filter(|job| self.is_startable(job, now)) {
             let id = job.spec.id;
--- a/src/leader/scheduling/room.rs
+++ b/src/leader/scheduling/room.rs
@@ -78,8 +78,8 @@
             .planning
             .plans
             .planned_jobs()
-            .take_while(|(order, ..)| order.priority == 0)
-            .flat_map(|(.., at)| at)
+            .take_while(|planned| planned.queue_priority().priority == 0)
+            .flat_map(|planned| planned.machines())
             .collect();
         for server in pressed.iter().filter_map(|id| self.planning.plans.machine(*id)) {
             let Some(machine) = self.machines.get(&server.id).filter(|m| m.accepts_tasks()) else { continue };
--- a/src/leader/scheduling/view.rs
+++ b/src/leader/scheduling/view.rs
@@ -55,7 +55,10 @@
                 Duration::ZERO
             };
             let estimate = record.estimated_duration;
-            Some((self.correction.predict(estimate), self.correction.predict(estimate + fetch)))
+            Some(PredictedDurations {
+                image_cached: self.correction.predict(estimate),
+                image_fetched: self.correction.predict(estimate + fetch),
+            })
         });
         JobProfile {
             durations_by_type: kinds.collect(),
--- /dev/null
+++ b/src/plan/queues.rs
@@ -0,0 +1,154 @@
+//! The queues' bookkeeping: tasks enter and leave a machine's queue, and what is counted by job follows.
+
+use super::{PlannedMachine, Plans, QueueEntry, QueuePriority};
+use crate::types::{JobId, MachineId};
+use std::collections::BTreeMap;
+
+/// A job with tasks in queues.
+#[derive(Debug)]
+pub struct PlannedJob {
+    job: JobId,
+    queue_priority: QueuePriority,
+    task_count: u32,
+    tasks_by_machine: BTreeMap<MachineId, u32>,
+}
+
+impl PlannedJob {
+    /// The job's id.
+    pub fn id(&self) -> JobId {
+        self.job
+    }
+
+    /// Where its tasks stand in queues.
+    pub fn queue_priority(&self) -> QueuePriority {
+        self.queue_priority
+    }
+
+    /// Machines in whose queues its tasks wait, by id.
+    pub fn machines(&self) -> impl DoubleEndedIterator<Item = MachineId> {
+        self.tasks_by_machine.keys().copied()
+    }
+}
+
+/// Where an entry of this priority enters a queue: behind all of its priority.
+pub(super) fn insertion_position(queue: &[QueueEntry], queue_priority: QueuePriority) -> usize {
+    queue.partition_point(|entry| entry.queue_priority <= queue_priority)
+}
+
+impl PlannedMachine {
+    /// Where the last entry of a job stands in the queue.
+    pub(super) fn last_position_of(&self, job: JobId) -> Option<usize> {
+        self.queue.iter().rposition(|entry| entry.job == job)
+    }
+}
+
+impl Plans {
+    /// How many of a job's tasks are in queues.
+    pub fn planned_count(&self, job: JobId) -> u32 {
+        self.planned_jobs.get(&job).map_or(0, |planned| planned.task_count)
+    }
+
+    /// Jobs with tasks in queues, most important first.
+    pub fn planned_jobs(&self) -> impl Iterator<Item = &PlannedJob> {
+        self.by_priority.iter().filter_map(|(_, job)| self.planned_jobs.get(job))
+    }
+
+    /// Machines in whose queues a job's tasks are, and how many in each.
+    pub fn planned_machines(&self, job: JobId) -> Vec<(MachineId, u32)> {
+        let Some(planned) = self.planned_jobs.get(&job) else { return Vec::new() };
+        planned.tasks_by_machine.iter().map(|(machine, count)| (*machine, *count)).collect()
+    }
+
+    /// How many of a job's tasks are in queues of each zone.
+    pub(super) fn planned_by_zone(&self, job: JobId) -> BTreeMap<usize, u32> {
+        let mut tasks_by_zone = BTreeMap::new();
+        for (id, count) in self.planned_jobs.get(&job).into_iter().flat_map(|planned| &planned.tasks_by_machine) {
+            if let Some(machine) = self.machines.get(id) {
+                *tasks_by_zone.entry(machine.zone).or_insert(0) += count;
+            }
+        }
+        tasks_by_zone
+    }
+
+    /// Puts an entry into a machine's queue; it joins the one before it if that is for like tasks.
+    pub(super) fn enqueue(&mut self, id: MachineId, entry: QueueEntry) {
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        let position = insertion_position(&machine.queue, entry.queue_priority);
+        match position.checked_sub(1).map(|before| &mut machine.queue[before]) {
+            Some(same) if same.job == entry.job && same.predicted_duration == entry.predicted_duration => {
+                same.count += entry.count;
+            }
+            _ => machine.queue.insert(position, entry),
+        }
+        machine.queued_tasks += entry.count;
+        self.changed_machines.insert(id);
+        self.adjust_planned_count(id, entry.job, entry.queue_priority, i64::from(entry.count));
+    }
+
+    /// Takes one task of the entry at this position out of a machine's queue.
+    pub fn dequeue_one(&mut self, id: MachineId, position: usize) {
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        let Some(entry) = machine.queue.get_mut(position) else { return };
+        let (job, queue_priority) = (entry.job, entry.queue_priority);
+        entry.count -= 1;
+        if entry.count == 0 {
+            machine.queue.remove(position);
+        }
+        machine.queued_tasks -= 1;
+        self.changed_machines.insert(id);
+        self.adjust_planned_count(id, job, queue_priority, -1);
+    }
+
+    /// Takes the last task of this job out of a machine's queue.
+    pub(crate) fn unplan_last(&mut self, id: MachineId, job: JobId) {
+        if let Some(position) = self.machines.get(&id).and_then(|machine| machine.last_position_of(job)) {
+            self.dequeue_one(id, position);
+        }
+    }
+
+    /// Takes all of a job's tasks out of queues.
+    pub fn unplan_job(&mut self, job: JobId) {
+        let Some(planned) = self.planned_jobs.remove(&job) else { return };
+        self.by_priority.remove(&(planned.queue_priority, job));
+        for (id, count) in planned.tasks_by_machine {
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.queue.retain(|entry| entry.job != job);
+                machine.queued_tasks -= count;
+                self.changed_machines.insert(id);
+            }
+        }
+    }
+
+    /// Takes all tasks out of a machine's queue, to be planned anew.
+    pub fn clear_queue(&mut self, id: MachineId) {
+        let Some(machine) = self.machines.get_mut(&id) else { return };
+        machine.queued_tasks = 0;
+        for entry in std::mem::take(&mut machine.queue) {
+            self.adjust_planned_count(id, entry.job, entry.queue_priority, -i64::from(entry.count));
+        }
+    }
+
+    /// Counts tasks of a job that entered (positive) or left (negative) a machine's queue.
+    fn adjust_planned_count(&mut self, id: MachineId, job: JobId, queue_priority: QueuePriority, change: i64) {
+        let planned = self.planned_jobs.entry(job).or_insert_with(|| PlannedJob {
+            job,
+            queue_priority,
+            task_count: 0,
+            tasks_by_machine: BTreeMap::new(),
+        });
+        let changed = |count: u32| (i64::from(count) + change).max(0) as u32;
+        planned.task_count = changed(planned.task_count);
+        let on_machine = planned.tasks_by_machine.entry(id).or_insert(0);
+        *on_machine = changed(*on_machine);
+        if *on_machine == 0 {
+            planned.tasks_by_machine.remove(&id);
+        }
+        let place = (planned.queue_priority, job);
+        if planned.task_count == 0 {
+            self.planned_jobs.remove(&job);
+            self.by_priority.remove(&place);
+        } else {
+            self.by_priority.insert(place);
+        }
+    }
+}
--- /dev/null
+++ b/src/plan/resubmission.rs
@@ -0,0 +1,69 @@
+//! The paper's re-submission: tasks that an insertion pushed past their deadline look for another machine.
+
+use super::simulation::{LateTasks, insertion_outcome, late_tasks};
+use super::{JobDirectory, JobProfile, Plans, QueueEntry};
+use crate::types::{Duration, JobId, MachineId, Timestamp};
+
+/// A machine on which a fallbacked task would meet its deadline.
+struct ResubmissionTarget {
+    machine: MachineId,
+    /// Predicted time of the task on this machine.
+    predicted_duration: Duration,
+}
+
+impl Plans {
+    /// Submits again, once, what an insertion pushed past its deadline; what finds no machine that
+    /// meets its deadline stays where it is. Returns the machines that received tasks.
+    pub(super) fn resubmit(
+        &mut self,
+        now: Timestamp,
+        id: MachineId,
+        inserted: JobId,
+        late_before: &[LateTasks],
+        jobs: &dyn JobDirectory,
+    ) -> Vec<MachineId> {
+        let mut receivers = Vec::new();
+        for LateTasks { job, count } in late_tasks(&self.machines[&id], now) {
+            let count_before = late_before.iter().find(|late| late.job == job).map_or(0, |late| late.count);
+            let Some(profile) = jobs.profile(job) else { continue };
+            for _ in count_before..count {
+                let Some(position) = self.machines[&id].last_position_of(job) else { break };
+                let entry = self.machines[&id].queue[position];
+                if entry.job == inserted || entry.has_zone_constraints || entry.is_service || entry.is_gang {
+                    break;
+                }
+                let Some(target) = self.resubmission_target(now, id, &entry, &profile) else { break };
+                self.dequeue_one(id, position);
+                let predicted_duration = target.predicted_duration;
+                self.enqueue(target.machine, QueueEntry { predicted_duration, count: 1, ..entry });
+                receivers.push(target.machine);
+            }
+        }
+        receivers
+    }
+
+    /// The machine other than this one that meets the deadline of a task with fewest fallbacked others, then with
+    /// the soonest end.
+    fn resubmission_target(
+        &self,
+        now: Timestamp,
+        from: MachineId,
+        entry: &QueueEntry,
+        profile: &JobProfile,
+    ) -> Option<ResubmissionTarget> {
+        let mut best: Option<((u32, Timestamp), ResubmissionTarget)> = None;
+        for machine in self.machines.values().filter(|machine| machine.id != from) {
+            let Some(predicted_duration) = profile.predicted_duration(machine) else { continue };
+            let task = QueueEntry { predicted_duration, count: 1, ..*entry };
+            let Some(outcome) = insertion_outcome(machine, now, task) else { continue };
+            if outcome.finish > entry.deadline {
+                continue;
+            }
+            let rating = (outcome.fallbacked, outcome.finish);
+            if best.as_ref().is_none_or(|(best_rating, _)| rating < *best_rating) {
+                best = Some((rating, ResubmissionTarget { machine: machine.id, predicted_duration }));
+            }
+        }
+        best.map(|(_, target)| target)
+    }
+}
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -1,4 +1,8 @@
 use super::*;
+use crate::types::Resources;
+
+/// The unit of the paper's times: ends that differ by it do not count as equal.
+const TIME_UNIT_MS: u64 = TASK_FINISH_GRANULARITY.as_millis();
 
 /// Table 1 of the paper: execution times by task and server, `None` for "np".
 struct Table;
@@ -14,15 +18,17 @@
 }
 const ONE: Resources = Resources { cpus: 1000, gpus: 0, memory: 0 };
 
+/// The same time with and without the image.
+fn always(duration: Duration) -> PredictedDurations {
+    PredictedDurations { image_cached: duration, image_fetched: duration }
+}
+
 impl JobDirectory for Table {
     fn profile(&self, job: JobId) -> Option<JobProfile> {
         let times = TIMES[job.0 as usize - 1];
-        let kinds = times
-            .iter()
-            .map(|t| t.map(|t| (Duration::from_millis(t * COARSE), Duration::from_millis(t * COARSE))))
-            .collect();
+        let durations = |time: &Option<u64>| time.map(|units| always(Duration::from_millis(units * TIME_UNIT_MS)));
         Some(JobProfile {
-            durations_by_type: kinds,
+            durations_by_type: times.iter().map(durations).collect(),
             zone: None,
             allows_spot: true,
             avoided_machines: Vec::new(),
@@ -42,7 +48,7 @@
         resources: ONE,
         predicted_duration: Duration::ZERO,
         is_service: false,
-        deadline: Timestamp::from_millis(deadline * COARSE),
+        deadline: Timestamp::from_millis(deadline * TIME_UNIT_MS),
         has_zone_constraints: false,
         is_gang: false,
         preempts_below: None,
@@ -134,9 +140,9 @@
 
 impl JobDirectory for Cluster {
     fn profile(&self, _: JobId) -> Option<JobProfile> {
-        let time = Duration::from_millis(10 * COARSE);
+        let time = Duration::from_millis(10 * TIME_UNIT_MS);
         Some(JobProfile {
-            durations_by_type: vec![Some((time, time))],
+            durations_by_type: vec![Some(always(time))],
             zone: None,
             allows_spot: true,
             avoided_machines: Vec::new(),
@@ -186,7 +192,8 @@
     assert!(!plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
     // Behind what ends in time there is room for all at once.
     let mut busy = machine(2, 0, 1);
-    busy.releases = vec![(Timestamp::from_millis(5000), Resources { cpus: 2000, gpus: 0, memory: 0 })];
+    let resources = Resources { cpus: 2000, gpus: 0, memory: 0 };
+    busy.releases = vec![ResourceRelease { at: Timestamp::from_millis(5000), resources }];
     plans.add_machines(Timestamp::ZERO, vec![busy]);
     plans.remove_machine(MachineId(1));
     assert!(plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
@@ -200,7 +207,7 @@
     plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2), machine(2, 1, 2)]);
     // Low tasks with a deadline that holds only if they start at once, in the first zone.
     for number in 5..7 {
-        let waits = QueueEntry { predicted_duration: Duration::from_millis(10 * COARSE), ..task(number, 1, 11) };
+        let waits = QueueEntry { predicted_duration: Duration::from_millis(10 * TIME_UNIT_MS), ..task(number, 1, 11) };
         plans.enqueue(MachineId(1), waits);
     }
     assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { together: true }));
