--- /dev/null
+++ b/src/leader/scheduling/reclaims.rs
@@ -0,0 +1,69 @@
+//! Machines that the cloud takes back: their tasks are stopped at the last moment at which they can save.
+
+use super::machine_view::predicted_release;
+use super::*;
+
+/// Until a machine is told to stop a task: part of the time between heartbeats, and this.
+const STOP_DELIVERY_MARGIN_S: f64 = 1.0;
+/// Tasks with a checkpoint to save are stopped this much sooner than they must be, since rounds take their time.
+const ROUND_MARGIN: Duration = Duration::from_millis(500);
+
+/// A task of a machine that is reclaimed.
+struct ReclaimedTask {
+    machine: MachineId,
+    attempt: AttemptId,
+    is_gang: bool,
+    /// Time for saving.
+    grace: Duration,
+}
+
+impl Leader {
+    /// Saves what can be saved on machines that the cloud takes back.
+    pub(super) fn drain_reclaimed_machines(&mut self, now: Timestamp) {
+        self.reclaimed_machines.retain(|id| self.machines.contains_key(id));
+        let due: Vec<ReclaimedTask> = self
+            .reclaimed_machines
+            .iter()
+            .filter_map(|id| self.machines.get(id))
+            .flat_map(|machine| self.reclaimed_tasks(machine, now))
+            .collect();
+        let (gangs, tasks): (Vec<ReclaimedTask>, Vec<ReclaimedTask>) = due.into_iter().partition(|task| task.is_gang);
+        for task in tasks {
+            self.stop_attempt(task.machine, task.attempt, task.grace.as_secs_f64());
+        }
+        for task in gangs {
+            self.stop_gang(task.attempt.task.job, task.grace);
+        }
+    }
+
+    /// Tasks of a machine that have to be stopped now, because they will not end before the machine is reclaimed.
+    fn reclaimed_tasks(&self, machine: &Machine, now: Timestamp) -> Vec<ReclaimedTask> {
+        let Some(reclaim_at) = machine.reclaim_at else { return Vec::new() };
+        let is_running =
+            |attempt: &TaskAttempt| attempt.assigned && attempt.occupies_resources() && attempt.stop_grace_s.is_none();
+        let mut due = Vec::new();
+        for (id, attempt) in machine.attempts.iter().filter(|(_, attempt)| is_running(attempt)) {
+            let Some(job) = self.jobs.get(attempt.task.job) else { continue };
+            let ends_at = predicted_release(attempt, now).unwrap_or(Timestamp::NEVER);
+            if ends_at < reclaim_at || self.can_stop_later(job, reclaim_at.since(now)) {
+                continue;
+            }
+            let grace = checkpoint_grace(job);
+            due.push(ReclaimedTask { machine: machine.id(), attempt: *id, is_gang: job.gang.is_some(), grace });
+        }
+        due
+    }
+
+    /// Whether a job's task can still save its checkpoint if it is stopped in a later round.
+    fn can_stop_later(&self, job: &Job, time_left: Duration) -> bool {
+        let heartbeat_interval_s = self.settings.deployment.workers.report_s;
+        let delivery = Duration::from_secs_f64(heartbeat_interval_s * 0.5 + STOP_DELIVERY_MARGIN_S);
+        let grace = checkpoint_grace(job);
+        grace.as_millis() > 0 && time_left > grace + delivery + ROUND_MARGIN
+    }
+}
+
+/// The time that a job's tasks need for saving; none for those without checkpoints.
+fn checkpoint_grace(job: &Job) -> Duration {
+    if job.spec.checkpoint_interval.as_millis() == 0 { Duration::ZERO } else { job.spec.checkpoint_duration }
+}
