--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -210,7 +210,7 @@
         info!("gang task replaced task={task} attempt={attempt} machine={machine}");
         let predicted_duration = Some(self.planning.correction.predict(job.spec.estimated_duration));
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
-            gang.former.insert(machine);
+            gang.former_machines.insert(machine);
         }
         self.start_attempt(now, machine, AttemptId { attempt, task }, predicted_duration, &mut usage);
     }
@@ -249,7 +249,7 @@
     fn requeue_gang(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if let Some(gang) = &mut job.gang {
-            gang.emptied();
+            gang.requeue();
         }
         for index in 0..job.spec.task_count {
             self.jobs.return_to_pending(TaskId { job: id, index });
