--- /dev/null
+++ b/src/controller/leadership_events.rs
@@ -0,0 +1,89 @@
+//! Changes of leadership: what this node does when it is elected, steps down, or learns who leads.
+
+use super::{ANNOUNCEMENT_INTERVAL, Controller};
+use crate::effects::{Effect, StoreCaller};
+use crate::leader::Leader;
+use crate::leadership::{LeadershipEvent, StepDownReason};
+use crate::types::{FencingToken, Timestamp, WallClock};
+use crate::upgrade::{Format, UpgradeEvent};
+
+impl Controller {
+    pub(super) fn apply_leadership_events(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        events: Vec<LeadershipEvent>,
+        out: &mut Vec<Effect>,
+    ) {
+        for event in events {
+            match event {
+                LeadershipEvent::Request(id, request) => {
+                    out.push(Effect::QueryStore(StoreCaller::Leadership, id, request));
+                }
+                LeadershipEvent::Elected(token, format) => self.begin_leadership(now, wall, token, format, out),
+                LeadershipEvent::SteppedDown(_) => {
+                    if let Some(leader) = self.leader.take() {
+                        leader.refuse_pending_requests(out);
+                    }
+                }
+                LeadershipEvent::LeaderChanged(None) => {}
+                LeadershipEvent::LeaderChanged(Some(_)) => {
+                    self.has_seen_leader = true;
+                    self.retry_queued_requests(now, wall, out);
+                }
+            }
+        }
+    }
+
+    fn begin_leadership(
+        &mut self,
+        now: Timestamp,
+        wall: WallClock,
+        token: FencingToken,
+        format: Format,
+        out: &mut Vec<Effect>,
+    ) {
+        self.has_seen_leader = true;
+        self.announced_at = Timestamp::ZERO;
+        let mut leader = Leader::new(token, format, now, &self.settings);
+        if let Some(table) = self.admission_view.inherited(now) {
+            leader.inherit_admission_table(now, table);
+        }
+        leader.start(now, wall, out);
+        self.leader = Some(leader);
+        self.retry_queued_requests(now, wall, out);
+    }
+
+    /// Steps down if the leader has learnt of a higher fencing token or a lost key, or reaches no worker.
+    pub(super) fn step_down_if_required(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let Some(reason) = self.leader.as_ref().and_then(Leader::step_down_reason) else { return };
+        let mut events = Vec::new();
+        if reason == StepDownReason::NoWorkerReachable {
+            self.yielded_at = Some(now);
+            self.leadership.yield_leadership(now, reason, &mut events);
+        } else {
+            self.leadership.step_down(now, reason, &mut events);
+        }
+        self.apply_leadership_events(now, WallClock::default(), events, out);
+    }
+
+    pub(super) fn apply_upgrade_events(&mut self, events: Vec<UpgradeEvent>, out: &mut Vec<Effect>) {
+        for event in events {
+            match event {
+                UpgradeEvent::Request(id, request) => {
+                    out.push(Effect::QueryStore(StoreCaller::Upgrade, id, request));
+                }
+                UpgradeEvent::AllUpgraded => self.leadership.request_key_relocation(),
+            }
+        }
+    }
+
+    /// Announces to the other nodes from time to time that this one leads.
+    pub(super) fn announce(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let Some(leader) = &self.leader else { return };
+        if now.since(self.announced_at) >= ANNOUNCEMENT_INTERVAL {
+            self.announced_at = now;
+            out.push(Effect::AnnounceLeadership(leader.token()));
+        }
+    }
+}
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -1,29 +1,34 @@
-//! Where admission meets the term: what it is shown, its tables, and what operators can read of it.
+//! Overload admission at the leader: what it observes, the tables that it publishes, and the status that operators read.
 
-use super::*;
+use super::Leader;
+use crate::effects::{Effect, StoreCaller};
 use crate::store::{StoreRequest, condition};
-use crate::types::Revision;
+use crate::types::{Duration, Revision, Timestamp, WallClock};
 use crate::wire::{CompareAndSwap, StoreWrite};
 use caperstile_admission::{
-    AdmissionPolicy, AdmissionStatus, DemandReport, Pair, PairBacklog, RefusedPair, STATUS_KEY, Utilization,
+    AdmissionPolicy, AdmissionStatus, AdmissionTable, DemandReport, Pair, PairBacklog, RefusedPair, STATUS_KEY,
+    Utilization,
 };
 
-/// Jobs of a class with an aim at finishing may wait for this part of its time; the rest is for running.
+use log::{debug, info};
+use std::collections::BTreeMap;
+
+/// Jobs of a class with an objective for finishing may wait for this share of its time; the rest is for running.
 const WAIT_SHARE: f64 = 1.0 / 3.0;
 /// How long jobs of other classes may wait.
-const DEFAULT_WAIT: Duration = Duration::from_secs(120);
+const DEFAULT_LONGEST_WAIT: Duration = Duration::from_secs(120);
 /// How often what operators can read is written, while something is refused.
-const STATUS_EVERY: Duration = Duration::from_secs(10);
+const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 /// Bytes of a value that are not the status.
-const VALUE_MARGIN: usize = 64;
+const VALUE_MARGIN_BYTES: usize = 64;
 
 /// What was written last for operators.
 #[derive(Debug, Default)]
 pub(super) struct StatusWriter {
-    at: Timestamp,
+    written_at: Timestamp,
     /// Whether it said that something is refused.
     refusing: bool,
-    calls: u64,
+    request_counter: u64,
 }
 
 impl Leader {
@@ -61,8 +66,8 @@
         let made = self.admission.tick(now).is_some();
         for change in self.admission.take_changes() {
             match self.admission.status_of(now, &change.pair).filter(|_| change.refused) {
-                Some(status) => info!("refusing submissions {status}"),
-                None => info!("admitting all submissions pair={}", change.pair),
+                Some(status) => info!("submissions refused {status}"),
+                None => info!("submissions admitted pair={}", change.pair),
             }
         }
         if made && log::log_enabled!(log::Level::Debug) {
@@ -76,8 +81,8 @@
     /// Writes what operators can read, now and then while something is refused and once when that is over. Nobody waits for it: what is
     /// lost is written again, or is old enough to be told from a refusal that goes on.
     pub(crate) fn write_admission_status(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
-        let told = !self.admission.is_refusing() && !self.admission_status.refusing;
-        if told || now.since(self.admission_status.at) < STATUS_EVERY {
+        let nothing_to_tell = !self.admission.is_refusing() && !self.admission_status.refusing;
+        if nothing_to_tell || now.since(self.admission_status.written_at) < STATUS_INTERVAL {
             return;
         }
         let status = self.admission.status(now);
@@ -85,9 +90,9 @@
         if refused.is_empty() && !self.admission_status.refusing {
             return;
         }
-        self.admission_status.at = now;
+        self.admission_status.written_at = now;
         self.admission_status.refusing = !refused.is_empty();
-        self.admission_status.calls += 1;
+        self.admission_status.request_counter += 1;
         let status = AdmissionStatus {
             token: self.token,
             sequence: self.admission.table().number.sequence,
@@ -97,15 +102,15 @@
             left_out: 0,
         };
         let bytes = (self.settings.deployment.state.value_kb_always() * 1024.0) as usize;
-        let value = serde_json::to_value(status.fit(bytes.saturating_sub(VALUE_MARGIN))).unwrap_or_default();
-        let txn = CompareAndSwap {
+        let value = serde_json::to_value(status.fit(bytes.saturating_sub(VALUE_MARGIN_BYTES))).unwrap_or_default();
+        let swap = CompareAndSwap {
             conditions: vec![condition(self.format.leader_key(), Revision(self.token.0))],
             writes: vec![StoreWrite::Put { key: STATUS_KEY.into(), value, lease: None }],
         };
         out.push(Effect::QueryStore(
             StoreCaller::AdmissionStatus,
-            self.admission_status.calls,
-            StoreRequest::CompareAndSwap(txn),
+            self.admission_status.request_counter,
+            StoreRequest::CompareAndSwap(swap),
         ));
     }
 
@@ -131,6 +136,6 @@
     fn longest_wait(&self, class: &str) -> Duration {
         let of_class = self.settings.deployment.objectives.iter().filter(|o| o.kind == "finished" && o.class == class);
         let longest = of_class.filter_map(|o| o.within_s).reduce(f64::max);
-        longest.map_or(DEFAULT_WAIT, |within| Duration::from_secs_f64(within * WAIT_SHARE))
+        longest.map_or(DEFAULT_LONGEST_WAIT, |within| Duration::from_secs_f64(within * WAIT_SHARE))
     }
 }
--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -2,11 +2,16 @@
 
 use crate::effects::Effect;
 use crate::leader::Leader;
-use crate::types::{MachineId, Timestamp};
+use crate::types::{Duration, MachineId, Timestamp};
 use crate::wire::CommandBatch;
 use crate::workers::InFlightCommand;
 use std::collections::BTreeSet;
 
+/// Direct commands that may be in flight however far a leader is behind.
+const LEAST_COMMANDS_IN_FLIGHT: usize = 8;
+/// For each so much that inputs wait, the commands that may be in flight are divided once more.
+const INPUT_DELAY_STEP: Duration = Duration::from_millis(50);
+
 /// Direct commands that are to be sent or in flight.
 #[derive(Debug, Default)]
 pub(crate) struct CommandDispatch {
@@ -32,6 +37,24 @@
 }
 
 impl Leader {
+    /// Direct commands that may be in flight: fewer when this node is behind, since the responses to heartbeats carry the same
+    /// commands, only later.
+    pub(crate) fn max_commands_in_flight(&self) -> usize {
+        let limit = self.settings.deployment.resources.commands_at_once();
+        let steps_behind = self.planning.pacing.input_delay.as_millis() / INPUT_DELAY_STEP.as_millis();
+        (limit / (1 + steps_behind as usize)).max(LEAST_COMMANDS_IN_FLIGHT)
+    }
+
+    /// Sends commands to machines that wait for one, as far as the limit allows.
+    pub(super) fn send_waiting_commands(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let limit = self.max_commands_in_flight();
+        while self.command_dispatch.in_flight < limit
+            && let Some(id) = self.command_dispatch.waiting.pop_first()
+        {
+            self.send_direct_command(now, id, false, out);
+        }
+    }
+
     /// Sends a direct command to a machine, one at a time to each. A machine that left one unanswered gets no more but as a
     /// `probe`: [`check_machine_health`](Leader::check_machine_health) sends one from time to time, even without commands in it.
     pub(crate) fn send_direct_command(&mut self, now: Timestamp, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -5,8 +5,9 @@
 
 use crate::cloud::{InstancePool, MAX_INSTANCES_PER_REQUEST};
 use crate::effects::{Effect, StoreCaller};
+use crate::leader::Leader;
 use crate::leader::provisioning::MachineDemand;
-use crate::leader::{Leader, StepDownReason};
+use crate::leadership::StepDownReason;
 use crate::settings::Settings;
 use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::{FencingToken, MachineId, Revision, Timestamp, WallClock};
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -1,7 +1,8 @@
 //! Whether this node reaches any worker.
 
 use super::{MIN_SIGNIFICANT_MACHINES, TWO_COMMAND_TIMEOUTS};
-use crate::leader::{Leader, StepDownReason};
+use crate::leader::Leader;
+use crate::leadership::StepDownReason;
 use crate::types::{Duration, MachineId, Timestamp};
 
 /// How long after two unanswered commands to each worker a leader that never reached one counts as isolated.
--- a/src/leader/failure_detection/tests.rs
+++ b/src/leader/failure_detection/tests.rs
@@ -1,4 +1,5 @@
-use crate::leader::{Leader, StepDownReason};
+use crate::leader::Leader;
+use crate::leadership::StepDownReason;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::types::{Duration, FencingToken, MachineId, Resources, Timestamp, WallClock};
 use crate::upgrade::Format;
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -1,8 +1,9 @@
 //! Heartbeats of workers, their answers to direct commands, and what both show.
 
-use super::{Leader, StepDownReason};
+use super::Leader;
 use crate::api::ApiResponse;
 use crate::effects::{Effect, RequestOrigin};
+use crate::leadership::StepDownReason;
 use crate::store::ServiceResponse;
 use crate::types::{MachineId, Resources, Timestamp, WallClock};
 use crate::wire::{Heartbeat, HeartbeatResponse};
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -1,21 +1,32 @@
-//! Durable facts: what is read back after an election, and what is told and done once it is durable.
+//! Records of the write-ahead log: what is read back after an election, and what is told and done once a record is durable.
 
-use super::*;
+use super::Leader;
+use super::cloud_events::rental_record;
+use crate::api::ApiResponse;
+use crate::cloud::PendingInstance;
+use crate::effects::{Effect, StoreCaller};
+use crate::jobs::{ApplyOutcome, Job, Placement, TerminalState};
+use crate::leadership::StepDownReason;
 use crate::plan::Correction;
+use crate::store::ServiceResponse;
+use crate::types::{AttemptId, JobId, MachineId, Resources, TaskId, TaskIndexSet, Timestamp, WallClock};
+use crate::workers::{Machine, Registration};
+use crate::write_ahead_log::{LogEvent, LogRecord, MachineRecord};
+use log::{debug, info};
 
 impl Leader {
-    /// The state service answered.
+    /// Takes the key-value store's response to a request of the log.
     pub fn handle_store_response(
         &mut self,
         now: Timestamp,
         wall: WallClock,
         lease_valid: bool,
         id: u64,
-        reply: &ServiceResponse,
+        response: &ServiceResponse,
         out: &mut Vec<Effect>,
     ) {
         let mut events = Vec::new();
-        self.log.handle_response(now, id, reply, &mut events);
+        self.log.handle_response(now, id, response, &mut events);
         self.apply_log_events(now, wall, events, out);
         self.schedule_if_due(now, wall, lease_valid, out);
     }
@@ -24,68 +35,34 @@
         &mut self,
         now: Timestamp,
         wall: WallClock,
-        events: Vec<write_ahead_log::LogEvent>,
+        events: Vec<LogEvent>,
         out: &mut Vec<Effect>,
     ) {
         for event in events {
             match event {
-                write_ahead_log::LogEvent::Request(id, call) => {
-                    out.push(Effect::QueryStore(StoreCaller::WriteAheadLog(self.token.0), id, call))
+                LogEvent::Request(id, request) => {
+                    out.push(Effect::QueryStore(StoreCaller::WriteAheadLog(self.token.0), id, request));
                 }
-                write_ahead_log::LogEvent::RecordLoaded(record) => self.restore_record(now, wall, &record),
-                write_ahead_log::LogEvent::LoadComplete => {
-                    self.fencing.completion_logged = self.fencing.unfenced.is_empty();
-                    info!(
-                        "loaded token={} jobs={} over={} machines={}",
-                        self.token,
-                        self.jobs.open_count(),
-                        self.jobs.terminal_count(),
-                        self.machines.len()
-                    );
-                    let mut jobs: Vec<&jobs::Job> = self.jobs.live().collect();
-                    jobs.sort_unstable_by_key(|job| job.submitted_at);
-                    for job in jobs {
-                        self.planning.arrivals.record(job.submitted_at, &job.spec);
+                LogEvent::RecordLoaded(record) => self.restore_record(now, wall, &record),
+                LogEvent::LoadComplete => self.finish_loading(now, out),
+                LogEvent::RecordsDurable(records) => {
+                    for record in &records {
+                        self.apply_durable_record(now, wall, record, out);
                     }
-                    self.command_dispatch.waiting.extend(self.machines.keys());
-                    self.planning.changed_machines.extend(self.machines.keys());
-                    self.flush(now, out);
-                }
-                write_ahead_log::LogEvent::RecordsDurable(facts) => {
-                    for record in facts {
-                        self.apply_durable_record(now, wall, &record, out);
-                    }
-                }
-                write_ahead_log::LogEvent::LeaderKeyLost => {
-                    self.step_down_reason = Some(StepDownReason::LeaderKeyChanged)
                 }
+                LogEvent::LeaderKeyLost => self.step_down_reason = Some(StepDownReason::LeaderKeyChanged),
             }
         }
     }
 
+    /// Applies a record that was read back after the election.
     pub(super) fn restore_record(&mut self, now: Timestamp, wall: WallClock, record: &LogRecord) {
         match record {
-            LogRecord::MachineRegistered(machine) => {
-                let mut m = Machine::new(machine.clone(), Resources::default(), Registration::Durable, now);
-                m.known_since = wall.timestamp_of(now, machine.rented_at);
-                self.cloud.instance_up(machine.id);
-                self.fencing.unfenced.insert(machine.id);
-                self.machines.insert(machine.id, m);
-            }
-            // Such facts are written later than others: by now it may be known to be up, or gone.
-            LogRecord::MachineRented(machine)
-                if self.machines.contains_key(&machine.id) || self.cloud.is_gone(machine.id) => {}
-            LogRecord::MachineRented(machine) => {
-                let (kind, zone) = (machine.machine_type.clone(), machine.zone.clone());
-                let since = wall.timestamp_of(now, machine.rented_at);
-                self.cloud.adopt_pending(
-                    machine.id,
-                    cloud::PendingInstance { machine_type: kind, zone, spot: machine.spot, requested_at: since },
-                );
-            }
+            LogRecord::MachineRegistered(machine) => self.restore_machine(now, wall, machine),
+            LogRecord::MachineRented(machine) => self.restore_rental(now, wall, machine),
             LogRecord::ImageCached(id, image) => {
-                if let Some(m) = self.machines.get_mut(id) {
-                    m.images.insert(image.clone());
+                if let Some(machine) = self.machines.get_mut(id) {
+                    machine.images.insert(image.clone());
                 }
             }
             LogRecord::CorrectionLearnt(percent, executions) => {
@@ -102,7 +79,49 @@
         }
     }
 
-    /// A fact of this term became durable: now it may be told and acted on.
+    fn restore_machine(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
+        let mut machine = Machine::new(record.clone(), Resources::default(), Registration::Durable, now);
+        machine.known_since = wall.timestamp_of(now, record.rented_at);
+        self.cloud.instance_up(record.id);
+        self.fencing.unfenced.insert(record.id);
+        self.machines.insert(record.id, machine);
+    }
+
+    /// Rentals are written later than other records: by now the machine may be known to be up, or gone.
+    fn restore_rental(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
+        if self.machines.contains_key(&record.id) || self.cloud.is_gone(record.id) {
+            return;
+        }
+        let instance = PendingInstance {
+            machine_type: record.machine_type.clone(),
+            zone: record.zone.clone(),
+            spot: record.spot,
+            requested_at: wall.timestamp_of(now, record.rented_at),
+        };
+        self.cloud.adopt_pending(record.id, instance);
+    }
+
+    /// All records were read back: from now on this node serves as leader.
+    fn finish_loading(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        self.fencing.completion_logged = self.fencing.unfenced.is_empty();
+        info!(
+            "log loaded token={} open_jobs={} ended_jobs={} machines={}",
+            self.token,
+            self.jobs.open_count(),
+            self.jobs.terminal_count(),
+            self.machines.len()
+        );
+        let mut jobs: Vec<&Job> = self.jobs.live().collect();
+        jobs.sort_unstable_by_key(|job| job.submitted_at);
+        for job in jobs {
+            self.planning.arrivals.record(job.submitted_at, &job.spec);
+        }
+        self.command_dispatch.waiting.extend(self.machines.keys());
+        self.planning.changed_machines.extend(self.machines.keys());
+        self.flush(now, out);
+    }
+
+    /// A record of this leader has become durable: now it may be told and acted on.
     pub(super) fn apply_durable_record(
         &mut self,
         now: Timestamp,
@@ -112,66 +131,97 @@
     ) {
         self.planning.replan_needed = true;
         match record {
-            LogRecord::MachineRegistered(machine) => {
-                if let Some(m) = self.machines.get_mut(&machine.id) {
-                    m.registration = Registration::Durable;
-                    self.planning.changed_machines.insert(machine.id);
-                }
-            }
+            LogRecord::MachineRegistered(machine) => self.registration_durable(machine.id),
             LogRecord::MachineGone(_)
             | LogRecord::MachineRented(_)
             | LogRecord::ImageCached(..)
             | LogRecord::CorrectionLearnt(..) => {}
-            other => {
-                if let LogRecord::TasksDone(job, tasks) = other {
-                    for index in tasks.iter() {
-                        self.allow_forgetting(TaskId { job: *job, index });
-                    }
+            job_record => {
+                if let LogRecord::TasksDone(job, tasks) = job_record {
+                    self.finishes_durable(*job, tasks);
                 }
-                match self.jobs.apply(other, now, wall) {
-                    ApplyOutcome::JobAccepted(id) => {
-                        if let Some(job) = self.jobs.get(id) {
-                            self.planning.arrivals.record(now, &job.spec);
-                            self.admission.accepted(now, id);
-                            debug!("accepted {id} class={} tasks={}", job.spec.class, job.spec.task_count);
-                            for origin in self.pending.take_submissions(id) {
-                                out.push(Effect::Respond(origin, ApiResponse::accepted(id)));
-                            }
-                        }
-                    }
-                    ApplyOutcome::JobEnded(id, left) => self.end_job(now, id, &left, out),
+                match self.jobs.apply(job_record, now, wall) {
+                    ApplyOutcome::JobAccepted(id) => self.acceptance_durable(now, id, out),
+                    ApplyOutcome::JobEnded(id, placements) => self.job_ended(now, id, &placements, out),
                     ApplyOutcome::Unchanged => {}
                 }
             }
         }
     }
 
-    pub(super) fn end_job(&mut self, now: Timestamp, id: JobId, left: &[jobs::Placement], out: &mut Vec<Effect>) {
-        info!(
-            "over {id} {}",
-            if matches!(self.jobs.terminal_state(id), Some(TerminalState::Done(_))) { "done" } else { "cancelled" }
-        );
+    fn registration_durable(&mut self, id: MachineId) {
+        if let Some(machine) = self.machines.get_mut(&id) {
+            machine.registration = Registration::Durable;
+            self.planning.changed_machines.insert(id);
+        }
+    }
+
+    fn finishes_durable(&mut self, job: JobId, tasks: &TaskIndexSet) {
+        for index in tasks.iter() {
+            self.allow_forgetting(TaskId { job, index });
+        }
+    }
+
+    fn acceptance_durable(&mut self, now: Timestamp, id: JobId, out: &mut Vec<Effect>) {
+        let Some(job) = self.jobs.get(id) else { return };
+        self.planning.arrivals.record(now, &job.spec);
+        self.admission.accepted(now, id);
+        debug!("job accepted job={id} class={} tasks={}", job.spec.class, job.spec.task_count);
+        for origin in self.pending.take_submissions(id) {
+            out.push(Effect::Respond(origin, ApiResponse::accepted(id)));
+        }
+    }
+
+    /// A job's terminal state is durable; what is left of it on machines is stopped.
+    fn job_ended(&mut self, now: Timestamp, id: JobId, placements: &[Placement], out: &mut Vec<Effect>) {
+        let done = matches!(self.jobs.terminal_state(id), Some(TerminalState::Done(_)));
+        info!("job ended job={id} state={}", if done { "done" } else { "cancelled" });
         self.planning.plans.unplan_job(id);
-        for placed in left {
-            self.abandon_attempt(*placed);
+        for placement in placements {
+            self.abandon_attempt(*placement);
         }
-        let tasks: Vec<TaskId> = self.unconfirmed_finishes.keys().filter(|t| t.job == id).copied().collect();
+        let tasks: Vec<TaskId> = self.unconfirmed_finishes.keys().filter(|task| task.job == id).copied().collect();
         for task in tasks {
             self.allow_forgetting(task);
         }
-        let answer = self.job_status(true, &id.to_string());
+        let response = self.job_status(true, &id.to_string());
         for origin in self.pending.take_cancellations(id) {
-            out.push(Effect::Respond(origin, answer.clone()));
+            out.push(Effect::Respond(origin, response.clone()));
         }
         self.flush(now, out);
     }
 
-    pub(super) fn allow_forgetting(&mut self, task: TaskId) {
-        if let Some((machine, attempt)) = self.unconfirmed_finishes.remove(&task)
-            && let Some(hold) =
-                self.machines.get_mut(&machine).and_then(|m| m.attempts.get_mut(&AttemptId { attempt, task }))
-        {
-            hold.forgettable = true;
+    /// The worker that finished a task may forget its attempt: the finish is durable or does not matter any more.
+    fn allow_forgetting(&mut self, task: TaskId) {
+        let Some((machine, attempt)) = self.unconfirmed_finishes.remove(&task) else { return };
+        let machine = self.machines.get_mut(&machine);
+        if let Some(finished) = machine.and_then(|machine| machine.attempts.get_mut(&AttemptId { attempt, task })) {
+            finished.forgettable = true;
+        }
+    }
+
+    /// Begins a snapshot of everything that is durable, if one is due.
+    pub(super) fn write_snapshot_if_due(&mut self, now: Timestamp, wall: WallClock) {
+        if !self.log.snapshot_due() {
+            return;
+        }
+        let records = self.snapshot_records(now, wall);
+        debug!("snapshot begun records={}", records.len());
+        self.log.begin_snapshot(records.into_iter());
+    }
+
+    fn snapshot_records(&self, now: Timestamp, wall: WallClock) -> Vec<LogRecord> {
+        let registered = || self.machines.values().filter(|machine| machine.registration == Registration::Durable);
+        let mut records: Vec<LogRecord> =
+            registered().map(|machine| LogRecord::MachineRegistered(machine.record.clone())).collect();
+        for machine in registered() {
+            let cached = |image: &String| LogRecord::ImageCached(machine.id(), image.clone());
+            records.extend(machine.images.iter().map(cached));
         }
+        records.extend(self.cloud.pending().map(|(id, instance)| rental_record(*id, instance, now, wall)));
+        let correction = &self.planning.correction;
+        records.push(LogRecord::CorrectionLearnt(correction.percent, correction.executions));
+        records.extend(self.jobs.snapshot_records());
+        records
     }
 }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::settings::tests::SAMPLE;
+use crate::write_ahead_log::{LogRecord, MachineRecord};
 
 /// Facts that nobody waits for are written later than others: a rental that is read back after the machine was
 /// enrolled, or given back, is no machine on its way.
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -1,34 +1,46 @@
-//! What users ask of the leader: submissions, questions, cancellations.
+//! Requests of users at the leader: submissions, questions and cancellations.
 
-use super::*;
+use super::Leader;
+use crate::api::{ApiResponse, UserRequest};
+use crate::effects::{Effect, RequestOrigin};
+use crate::jobs::{self, JobSpec, Refusal};
+use crate::types::{JobId, Timestamp, WallClock};
 use crate::wire::submission_field;
+use crate::write_ahead_log::LogRecord;
+use caperstile_admission::{Decision, Submission};
 
 /// When a user may come back whose submission found too many open jobs, in seconds.
 const OPEN_JOBS_RETRY_AFTER_S: u16 = 10;
+/// Records that may wait to become durable before submissions are refused, beside one for each machine: a fleet that comes up at
+/// once is no backlog.
+const LOG_BACKLOG_LIMIT: usize = 5000;
+/// Why a leader without a valid lease answers nothing that could be outdated: another leader may know better by now.
+const LEASE_IN_DOUBT: &str = "leadership is in doubt";
 
 impl Leader {
-    /// A user asks.
+    /// Takes a user's request; the response follows at once or when what it depends on is durable.
     pub fn handle_user_request(
         &mut self,
         now: Timestamp,
         wall: WallClock,
         lease_valid: bool,
         origin: RequestOrigin,
-        call: &UserRequest,
+        request: &UserRequest,
         out: &mut Vec<Effect>,
     ) {
-        let answer = match call {
+        let response = match request {
             UserRequest::Submit(body) => self.submit(now, wall, lease_valid, origin, body),
             UserRequest::Get(id) => Some(self.job_status(lease_valid, id)),
             UserRequest::Cancel(id) => self.cancel(now, lease_valid, origin, id),
         };
-        if let Some(answer) = answer {
-            out.push(Effect::Respond(origin, answer));
+        if let Some(response) = response {
+            out.push(Effect::Respond(origin, response));
         }
         self.flush(now, out);
     }
 
-    pub(super) fn submit(
+    /// A submission; `None` if its user waits until the job is durable.
+    fn submit(
         &mut self,
         now: Timestamp,
         wall: WallClock,
@@ -37,70 +49,88 @@
         body: &[u8],
     ) -> Option<ApiResponse> {
         let parsed = jobs::parse_submission(body, wall);
-        // A known id is answered with its state, whatever else the body says.
+        // A known job is answered with its state, whatever else the body says: the request may be a late repeat.
         let id = match &parsed {
-            Ok(record) => Some(record.id),
+            Ok(spec) => Some(spec.id),
             Err(_) => jobs::submitted_job_id(body),
         };
-        if let Some(id) = id {
-            let accepted = self.jobs.terminal_state(id).is_some() || self.jobs.get(id).is_some_and(|j| j.durable);
-            if accepted {
-                return Some(self.job_status(lease_valid, &id.to_string()));
-            }
+        if let Some(id) = id.filter(|id| self.is_accepted(*id)) {
+            return Some(self.job_status(lease_valid, &id.to_string()));
         }
-        let mut record = match parsed {
-            Ok(record) => record,
+        let spec = match parsed {
+            Ok(spec) => spec,
             Err(refusal) => return Some(refused(&refusal)),
         };
         if !lease_valid {
-            // An older answer could be wrong: another leader may have accepted it by now.
-            return Some(ApiResponse::unavailable("leadership is in doubt"));
+            return Some(ApiResponse::unavailable(LEASE_IN_DOUBT));
         }
-        if self.jobs.get(record.id).is_some() {
-            self.pending.add_submission(now, record.id, origin);
+        if self.jobs.get(spec.id).is_some() {
+            self.pending.add_submission(now, spec.id, origin);
             return None;
         }
+        match self.admit(now, spec) {
+            Ok(spec) => {
+                self.pending.add_submission(now, spec.id, origin);
+                self.log.append(LogRecord::JobAccepted(spec.clone()));
+                self.jobs.insert(spec, now, true);
+                None
+            }
+            Err(response) => Some(response),
+        }
+    }
+
+    /// Whether a job's acceptance is durable.
+    fn is_accepted(&self, id: JobId) -> bool {
+        self.jobs.terminal_state(id).is_some() || self.jobs.get(id).is_some_and(|job| job.durable)
+    }
+
+    /// Checks whether a new job can be taken; the job as it is kept.
+    fn admit(&mut self, now: Timestamp, mut spec: JobSpec) -> Result<JobSpec, ApiResponse> {
         let teams = &self.settings.deployment.teams;
-        if let Err(refusal) = jobs::check_feasible(&record, teams, self.cloud.machine_types(), self.format.has_gangs())
-        {
-            return Some(refused(&refusal));
-        }
-        // Types that the cloud does not have cannot matter, and need no room in the log.
-        let inventory = &self.cloud;
-        if let Some(types) = &mut record.machine_types {
-            types.sort_unstable();
-            types.dedup();
-            types.retain(|t| inventory.machine_type(t).is_some());
-        }
-        if !self.log.fits_in_value(&LogRecord::JobAccepted(record.clone())) {
-            return Some(refused(&Refusal::Malformed {
-                field: submission_field::IMAGE,
-                problem: "the job's names are too long to be kept",
-            }));
-        }
-        let submission = Submission { job: record.id, team: &record.team, class: &record.class };
-        if let Decision::Refuse { retry_after_s } = self.admission.decide(now, &submission, record.task_count) {
-            return Some(ApiResponse::too_many_submissions(retry_after_s));
-        }
-        let limit = self.settings.deployment.resources.open_jobs();
-        if self.jobs.open_count() >= limit || self.log.backlog() >= BACKLOG_LIMIT + self.machines.len() {
+        let gangs_supported = self.format.has_gangs();
+        jobs::check_feasible(&spec, teams, self.cloud.machine_types(), gangs_supported)
+            .map_err(|refusal| refused(&refusal))?;
+        self.drop_unknown_machine_types(&mut spec);
+        if !self.log.fits_in_value(&LogRecord::JobAccepted(spec.clone())) {
+            let problem = "the job's names are too long to be kept";
+            return Err(refused(&Refusal::Malformed { field: submission_field::IMAGE, problem }));
+        }
+        let submission = Submission { job: spec.id, team: &spec.team, class: &spec.class };
+        if let Decision::Refuse { retry_after_s } = self.admission.decide(now, &submission, spec.task_count) {
+            return Err(ApiResponse::too_many_submissions(retry_after_s));
+        }
+        if self.is_full() {
             // Answered at once: the user is told when to come back.
-            return Some(ApiResponse::unavailable_for("too many jobs are open", OPEN_JOBS_RETRY_AFTER_S));
+            return Err(ApiResponse::unavailable_for("too many jobs are open", OPEN_JOBS_RETRY_AFTER_S));
         }
-        self.pending.add_submission(now, record.id, origin);
-        self.log.append(LogRecord::JobAccepted(record.clone()));
-        self.jobs.insert(record, now, true);
-        None
+        Ok(spec)
     }
 
+    /// Types that the cloud does not have cannot matter, and need no room in the log.
+    fn drop_unknown_machine_types(&self, spec: &mut JobSpec) {
+        if let Some(machine_types) = &mut spec.machine_types {
+            machine_types.sort_unstable();
+            machine_types.dedup();
+            machine_types.retain(|name| self.cloud.machine_type(name).is_some());
+        }
+    }
+
+    /// Whether no more jobs are taken for now: memory or the log's backlog is used up.
+    fn is_full(&self) -> bool {
+        let open_jobs_limit = self.settings.deployment.resources.open_jobs();
+        let backlog_limit = LOG_BACKLOG_LIMIT + self.machines.len();
+        self.jobs.open_count() >= open_jobs_limit || self.log.backlog() >= backlog_limit
+    }
+
+    /// The state of a job as its user is told.
     pub(super) fn job_status(&self, lease_valid: bool, id: &str) -> ApiResponse {
         let not_found = || ApiResponse::error(404, "no such job");
         let Ok(id) = id.parse::<JobId>() else { return not_found() };
-        // A durable final state never changes; all else may be outdated if another node leads.
+        // A durable terminal state never changes; all else may be outdated if another node leads.
         if self.jobs.terminal_state(id).is_none() && !lease_valid {
-            return ApiResponse::unavailable("leadership is in doubt");
+            return ApiResponse::unavailable(LEASE_IN_DOUBT);
         }
-        if self.jobs.get(id).is_some_and(|j| !j.durable) {
+        if self.jobs.get(id).is_some_and(|job| !job.durable) {
             return ApiResponse::unavailable("not accepted yet");
         }
         match self.jobs.status(id) {
@@ -109,49 +139,55 @@
         }
     }
 
-    pub(super) fn cancel(
+    /// A cancellation; `None` if its user waits until it is durable.
+    fn cancel(
         &mut self,
         now: Timestamp,
         lease_valid: bool,
         origin: RequestOrigin,
-        id: &str,
+        id_text: &str,
     ) -> Option<ApiResponse> {
-        let Ok(job_id) = id.parse::<JobId>() else {
+        let Ok(id) = id_text.parse::<JobId>() else {
             return Some(ApiResponse::field_error(400, "the id has the wrong form", submission_field::JOB));
         };
-        if self.jobs.terminal_state(job_id).is_some() {
-            return Some(self.job_status(lease_valid, id));
+        if self.jobs.terminal_state(id).is_some() {
+            return Some(self.job_status(lease_valid, id_text));
         }
         if !lease_valid {
-            return Some(ApiResponse::unavailable("leadership is in doubt"));
+            return Some(ApiResponse::unavailable(LEASE_IN_DOUBT));
         }
-        let open = self.all_machines_fenced();
-        let mut stops = Vec::new();
-        let Some(job) = self.jobs.get_mut(job_id) else { return Some(self.job_status(lease_valid, id)) };
+        let Some(job) = self.jobs.get(id) else { return Some(self.job_status(lease_valid, id_text)) };
         if !job.durable {
             return Some(ApiResponse::unavailable("not accepted yet"));
         }
-        if !open && !job.accepted_by_this_leader {
-            // A machine that has not seen this token may start its tasks by an earlier leader's word.
+        if !self.all_machines_fenced() && !job.accepted_by_this_leader {
+            // A machine that has not seen this token may start its tasks by an earlier leader's command.
             return Some(ApiResponse::unavailable("not all machines are fenced yet"));
         }
-        self.pending.add_cancellation(now, job_id, origin);
-        // With all tasks done its state will be `done` as soon as that is durable.
-        if !job.cancelling && job.finished.len() < job.spec.task_count {
-            job.cancelling = true;
-            stops.extend(job.placements.values().copied());
-            self.planning.plans.unplan_job(job_id);
-            self.log.append(LogRecord::JobCancelled(job_id));
-        }
-        // Stopped before the fact is written, not once it is known to be durable: if the answer to the commit is lost,
-        // the next leader reads the fact and confirms it, while this one may go on renewing the leases. A leader
-        // that never learnt that its commit was carried out let the tasks run on through an outage. If it was not
-        // carried out, the tasks wait again.
-        for placed in stops {
-            self.stop_attempt(placed.machine, placed.attempt, 0.0);
-        }
+        self.pending.add_cancellation(now, id, origin);
+        self.begin_cancellation(id);
         None
     }
+
+    /// Stops a job's tasks and queues its cancellation, unless all of them are done: then its state will be `done` as soon as that
+    /// is durable.
+    ///
+    /// They are stopped before the record is written, not once it is known to be durable: if the response to the commit is lost,
+    /// the next leader reads the record and confirms it, while this one may go on renewing the leases. A leader that never learnt
+    /// that its commit was carried out let the tasks run on through an outage. If it was not carried out, the tasks wait again.
+    fn begin_cancellation(&mut self, id: JobId) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if job.cancelling || job.finished.len() >= job.spec.task_count {
+            return;
+        }
+        job.cancelling = true;
+        let placements: Vec<jobs::Placement> = job.placements.values().copied().collect();
+        self.planning.plans.unplan_job(id);
+        self.log.append(LogRecord::JobCancelled(id));
+        for placement in placements {
+            self.stop_attempt(placement.machine, placement.attempt, 0.0);
+        }
+    }
 }
 
 fn refused(refusal: &Refusal) -> ApiResponse {
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::wire::CompareAndSwap;
 use rand::SeedableRng;
 use serde_json::json;
 
@@ -90,25 +91,28 @@
 /// A leader without the state service learns from its successor that it leads no more, and a node
 /// that hears both believes the later one, in whatever order the words come.
 #[test]
-fn the_word_of_a_later_leader_counts_and_that_of_an_earlier_one_does_not() {
+fn the_announcement_of_a_later_leader_counts_and_that_of_an_earlier_one_does_not() {
     let (mut n, mut out) = (leader(), Vec::new());
     n.observe_announcement(Timestamp::from_millis(5), "n1".into(), FencingToken(8), &mut out);
     assert_eq!((n.token(), out.len()), (Some(FencingToken(9)), 0));
     n.observe_announcement(Timestamp::from_millis(6), "n2".into(), FencingToken(12), &mut out);
     assert_eq!(
         out,
-        [LeadershipEvent::SteppedDown("another node leads"), LeadershipEvent::LeaderChanged(Some("n2".into()))]
+        [
+            LeadershipEvent::SteppedDown(StepDownReason::AnotherNodeLeads),
+            LeadershipEvent::LeaderChanged(Some("n2".into()))
+        ]
     );
     n.observe_announcement(Timestamp::from_millis(7), "n1".into(), FencingToken(8), &mut out);
     assert_eq!(n.leader(), Some("n2"));
 }
 
 #[test]
-fn a_leader_that_makes_room_ends_its_lease_and_leaves_the_key_to_others() {
+fn a_leader_that_yields_revokes_its_lease_and_leaves_the_key_to_others() {
     let (mut n, mut out) = (leader(), Vec::new());
-    n.yield_leadership(Timestamp::from_millis(5), "no worker is reached", &mut out);
+    n.yield_leadership(Timestamp::from_millis(5), StepDownReason::NoWorkerReachable, &mut out);
     let revoked = LeadershipEvent::Request(n.request_counter, StoreRequest::RevokeLease(LeaseId(4)));
-    assert_eq!(out, [revoked, LeadershipEvent::SteppedDown("no worker is reached")]);
+    assert_eq!(out, [revoked, LeadershipEvent::SteppedDown(StepDownReason::NoWorkerReachable)]);
     for (at, campaigns) in [(1000, false), (12_000, true)] {
         out.clear();
         n.tick(Timestamp::from_millis(at), &mut out);
@@ -129,7 +133,7 @@
     n.tick(Timestamp::from_millis(30_000), &mut out);
     let (id, _) = only_call(&mut out);
     n.handle_response(Timestamp::from_millis(30_001), id, &answer(404, json!({})), &mut out);
-    assert_eq!(out, [LeadershipEvent::SteppedDown("lease lost")]);
+    assert_eq!(out, [LeadershipEvent::SteppedDown(StepDownReason::LeaseLost)]);
 }
 
 /// A leader whose key is to move, with its request to move it on the way.
@@ -180,7 +184,7 @@
         &answer(409, json!({"failed": ["leader", "leader-2"], "Ledger": 12})),
         &mut out,
     );
-    assert_eq!(std::mem::take(&mut out), [LeadershipEvent::SteppedDown("the leader key has changed")]);
+    assert_eq!(std::mem::take(&mut out), [LeadershipEvent::SteppedDown(StepDownReason::LeaderKeyChanged)]);
     n.tick(Timestamp::from_millis(1306), &mut out);
     let (id, _) = only_call(&mut out);
     let left = json!({"K": "leader", "V": {"moved_to": "leader-2"}, "Stamp": 12});
--- a/tests/characterization/stored_keys.rs
+++ b/tests/characterization/stored_keys.rs
@@ -1,7 +1,7 @@
 //! The keys by which controllers elect a leader and say which format they read, with the transactions that write them.
 
 use crate::fixture::{self, Example, example};
-use caperstile::leadership::{self, Leadership};
+use caperstile::leadership::{self, Leadership, StepDownReason};
 use caperstile::store::{ServiceResponse, StoreRequest};
 use caperstile::types::{Duration, FencingToken, Timestamp};
 use caperstile::upgrade::{self, Format, Upgrade};
@@ -82,7 +82,7 @@
     made.push(example("renewal", candidate.answer(&answer(200, json!({})))));
     made.push(example("move", candidate.answer(&answer(200, json!({"Ledger": 12})))));
     assert_eq!((candidate.leadership.token(), candidate.leadership.format()), (Some(FencingToken(12)), Format::Two));
-    candidate.leadership.yield_leadership(candidate.now, "a test", &mut candidate.events);
+    candidate.leadership.yield_leadership(candidate.now, StepDownReason::NoWorkerReachable, &mut candidate.events);
     made.push(example("revocation", words(&candidate.next_call().1)));
     fixture::assert_examples("stored/leader-keys.txt", &made);
 }
