--- a/src/leader.rs
+++ b/src/leader.rs
@@ -6,9 +6,7 @@
 use crate::jobs::{self, ApplyOutcome, JobStore, Refusal, TerminalState};
 use crate::settings::Settings;
 use crate::store::ServiceResponse;
-use crate::types::{
-    AttemptId, AttemptNumber, Duration, FencingToken, JobId, MachineId, Resources, TaskId, Timestamp, WallClock,
-};
+use crate::types::{Duration, FencingToken, JobId, MachineId, Resources, TaskId, Timestamp, WallClock};
 use crate::upgrade::Format;
 use crate::workers::{DrainReason, Machine, Registration};
 use crate::write_ahead_log::{self, LogRecord, MachineRecord, WriteAheadLog};
@@ -21,6 +19,7 @@
 use pending_requests::PendingRequests;
 use scheduling::Planning;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use tasks::UnconfirmedFinish;
 
 mod admission;
 mod command_dispatch;
@@ -40,8 +39,6 @@
 
 /// Executions between two records of what CorrecFAST has learnt.
 const LEARNT_EVERY: u64 = 20;
-/// Direct commands that may be under way however far a leader is behind.
-const FEW_COMMANDS: usize = 8;
 /// Facts that may wait to become durable before submissions are refused, beside one for each machine: a fleet that comes up at once
 /// is no backlog.
 const BACKLOG_LIMIT: usize = 5000;
@@ -92,7 +89,7 @@
     /// Machines that the cloud takes back.
     reclaimed_machines: BTreeSet<MachineId>,
     /// Finished attempts that workers may forget once their finish is durable.
-    unconfirmed_finishes: HashMap<TaskId, (MachineId, AttemptNumber)>,
+    unconfirmed_finishes: HashMap<TaskId, UnconfirmedFinish>,
     /// Attempts that this leader has numbered.
     attempt_counter: u64,
     last_health_check_at: Timestamp,
@@ -265,7 +262,7 @@
         if !self.is_loaded() {
             return;
         }
-        self.reachability.unreached_for = self.reachability.unreached_for + passed;
+        self.reachability.time_passed(passed);
         if self.log.snapshot_due() {
             let mut facts: Vec<LogRecord> = self
                 .machines
@@ -305,12 +302,6 @@
         self.flush(now, out);
     }
 
-    /// Direct commands that may be under way: fewer when behind, since reports do the same, only later.
-    pub(crate) fn commands_at_once(&self) -> usize {
-        let most = self.settings.deployment.resources.commands_at_once();
-        (most / (1 + self.planning.pacing.input_delay.as_millis() as usize / 50)).max(FEW_COMMANDS)
-    }
-
     /// Sends what is to be sent at once: direct commands and due commits.
     pub(crate) fn flush(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
@@ -320,12 +311,7 @@
                 out.push(Effect::QueryStore(StoreCaller::WriteAheadLog(self.token.0), id, call));
             }
         }
-        let most = self.commands_at_once();
-        while self.command_dispatch.in_flight < most
-            && let Some(id) = self.command_dispatch.waiting.pop_first()
-        {
-            self.send_direct_command(now, id, false, out);
-        }
+        self.send_waiting_commands(now, out);
     }
 }
 
--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -2,11 +2,16 @@
 
 use crate::effects::Effect;
 use crate::leader::Leader;
-use crate::types::{MachineId, Timestamp};
+use crate::types::{Duration, MachineId, Timestamp};
 use crate::wire::CommandBatch;
 use crate::workers::InFlightCommand;
 use std::collections::BTreeSet;
 
+/// Direct commands that may be in flight however late inputs are taken.
+const MIN_COMMANDS_IN_FLIGHT: usize = 8;
+/// With each such delay of inputs the limit of commands in flight is divided by one more.
+const INPUT_DELAY_STEP: Duration = Duration::from_millis(50);
+
 /// Direct commands that are to be sent or in flight.
 #[derive(Debug, Default)]
 pub(crate) struct CommandDispatch {
@@ -32,6 +37,24 @@
 }
 
 impl Leader {
+    /// How many direct commands may be in flight. There are fewer while inputs are taken late, since the answers to heartbeats do
+    /// the same, only later.
+    pub(crate) fn max_commands_in_flight(&self) -> usize {
+        let max_commands = self.settings.deployment.resources.commands_at_once();
+        let delay_steps = self.planning.pacing.input_delay.as_millis() / INPUT_DELAY_STEP.as_millis();
+        (max_commands / (1 + delay_steps as usize)).max(MIN_COMMANDS_IN_FLIGHT)
+    }
+
+    /// Sends commands to the machines that wait for one, as many as may be in flight.
+    pub(super) fn send_waiting_commands(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let max_commands = self.max_commands_in_flight();
+        while self.command_dispatch.in_flight < max_commands
+            && let Some(id) = self.command_dispatch.waiting.pop_first()
+        {
+            self.send_direct_command(now, id, false, out);
+        }
+    }
+
     /// Sends a direct command to a machine, one at a time to each. A machine that left one unanswered gets no more but as a
     /// `probe`: [`check_machine_health`](Leader::check_machine_health) sends one from time to time, even without commands in it.
     pub(crate) fn send_direct_command(&mut self, now: Timestamp, id: MachineId, probe: bool, out: &mut Vec<Effect>) {
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -237,7 +237,7 @@
     /// fell silent together, the others' starts waited behind theirs.
     fn send_probes(&mut self, now: Timestamp, mut probes: Probes, out: &mut Vec<Effect>) {
         probes.candidates.sort_unstable();
-        let max_commands = self.commands_at_once();
+        let max_commands = self.max_commands_in_flight();
         let max_probes = (max_commands / 2).saturating_sub(probes.in_flight);
         for candidate in probes.candidates.into_iter().take(max_probes) {
             if self.command_dispatch.in_flight < max_commands {
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -12,17 +12,29 @@
 pub(in crate::leader) struct WorkerReachability {
     /// How long nothing of ours has reached any worker, counted in ticks, so that a process that was suspended
     /// does not take its own absence for silence.
-    pub(in crate::leader) unreached_for: Duration,
+    pub(super) unreached_for: Duration,
     /// Whether anything has reached a worker since the election.
-    pub(in crate::leader) ever_reached: bool,
+    ever_reached: bool,
+}
+
+impl WorkerReachability {
+    /// Notes that this much time passed.
+    pub(in crate::leader) fn time_passed(&mut self, passed: Duration) {
+        self.unreached_for = self.unreached_for + passed;
+    }
+
+    /// Notes that something of ours reached a worker.
+    fn worker_reached(&mut self) {
+        self.unreached_for = Duration::ZERO;
+        self.ever_reached = true;
+    }
 }
 
 impl Leader {
     /// Notes that this node reaches workers, if something of ours reached this machine just now.
     pub(crate) fn update_reachability(&mut self, now: Timestamp, id: MachineId) {
         if self.machines.get(&id).is_some_and(|machine| machine.last_reached_at == now && machine.fenced) {
-            self.reachability.unreached_for = Duration::ZERO;
-            self.reachability.ever_reached = true;
+            self.reachability.worker_reached();
         }
     }
 
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -165,13 +165,4 @@
         }
         self.flush(now, out);
     }
-
-    pub(super) fn allow_forgetting(&mut self, task: TaskId) {
-        if let Some((machine, attempt)) = self.unconfirmed_finishes.remove(&task)
-            && let Some(hold) =
-                self.machines.get_mut(&machine).and_then(|m| m.attempts.get_mut(&AttemptId { attempt, task }))
-        {
-            hold.forgettable = true;
-        }
-    }
 }
--- a/src/leader/tasks.rs
+++ b/src/leader/tasks.rs
@@ -3,6 +3,8 @@
 mod adoption;
 mod exits;
 
+pub(super) use exits::UnconfirmedFinish;
+
 use super::Leader;
 use crate::gang::GangPhase;
 use crate::jobs::Placement;
--- a/src/leader/tasks/exits.rs
+++ b/src/leader/tasks/exits.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::Job;
 use crate::leader::{LEARNT_EVERY, Leader};
-use crate::types::{Duration, MachineId, TaskId, Timestamp};
+use crate::types::{AttemptId, Duration, MachineId, TaskId, Timestamp};
 use crate::wire::ExitReason;
 use crate::workers::{AttemptExit, DrainReason};
 use crate::write_ahead_log::LogRecord;
@@ -21,7 +21,24 @@
 /// Backoff after a worker refused a task.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(500);
 
+/// A finished attempt that its worker must not forget before the finish is durable: until then another leader learns of the
+/// finish from the worker alone.
+#[derive(Debug, Clone, Copy)]
+pub(in crate::leader) struct UnconfirmedFinish {
+    machine: MachineId,
+    attempt: AttemptId,
+}
+
 impl Leader {
+    /// Allows a worker to forget a finished attempt, because the finish is durable or its job has ended.
+    pub(in crate::leader) fn allow_forgetting(&mut self, task: TaskId) {
+        let Some(finish) = self.unconfirmed_finishes.remove(&task) else { return };
+        let Some(machine) = self.machines.get_mut(&finish.machine) else { return };
+        if let Some(attempt) = machine.attempts.get_mut(&finish.attempt) {
+            attempt.forgettable = true;
+        }
+    }
+
     /// Notes that an attempt ended: its task is finished or waits again.
     pub(in crate::leader) fn attempt_exited(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit) {
         let task = exit.id.task;
@@ -71,7 +88,7 @@
         if let Some(attempt) = machine.attempts.get_mut(&exit.id) {
             attempt.forgettable = false;
         }
-        self.unconfirmed_finishes.insert(task, (id, exit.id.attempt));
+        self.unconfirmed_finishes.insert(task, UnconfirmedFinish { machine: id, attempt: exit.id });
         for index in newly_finished {
             self.log.append_task_done(TaskId { job: task.job, index });
         }
