--- a/src/leader.rs
+++ b/src/leader.rs
@@ -32,7 +32,7 @@
 use crate::jobs::JobStore;
 use crate::leadership::StepDownReason;
 use crate::settings::Settings;
-use crate::types::{AttemptNumber, Duration, FencingToken, MachineId, TaskId, Timestamp, WallClock};
+use crate::types::{Duration, FencingToken, MachineId, TaskId, Timestamp, WallClock};
 use crate::upgrade::Format;
 use crate::workers::Machine;
 use crate::write_ahead_log::{LogEvent, WriteAheadLog};
@@ -45,6 +45,7 @@
 use pending_requests::PendingRequests;
 use scheduling::Planning;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use tasks::UnconfirmedFinish;
 
 /// Direct commands are given up after this time; they may still be executed later.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -79,7 +80,7 @@
     /// Machines that the cloud takes back.
     reclaimed_machines: BTreeSet<MachineId>,
     /// Finished attempts that workers may forget once their finish is durable.
-    unconfirmed_finishes: HashMap<TaskId, (MachineId, AttemptNumber)>,
+    unconfirmed_finishes: HashMap<TaskId, UnconfirmedFinish>,
     /// Attempts that this leader has numbered.
     attempt_counter: u64,
     last_health_check_at: Timestamp,
@@ -190,7 +191,7 @@
         if !self.is_loaded() {
             return;
         }
-        self.reachability.unreached_for = self.reachability.unreached_for + passed;
+        self.reachability.time_passed(passed);
         self.write_snapshot_if_due(now, wall);
         if lease_valid {
             self.tick_cloud(now, wall, out);
--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -7,9 +7,9 @@
 use crate::workers::InFlightCommand;
 use std::collections::BTreeSet;
 
-/// Direct commands that may be in flight however far a leader is behind.
-const LEAST_COMMANDS_IN_FLIGHT: usize = 8;
-/// For each so much that inputs wait, the commands that may be in flight are divided once more.
+/// Direct commands that may be in flight however late inputs are taken.
+const MIN_COMMANDS_IN_FLIGHT: usize = 8;
+/// With each such delay of inputs the limit of commands in flight is divided by one more.
 const INPUT_DELAY_STEP: Duration = Duration::from_millis(50);
 
 /// Direct commands that are to be sent or in flight.
@@ -37,18 +37,18 @@
 }
 
 impl Leader {
-    /// Direct commands that may be in flight: fewer when this node is behind, since the responses to heartbeats carry the same
-    /// commands, only later.
+    /// How many direct commands may be in flight. There are fewer while inputs are taken late, since the answers to heartbeats do
+    /// the same, only later.
     pub(crate) fn max_commands_in_flight(&self) -> usize {
-        let limit = self.settings.deployment.resources.commands_at_once();
-        let steps_behind = self.planning.pacing.input_delay.as_millis() / INPUT_DELAY_STEP.as_millis();
-        (limit / (1 + steps_behind as usize)).max(LEAST_COMMANDS_IN_FLIGHT)
+        let max_commands = self.settings.deployment.resources.commands_at_once();
+        let delay_steps = self.planning.pacing.input_delay.as_millis() / INPUT_DELAY_STEP.as_millis();
+        (max_commands / (1 + delay_steps as usize)).max(MIN_COMMANDS_IN_FLIGHT)
     }
 
-    /// Sends commands to machines that wait for one, as far as the limit allows.
+    /// Sends commands to the machines that wait for one, as many as may be in flight.
     pub(super) fn send_waiting_commands(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let limit = self.max_commands_in_flight();
-        while self.command_dispatch.in_flight < limit
+        let max_commands = self.max_commands_in_flight();
+        while self.command_dispatch.in_flight < max_commands
             && let Some(id) = self.command_dispatch.waiting.pop_first()
         {
             self.send_direct_command(now, id, false, out);
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -9,7 +9,7 @@
 use crate::leadership::StepDownReason;
 use crate::plan::Correction;
 use crate::store::ServiceResponse;
-use crate::types::{AttemptId, JobId, MachineId, Resources, TaskId, TaskIndexSet, Timestamp, WallClock};
+use crate::types::{JobId, MachineId, Resources, TaskId, TaskIndexSet, Timestamp, WallClock};
 use crate::workers::{Machine, Registration};
 use crate::write_ahead_log::{LogEvent, LogRecord, MachineRecord};
 use log::{debug, info};
@@ -191,15 +191,6 @@
         self.flush(now, out);
     }
 
-    /// The worker that finished a task may forget its attempt: the finish is durable or does not matter any more.
-    fn allow_forgetting(&mut self, task: TaskId) {
-        let Some((machine, attempt)) = self.unconfirmed_finishes.remove(&task) else { return };
-        let machine = self.machines.get_mut(&machine);
-        if let Some(finished) = machine.and_then(|machine| machine.attempts.get_mut(&AttemptId { attempt, task })) {
-            finished.forgettable = true;
-        }
-    }
-
     /// Begins a snapshot of everything that is durable, if one is due.
     pub(super) fn write_snapshot_if_due(&mut self, now: Timestamp, wall: WallClock) {
         if !self.log.snapshot_due() {
