--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -25,6 +25,9 @@
 /// Seconds beyond `OVERDUE_BOOT_TIMES` until a machine is overdue.
 const OVERDUE_MARGIN_S: f64 = 15.0;
 
+/// Why a machine is released that never sent a heartbeat.
+const DID_NOT_COME_UP: &str = "did not come up";
+
 /// The machines of one type in one zone, spot or on-demand: what the cloud rents and refuses as one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstancePool {
@@ -68,6 +71,18 @@
     pub requested_at: Timestamp,
 }
 
+impl PendingInstance {
+    /// One of the machines that a request asked for.
+    fn requested(request: &ScaleOutRequest, requested_at: Timestamp) -> PendingInstance {
+        PendingInstance {
+            machine_type: request.machine_type.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            requested_at,
+        }
+    }
+}
+
 /// What the leader is to do or to know.
 #[derive(Debug)]
 pub enum CloudEvent {
@@ -244,7 +259,7 @@
         let overdue = self.pending().filter(|(_, instance)| self.is_overdue(instance, now));
         let overdue: Vec<MachineId> = overdue.map(|(id, _)| *id).collect();
         for id in overdue {
-            self.release(id, "did not come up");
+            self.release(id, DID_NOT_COME_UP);
         }
     }
 
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -63,7 +63,7 @@
 impl CloudInstances {
     /// How many requests may be sent now beside those that are kept for what is urgent, at least one.
     #[must_use]
-    pub fn available_calls(&self) -> usize {
+    pub fn available_requests(&self) -> usize {
         (self.rate_limit.available() - RESERVED_REQUESTS).max(1.0) as usize
     }
 
@@ -218,13 +218,7 @@
         let mut rented = Vec::new();
         for id in names.iter().filter_map(|name| name.parse::<MachineId>().ok()) {
             if !is_known(id) && !self.is_gone(id) {
-                let instance = PendingInstance {
-                    machine_type: request.machine_type.clone(),
-                    zone: request.zone.clone(),
-                    spot: request.spot,
-                    requested_at: sent_at,
-                };
-                self.adopt_pending(id, instance);
+                self.adopt_pending(id, PendingInstance::requested(request, sent_at));
                 rented.push(id);
             }
         }
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -174,7 +174,7 @@
         count: u32,
         out: &mut Vec<Effect>,
     ) {
-        if self.cloud.scale_out_in_flight() || self.cloud.available_calls() == 0 {
+        if self.cloud.scale_out_in_flight() || self.cloud.available_requests() == 0 {
             return;
         }
         let pool = InstancePool::from(place);
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -45,7 +45,7 @@
         log_demands(&demands);
         let counts = self.instances_to_rent(now, &demands);
         let mut events = Vec::new();
-        for request in planned_requests(counts).into_iter().take(self.cloud.available_calls()) {
+        for request in planned_requests(counts).into_iter().take(self.cloud.available_requests()) {
             self.cloud.scale_out(now, &request.pool, request.count, &mut events);
         }
         self.apply_cloud_events(now, wall, events, out);
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -4,7 +4,7 @@
 use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::leader::scheduling::queue_priority;
-use crate::plan::QueuePriority;
+use crate::plan::{QueueEntry, QueuePriority};
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::BTreeMap;
 
@@ -77,15 +77,7 @@
         for machine in self.planning.plans.machines().filter(|machine| !machine.queue.is_empty()) {
             for (entry, start) in self.planning.plans.predicted_starts(machine.id, round.now) {
                 let job = self.jobs.get(entry.job);
-                let is_late = match start {
-                    None => true,
-                    Some(start) if entry.is_service => start > round.machine_up_at() + SERVICE_START_MARGIN,
-                    Some(start) => {
-                        let target = job.map_or(Timestamp::NEVER, |job| self.completion_target(job));
-                        start > round.machine_up_at() + BATCH_START_MARGIN && start + entry.predicted_duration > target
-                    }
-                };
-                if is_late {
+                if self.starts_late(&entry, start, round) {
                     let late = LateTasks {
                         priority: entry.queue_priority,
                         job: entry.job,
@@ -98,6 +90,17 @@
         }
     }
 
+    /// Whether a new machine would start a task of a queue sooner, and it is late without: a service always, other
+    /// tasks if they end past the target of their job.
+    fn starts_late(&self, entry: &QueueEntry, predicted_start: Option<Timestamp>, round: DemandRound) -> bool {
+        let Some(start) = predicted_start else { return true };
+        if entry.is_service {
+            return start > round.machine_up_at() + SERVICE_START_MARGIN;
+        }
+        let target = self.jobs.get(entry.job).map_or(Timestamp::NEVER, |job| self.completion_target(job));
+        start > round.machine_up_at() + BATCH_START_MARGIN && start + entry.predicted_duration > target
+    }
+
     /// Counts tasks for which no machine's queue has a place.
     fn count_unplanned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
         let startable = self.jobs.waiting().filter(|job| self.is_startable(job, round.now));
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,54 +1,55 @@
-//! The cloud: machine types, scaling out and in, and the list of machines.
+//! Messages of the cloud: machine types, scaling out and in, and the list of machines. Field names on the wire are those of the
+//! PROTOCOL page.
 
 use serde::{Deserialize, Serialize};
 
 /// A machine type as the cloud lists it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name.
+    /// Name, as requests and heartbeats give it.
     #[serde(rename = "Label")]
     pub name: String,
-    /// CPUs.
+    /// CPUs, in whole units.
     #[serde(rename = "Cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs, in whole units.
     #[serde(rename = "Cards", default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     #[serde(rename = "MemoryGb")]
     pub memory_gb: f64,
-    /// Image cache.
+    /// Size of the image cache in GB.
     #[serde(rename = "LocalGb", default)]
     pub cache_gb: f64,
-    /// Image fetch rate.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "FetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// Price per hour on demand.
     #[serde(rename = "Hourly", default)]
     pub price_per_hour: f64,
     /// Price per hour as a spot machine.
     #[serde(rename = "MarketPrice", default)]
     pub spot_price_per_hour: f64,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "BootS", default)]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones in which it is offered.
     #[serde(rename = "Yards", default)]
     pub zones: Vec<String>,
 }
 
-/// Answer of `GET /flavors`.
+/// Response to `GET /flavors`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// All machine types.
     #[serde(rename = "Builds")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// Body of `POST /hosts`.
+/// Body of `POST /hosts`: asks for machines of one pool.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
-    /// Request name, never used again.
+    /// Name of the request: a repeat under the same name rents nothing twice.
     #[serde(rename = "Hire")]
     pub request_name: String,
     /// Machine type.
@@ -57,18 +58,18 @@
     /// Zone.
     #[serde(rename = "Yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot, else on-demand.
     #[serde(rename = "Loaners")]
     pub spot: bool,
-    /// How many, 50 at most.
+    /// How many machines, at most 50.
     #[serde(rename = "HowMany")]
     pub count: u32,
 }
 
-/// Answer of `POST /hosts` and body of `POST /hosts/return`.
+/// Response to `POST /hosts` and body of `POST /hosts/return`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Machine names.
+    /// Names of the machines.
     #[serde(rename = "Hosts")]
     pub machines: Vec<String>,
 }
@@ -76,25 +77,25 @@
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name.
+    /// Machine name.
     #[serde(rename = "Ref")]
     pub machine: String,
-    /// Where its worker takes direct commands.
+    /// Where its worker takes direct commands, if that is known.
     #[serde(rename = "Endpoint", default)]
     pub endpoint: Option<String>,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "Build")]
     pub machine_type: String,
     /// Zone.
     #[serde(rename = "Yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Spot, else on-demand.
     #[serde(rename = "Loaners", default)]
     pub spot: bool,
     /// `starting`, `running` or `failed`.
     #[serde(rename = "Status")]
     pub state: String,
-    /// Age since the rental request.
+    /// Time since it was asked for, in seconds.
     #[serde(rename = "AgeS", default)]
     pub age_s: f64,
 }
@@ -105,7 +106,7 @@
     /// Machines in order of creation.
     #[serde(rename = "Hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more.
+    /// Whether more machines follow the last one.
     #[serde(rename = "More", default)]
     pub more: bool,
 }
