--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,13 +1,14 @@
 //! Jobs: submissions, their checks, and the store of all jobs.
 
 mod feasibility;
-mod spec;
+mod job;
 mod store;
 mod submission;
 
+pub use crate::job_spec::JobSpec;
 pub use feasibility::{Refusal, capacity, check_feasible};
-pub use spec::JobSpec;
-pub use store::{ApplyOutcome, Job, JobStore, Placement, TerminalState};
+pub use job::{Job, Placement};
+pub use store::{ApplyOutcome, JobStore, TerminalState};
 pub use submission::{parse_submission, submitted_job_id};
 
 #[cfg(test)]
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -126,7 +126,7 @@
     assert!(matches!(parse(&value), Err(Refusal::Malformed { field: "Reel", .. })));
 }
 
-/// A state service that lowers its limits takes values of 2 KiB: no fact of a snapshot may be larger.
+/// A key-value store that lowers its limits takes values of 2 KiB: no record of a snapshot may be larger.
 #[test]
 fn facts_of_a_snapshot_fit_into_small_values() {
     let mut jobs = JobStore::default();
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -78,7 +78,7 @@
         made.then(|| self.admission.table())
     }
 
-    /// Writes what operators can read, now and then while something is refused and once when that is over. Nobody waits for it: what is
+    /// Writes what operators can read, now and then while something is refused and once when that has ended. Nobody waits for it: what is
     /// lost is written again, or is old enough to be told from a refusal that goes on.
     pub(crate) fn write_admission_status(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let nothing_to_tell = !self.admission.is_refusing() && !self.admission_status.refusing;
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -88,7 +88,7 @@
     assert_eq!(out, [LeadershipEvent::LeaderChanged(Some("n1".into()))]);
 }
 
-/// A leader without the state service learns from its successor that it leads no more, and a node
+/// A leader without the key-value store learns from its successor that it leads no more, and a node
 /// that hears both believes the later one, in whatever order the words come.
 #[test]
 fn the_announcement_of_a_later_leader_counts_and_that_of_an_earlier_one_does_not() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,6 +16,7 @@
 #[path = "../tests/support/fixture.rs"]
 mod fixture;
 pub mod gang;
+pub mod job_spec;
 pub mod jobs;
 pub mod leader;
 pub mod leadership;
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,12 +1,12 @@
-//! Calls to the state service, as the slices ask for them.
+//! Requests to the consensus-backed key-value store, and responses of the services outside.
 
 use crate::types::{Duration, LeaseId, Revision};
 use crate::wire::{CompareAndSwap, RevisionCondition};
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 
-/// A request to the state service.
-#[derive(Debug, Clone)]
+/// A request to the key-value store.
+#[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
     /// Read one key.
     Get(String),
@@ -17,7 +17,7 @@
         /// Begin after this key.
         after: Option<String>,
     },
-    /// Change keys if conditions hold.
+    /// Write and delete keys, all or none, if conditions hold.
     CompareAndSwap(CompareAndSwap),
     /// Obtain a lease.
     GrantLease(Duration),
@@ -27,13 +27,7 @@
     RevokeLease(LeaseId),
 }
 
-impl PartialEq for StoreRequest {
-    fn eq(&self, other: &Self) -> bool {
-        format!("{self:?}") == format!("{other:?}")
-    }
-}
-
-/// An answer over HTTP; status 0 when none came.
+/// A response over HTTP of the store, the cloud or a worker; status 0 when none came.
 #[derive(Debug, Clone)]
 pub struct ServiceResponse {
     /// Status code, or 0.
@@ -43,7 +37,7 @@
 }
 
 impl ServiceResponse {
-    /// No answer: the request may have been executed, or may yet be.
+    /// No response: the request may have been executed, or may yet be.
     pub fn none() -> ServiceResponse {
         ServiceResponse { status: 0, body: Bytes::new() }
     }
@@ -55,6 +49,6 @@
 }
 
 /// A condition on a key's revision; 0: the key must not exist.
-pub fn condition(key: &str, version: Revision) -> RevisionCondition {
-    RevisionCondition { key: key.to_string(), revision: version.0 }
+pub fn condition(key: &str, revision: Revision) -> RevisionCondition {
+    RevisionCondition { key: key.to_string(), revision: revision.0 }
 }
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -1,13 +1,13 @@
 //! Upgrades: when every controller is known to run this version, and the durable formats that depend on it.
 //!
-//! During an upgrade old and new processes share the state service, and either may lead. Facts of gangs must not exist while an old
-//! process can lead, since it drops log entries with facts that it does not know and would run a gang as an ordinary array. Each new
-//! process writes a key of its own once. When the keys of all controllers are there, the leader moves the leader key in one
-//! transaction (`Leadership::move_key`); what it leaves under the old name keeps old processes from ever leading again.
+//! During an upgrade old and new processes share the key-value store, and either may lead. Records of gangs must not exist while an old
+//! process can lead, since it drops log entries with records that it does not know and would run a gang as an ordinary array. Each new
+//! process writes a key of its own once. When the keys of all controllers are there, the leader relocates the leader key in one
+//! transaction (`Leadership::request_key_relocation`); what it leaves under the old name keeps old processes from ever leading again.
 
 use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::{Duration, Revision, Timestamp};
-use crate::wire::{CompareAndSwap, KeyPage, StoreWrite};
+use crate::wire::{CompareAndSwap, KeyPage, KeyValue, StoreWrite};
 use serde_json::json;
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 pub enum Format {
     /// What the previous version reads and writes.
     One,
-    /// With facts of gangs; only processes of this version and later ones can lead.
+    /// With records of gangs; only processes of this version and later ones can lead.
     Two,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether facts of gangs may be written.
+    /// Whether records of gangs may be written.
     pub fn has_gangs(self) -> bool {
         self >= Format::Two
     }
@@ -38,45 +38,53 @@
 /// Prefix of the keys by which controllers say which format they can read.
 pub const VERSION_PREFIX: &str = "version/";
 /// The newest format that this version reads, as its key says it.
-const READS_FORMAT: u64 = 2;
+const NEWEST_READABLE_FORMAT: u64 = 2;
 /// Without an answer for so long a request is repeated.
-const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Pause after a request that failed.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// How often a leader looks for the keys of the other controllers.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const SCAN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the slice wants done or made known.
+/// What the upgrade wants done or made known.
 #[derive(Debug, PartialEq)]
 pub enum UpgradeEvent {
-    /// Ask the state service; the number comes back with the reply.
+    /// Send a request to the store; the number comes back with the response.
     Request(u64, StoreRequest),
     /// Every controller has said that it reads the newest format.
     AllUpgraded,
 }
 
+/// What the request in flight is for.
 #[derive(Debug, Clone, PartialEq)]
-enum Request {
-    Announce,
-    Look { found: BTreeSet<String> },
+enum RequestPurpose {
+    /// Writes this node's version key.
+    AnnounceVersion,
+    /// Reads the version keys.
+    ScanVersions {
+        /// Nodes that were found upgraded on the pages before.
+        upgraded: BTreeSet<String>,
+    },
 }
 
 #[derive(Debug)]
-struct InFlight {
+struct InFlightRequest {
     id: u64,
-    request: Request,
-    sent: Timestamp,
+    purpose: RequestPurpose,
+    sent_at: Timestamp,
 }
 
-/// State of the slice.
+/// A node's part in a rolling upgrade.
 #[derive(Debug)]
 pub struct Upgrade {
     node: String,
     /// All controllers of the deployment.
     controllers: BTreeSet<String>,
+    /// Whether this node's version key is known to be written.
     announced: bool,
     request_counter: u64,
-    in_flight: Option<InFlight>,
+    in_flight: Option<InFlightRequest>,
+    /// When the next request is due.
     next_action_at: Timestamp,
 }
 
@@ -93,78 +101,96 @@
         }
     }
 
-    /// Lets time pass. `looks`: this node leads under the old format and asks whether all are upgraded.
-    pub fn tick(&mut self, now: Timestamp, looks: bool, out: &mut Vec<UpgradeEvent>) {
-        if self.in_flight.as_ref().is_some_and(|f| now.since(f.sent) >= CALL_TIMEOUT) {
-            self.in_flight = None;
-        }
+    /// Lets time pass. `leads_old_format`: this node leads under the old format, and so asks whether all are upgraded.
+    pub fn tick(&mut self, now: Timestamp, leads_old_format: bool, out: &mut Vec<UpgradeEvent>) {
+        self.in_flight.take_if(|request| now.since(request.sent_at) >= REQUEST_TIMEOUT);
         if self.in_flight.is_some() || now < self.next_action_at {
             return;
         }
         if !self.announced {
             self.announce_version(now, out);
-        } else if looks {
+        } else if leads_old_format {
             self.scan_versions(now, BTreeSet::new(), None, out);
         }
     }
 
     fn announce_version(&mut self, now: Timestamp, out: &mut Vec<UpgradeEvent>) {
         let key = format!("{VERSION_PREFIX}{}", self.node);
-        let txn = CompareAndSwap {
+        let swap = CompareAndSwap {
             conditions: vec![condition(&key, Revision(0))],
-            writes: vec![StoreWrite::Put { key, value: json!({"format": READS_FORMAT}), lease: None }],
+            writes: vec![StoreWrite::Put { key, value: json!({"format": NEWEST_READABLE_FORMAT}), lease: None }],
         };
-        self.send_request(now, Request::Announce, StoreRequest::CompareAndSwap(txn), out);
+        self.send_request(now, RequestPurpose::AnnounceVersion, StoreRequest::CompareAndSwap(swap), out);
     }
 
     fn scan_versions(
         &mut self,
         now: Timestamp,
-        found: BTreeSet<String>,
+        upgraded: BTreeSet<String>,
         after: Option<String>,
         out: &mut Vec<UpgradeEvent>,
     ) {
-        let call = StoreRequest::Scan { prefix: VERSION_PREFIX.into(), after };
-        self.send_request(now, Request::Look { found }, call, out);
+        let scan = StoreRequest::Scan { prefix: VERSION_PREFIX.into(), after };
+        self.send_request(now, RequestPurpose::ScanVersions { upgraded }, scan, out);
     }
 
-    fn send_request(&mut self, now: Timestamp, request: Request, call: StoreRequest, out: &mut Vec<UpgradeEvent>) {
+    fn send_request(
+        &mut self,
+        now: Timestamp,
+        purpose: RequestPurpose,
+        request: StoreRequest,
+        out: &mut Vec<UpgradeEvent>,
+    ) {
         self.request_counter += 1;
-        self.in_flight = Some(InFlight { id: self.request_counter, request, sent: now });
-        out.push(UpgradeEvent::Request(self.request_counter, call));
+        self.in_flight = Some(InFlightRequest { id: self.request_counter, purpose, sent_at: now });
+        out.push(UpgradeEvent::Request(self.request_counter, request));
     }
 
-    /// Takes an answer of the state service.
-    pub fn handle_response(&mut self, now: Timestamp, id: u64, reply: &ServiceResponse, out: &mut Vec<UpgradeEvent>) {
-        let Some(flight) = self.in_flight.take_if(|f| f.id == id) else { return };
-        match (flight.request, reply.status) {
+    /// Takes the store's response to the request with this number.
+    pub fn handle_response(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        response: &ServiceResponse,
+        out: &mut Vec<UpgradeEvent>,
+    ) {
+        let Some(request) = self.in_flight.take_if(|request| request.id == id) else { return };
+        match (request.purpose, response.status) {
             // A key that exists is this node's own, written by this process or an earlier one.
-            (Request::Announce, 200 | 409) => self.announced = true,
-            (Request::Look { found }, 200) => match reply.parse::<KeyPage>() {
-                Some(page) => self.handle_page(now, found, page, out),
-                None => self.next_action_at = now + RETRY_AFTER,
+            (RequestPurpose::AnnounceVersion, 200 | 409) => self.announced = true,
+            (RequestPurpose::ScanVersions { upgraded }, 200) => match response.parse::<KeyPage>() {
+                Some(page) => self.handle_page(now, upgraded, page, out),
+                None => self.next_action_at = now + RETRY_PAUSE,
             },
-            _ => self.next_action_at = now + RETRY_AFTER,
+            _ => self.next_action_at = now + RETRY_PAUSE,
         }
     }
 
-    fn handle_page(&mut self, now: Timestamp, mut found: BTreeSet<String>, page: KeyPage, out: &mut Vec<UpgradeEvent>) {
-        let last = page.items.last().map(|item| item.key.clone());
-        for item in page.items {
-            let upgraded = item.value.get("format").and_then(|f| f.as_u64()).is_some_and(|f| f >= READS_FORMAT);
-            if let Some(node) = item.key.strip_prefix(VERSION_PREFIX).filter(|_| upgraded) {
-                found.insert(node.to_string());
-            }
-        }
-        if page.more && last.is_some() {
-            return self.scan_versions(now, found, last, out);
+    fn handle_page(
+        &mut self,
+        now: Timestamp,
+        mut upgraded: BTreeSet<String>,
+        page: KeyPage,
+        out: &mut Vec<UpgradeEvent>,
+    ) {
+        let last_key = page.items.last().map(|item| item.key.clone());
+        upgraded.extend(page.items.iter().filter_map(upgraded_node));
+        if page.more && last_key.is_some() {
+            return self.scan_versions(now, upgraded, last_key, out);
         }
-        self.next_action_at = now + LOOK_EVERY;
-        if self.controllers.is_subset(&found) {
+        self.next_action_at = now + SCAN_INTERVAL;
+        if self.controllers.is_subset(&upgraded) {
             out.push(UpgradeEvent::AllUpgraded);
         }
     }
 }
 
+/// The node whose version key this is, if it reads the newest format.
+fn upgraded_node(item: &KeyValue) -> Option<String> {
+    let format = item.value.get("format")?.as_u64()?;
+    let node = item.key.strip_prefix(VERSION_PREFIX)?;
+    (format >= NEWEST_READABLE_FORMAT).then(|| node.to_string())
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key as the state service returns it.
+/// A key as the key-value store returns it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
@@ -32,7 +32,7 @@
 }
 
 /// A condition of a transaction.
-#[derive(Debug, Clone, Serialize, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionCondition {
     /// Key.
     #[serde(rename = "K")]
@@ -43,7 +43,7 @@
 }
 
 /// A change of a transaction.
-#[derive(Debug, Clone, Serialize, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum StoreWrite {
     /// Put a value.
@@ -67,7 +67,7 @@
 }
 
 /// Body of `POST /txn`.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompareAndSwap {
     /// All must hold.
     #[serde(rename = "When")]
--- a/src/write_ahead_log/record.rs
+++ b/src/write_ahead_log/record.rs
@@ -1,7 +1,7 @@
 //! The records of the log. Their stored names are short, since the log is written often and kept in small values.
 
 use super::fragments::RecordFragment;
-use crate::jobs::JobSpec;
+use crate::job_spec::JobSpec;
 use crate::types::{JobId, MachineId, TaskIndexSet, WallClock};
 use serde::{Deserialize, Serialize};
 
--- a/src/write_ahead_log/tests.rs
+++ b/src/write_ahead_log/tests.rs
@@ -32,7 +32,7 @@
 }
 
 /// A thousand machines that came up together held a submission up for seconds: each commit had one value, in the
-/// order in which facts came.
+/// order in which records came.
 #[test]
 fn records_that_somebody_waits_for_go_first_and_the_rest_fills_the_request() {
     let (mut records, mut out) = (loaded(), Vec::new());
@@ -53,7 +53,7 @@
     assert!(serde_json::to_string(&txn).unwrap().len() <= 64 * 1024);
 }
 
-/// The state service may lower its limits at any moment: what is written fits before and after, and a rate falls at the first
+/// The key-value store may lower its limits at any moment: what is written fits before and after, and a rate falls at the first
 /// 429 and not sooner.
 #[test]
 fn limits_that_will_be_lowered_are_kept_now_and_a_rate_once_it_is_refused() {
