--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -39,3 +39,28 @@
     assert_eq!(cloud.pending().map(|(id, _)| *id).collect::<Vec<_>>(), [MachineId(7)]);
     assert!(cloud.recently_refused(&small_spot_pool(), Timestamp::from_millis(6000)), "only partly filled");
 }
+
+#[test]
+fn backoff_of_a_pool_without_capacity_doubles_up_to_its_limit() {
+    let mut refusals = CapacityRefusals::default();
+    let mut now = Timestamp::from_millis(1000);
+    for backoff_s in [5, 10, 20, 30, 30] {
+        let backoff = Duration::from_secs(backoff_s);
+        refusals.note_refusal(now, small_spot_pool());
+        assert!(refusals.is_avoided(&small_spot_pool(), (now + backoff).saturating_sub(Duration::from_millis(1))));
+        assert!(!refusals.is_avoided(&small_spot_pool(), now + backoff));
+        now = now + backoff;
+    }
+}
+
+#[test]
+fn success_of_a_pool_ends_its_backoff() {
+    let now = Timestamp::from_millis(1000);
+    let mut refusals = CapacityRefusals::default();
+    refusals.note_refusal(now, small_spot_pool());
+    refusals.note_refusal(now, small_spot_pool());
+    refusals.note_success(&small_spot_pool());
+    assert!(!refusals.is_avoided(&small_spot_pool(), now));
+    refusals.note_refusal(now, small_spot_pool());
+    assert!(!refusals.is_avoided(&small_spot_pool(), now + Duration::from_secs(5)), "as after a first refusal");
+}
--- a/src/leader/provisioning/solver.rs
+++ b/src/leader/provisioning/solver.rs
@@ -188,11 +188,11 @@
         let offered = offered.flat_map(|(machine_type, zone)| [true, false].map(|spot| (machine_type, zone, spot)));
         let candidates = offered
             .filter_map(|(machine_type, zone, spot)| self.candidate(machine_type, zone, spot, unmet, alike_later))
-            .filter(|candidate| unmet.demand.allows(&candidate.pool) && !(offers.is_avoided)(&candidate.pool));
+            .filter(|candidate| !(offers.is_avoided)(&candidate.pool));
         candidates.min_by_key(|candidate| (candidate.cost_per_task, candidate.supplied_cpus))
     }
 
-    /// One instance as a candidate, if it would take a task of the demand.
+    /// One instance as a candidate, if the demand allows it and it would take one of its tasks.
     fn candidate(
         &self,
         machine_type: &MachineType,
@@ -208,10 +208,14 @@
         if tasks == 0 || elsewhere {
             return None;
         }
+        let pool = InstancePool { machine_type: machine_type.name.clone(), zone: zone.to_string(), spot };
+        if !unmet.demand.allows(&pool) {
+            return None;
+        }
         let price = if spot { machine_type.spot_price_per_hour } else { machine_type.price_per_hour };
         let tasks_of_class = fitting.min(unmet.remaining + alike_later);
         Some(Candidate {
-            pool: InstancePool { machine_type: machine_type.name.clone(), zone: zone.to_string(), spot },
+            pool,
             capacity,
             tasks,
             cost_per_task: (price / f64::from(tasks_of_class) * COST_PRECISION) as u64,
