--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -4,7 +4,7 @@
 use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::leader::scheduling::queue_priority;
-use crate::plan::QueuePriority;
+use crate::plan::{PredictedStart, QueuePriority};
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::BTreeMap;
 
@@ -75,7 +75,7 @@
     /// Counts tasks that wait in a machine's queue and would start too late there.
     fn count_late_planned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
         for machine in self.planning.plans.machines().filter(|machine| !machine.queue.is_empty()) {
-            for (entry, start) in self.planning.plans.predicted_starts(machine.id, round.now) {
+            for PredictedStart { task: entry, start } in self.planning.plans.predicted_starts(machine.id, round.now) {
                 let job = self.jobs.get(entry.job);
                 let is_late = match start {
                     None => true,
@@ -137,7 +137,7 @@
         if !is_colocated_gang(job) {
             return None;
         }
-        let (machine, _) = self.planning.plans.planned_machines(job.spec.id).into_iter().next()?;
+        let machine = self.planning.plans.planned_machines(job.spec.id).into_iter().next()?.machine;
         let zone = self.planning.plans.machine(machine)?.zone;
         self.planning.names.zone_name(zone).map(str::to_string)
     }
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -6,8 +6,8 @@
 use crate::jobs::{self, Job};
 use crate::leader::Leader;
 use crate::plan::{
-    self, Correction, JobDirectory, JobProfile, PlacementBias, PlannedMachine, Plans, PredictedDurations, QueueEntry,
-    QueuePriority, ResourceRelease, ZoneAllowance,
+    self, Correction, JobDirectory, JobProfile, PlacementBias, PlannedMachine, PlannedTasks, Plans, PredictedDurations,
+    QueueEntry, QueuePriority, ResourceRelease, ZoneAllowance,
 };
 use crate::types::{AttemptId, Duration, JobId, MachineId, Resources, TaskId, Timestamp, WallClock};
 use crate::workers::{AttemptPhase, Machine, StartUncertainty, TaskAttempt};
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -52,11 +52,13 @@
             return false;
         }
         let view = self.planning_view();
-        self.planning.plans.planned_machines(job.spec.id).into_iter().all(|(id, count)| {
-            let Some(machine) = self.machines.get(&id).filter(|machine| machine.accepts_tasks()) else { return false };
-            view.allows_machine(job, id)
+        self.planning.plans.planned_machines(job.spec.id).into_iter().all(|planned| {
+            let Some(machine) = self.machines.get(&planned.machine).filter(|machine| machine.accepts_tasks()) else {
+                return false;
+            };
+            view.allows_machine(job, planned.machine)
                 && !machine.holds_job(job.spec.id)
-                && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(count)
+                && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(planned.count)
         })
     }
 
@@ -67,7 +69,7 @@
         let predicted_duration = self.predicted_gang_duration(job, &planned);
         self.log_gang_start(job, now, &planned);
         let machines: Vec<MachineId> =
-            planned.iter().flat_map(|(machine, count)| (0..*count).map(move |_| *machine)).collect();
+            planned.iter().flat_map(|tasks| (0..tasks.count).map(|_| tasks.machine)).collect();
         let attempt = self.next_attempt();
         self.planning.plans.unplan_job(id);
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
@@ -81,15 +83,15 @@
     }
 
     /// The predicted time of a gang on these machines: it runs at the speed of the slowest one.
-    fn predicted_gang_duration(&self, job: &Job, planned: &[(MachineId, u32)]) -> Option<Duration> {
+    fn predicted_gang_duration(&self, job: &Job, planned: &[PlannedTasks]) -> Option<Duration> {
         let profile = self.planning_view().job_profile(job);
-        let machines = planned.iter().filter_map(|(id, _)| self.planning.plans.machine(*id));
+        let machines = planned.iter().filter_map(|tasks| self.planning.plans.machine(tasks.machine));
         machines.filter_map(|machine| profile.predicted_duration(machine)).max()
     }
 
-    fn log_gang_start(&self, job: &Job, now: Timestamp, planned: &[(MachineId, u32)]) {
-        let has_image = |(id, _): &&(MachineId, u32)| {
-            self.machines.get(id).is_some_and(|machine| machine.images.contains(&job.spec.image))
+    fn log_gang_start(&self, job: &Job, now: Timestamp, planned: &[PlannedTasks]) {
+        let has_image = |tasks: &&PlannedTasks| {
+            self.machines.get(&tasks.machine).is_some_and(|machine| machine.images.contains(&job.spec.image))
         };
         debug!(
             "gang start requested job={} waited_s={} machines={} cached={}",
@@ -130,7 +132,7 @@
         }
         let mut new_trials = Vec::new();
         let mut preemptions = Vec::new();
-        for (id, count) in self.planning.plans.planned_machines(preempting_job) {
+        for PlannedTasks { machine: id, count } in self.planning.plans.planned_machines(preempting_job) {
             let machine = self.machines.get(&id).filter(|machine| machine.accepts_tasks())?;
             let ahead = trials.get(&id).cloned();
             let mut trial =
--- a/src/leader/scheduling/pacing/tests.rs
+++ b/src/leader/scheduling/pacing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// On the day of the flood rounds took up to 0.8 s and followed one another; reports and the renewal of the lease waited.
+/// On the day of the flood rounds took up to 0.8 s and followed one another; heartbeats and the renewal of the lease waited.
 #[test]
 fn planning_takes_a_third_of_the_time_at_the_most_however_long_rounds_are() {
     for took in [10, 100, 400, 800, 3000] {
@@ -22,7 +22,7 @@
     let mut pacing = Pacing::default();
     let full = pacing.evaluation_budget(700);
     assert_eq!(full, 20_000);
-    // Each look costs 40 microseconds, 800 ms for a full round.
+    // Each rating costs 40 microseconds, 800 ms for a full round.
     for _ in 0..10 {
         pacing.note_slow_input(Duration::from_millis(pacing.evaluation_budget(700) as u64 * 40 / 1000));
         pacing.begin_round();
@@ -38,19 +38,19 @@
         pacing.note_slow_input(Duration::from_secs(60));
         pacing.begin_round();
     }
-    assert!(pacing.evaluation_budget(700) >= 2, "some jobs are always looked at");
+    assert!(pacing.evaluation_budget(700) >= 2, "some jobs always have their turn");
 }
 
 #[test]
 fn a_node_that_is_behind_plans_less_often() {
-    let behind = |ms| Pacing { input_delay: Duration::from_millis(ms), ..Pacing::default() };
-    assert_eq!((behind(0).round_interval().as_millis(), behind(0).provisioning_interval().as_millis()), (100, 500));
+    let delayed = |ms| Pacing { input_delay: Duration::from_millis(ms), ..Pacing::default() };
+    assert_eq!((delayed(0).round_interval().as_millis(), delayed(0).provisioning_interval().as_millis()), (100, 500));
     assert_eq!(
-        (behind(300).round_interval().as_millis(), behind(300).provisioning_interval().as_millis()),
+        (delayed(300).round_interval().as_millis(), delayed(300).provisioning_interval().as_millis()),
         (700, 1100)
     );
     assert_eq!(
-        (behind(9000).round_interval().as_millis(), behind(9000).provisioning_interval().as_millis()),
+        (delayed(9000).round_interval().as_millis(), delayed(9000).provisioning_interval().as_millis()),
         (1000, 3000)
     );
 }
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -20,7 +20,7 @@
     ImageIndex, JobDirectory, JobProfile, PlacementBias, PlannedMachine, PredictedDurations, QueueEntry, QueuePriority,
     ResourceRelease, ZoneAllowance,
 };
-pub use queues::PlannedJob;
+pub use queues::{PlannedJob, PlannedTasks};
 
 use crate::types::{Duration, JobId, MachineId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -56,6 +56,15 @@
     }
 }
 
+/// When a queued task is predicted to start.
+#[derive(Debug, Clone, Copy)]
+pub struct PredictedStart {
+    /// The task, as an entry of one.
+    pub task: QueueEntry,
+    /// Its start; `None` if it is not predicted to start where it waits.
+    pub start: Option<Timestamp>,
+}
+
 /// The queues of all machines.
 #[derive(Debug, Default)]
 pub struct Plans {
@@ -85,13 +94,12 @@
         std::mem::take(&mut self.changed_machines)
     }
 
-    /// Predicted starts of all tasks in a machine's queue, in its order: each as an entry of one task, with
-    /// `None` for one that is not predicted to start there.
-    pub fn predicted_starts(&self, id: MachineId, now: Timestamp) -> Vec<(QueueEntry, Option<Timestamp>)> {
+    /// Predicted starts of all tasks in a machine's queue, in its order.
+    pub fn predicted_starts(&self, id: MachineId, now: Timestamp) -> Vec<PredictedStart> {
         let Some(machine) = self.machines.get(&id) else { return Vec::new() };
         let mut starts = Vec::new();
         simulation::simulate_queue(machine, now, |entry, start| {
-            starts.push((QueueEntry { count: 1, ..*entry }, start))
+            starts.push(PredictedStart { task: QueueEntry { count: 1, ..*entry }, start })
         });
         starts
     }
--- a/src/plan/correction.rs
+++ b/src/plan/correction.rs
@@ -2,7 +2,7 @@
 
 use crate::types::Duration;
 
-/// CorrecFAST: the average of actual over predicted time, in percent (Algorithm 2).
+/// CorrecFAST: the average of actual over predicted run time, in percent (Algorithm 2).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Correction {
     /// The value in percent.
@@ -23,14 +23,14 @@
         estimate.mul_f64(self.percent / 100.0)
     }
 
-    /// Learns from an execution that was predicted to take `predicted`.
+    /// Learns from an execution that was predicted to take `predicted`; one that was predicted to take no time says nothing.
     pub fn learn(&mut self, actual: Duration, predicted: Duration) {
         if predicted.as_millis() == 0 {
             return;
         }
-        let n = self.executions as f64;
+        let executions = self.executions as f64;
         let ratio = 100.0 * actual.as_millis() as f64 / predicted.as_millis() as f64;
-        self.percent = (n * self.percent + ratio) / (n + 1.0);
+        self.percent = (executions * self.percent + ratio) / (executions + 1.0);
         self.executions += 1;
     }
 }
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -8,8 +8,8 @@
 use super::queues::insertion_position;
 use super::simulation::{LateTasks, insertion_outcome, late_tasks};
 use super::{
-    JobDirectory, JobProfile, MAX_QUEUED_TASKS, PlannedMachine, Plans, QueueEntry, SERVICE_FINISH_GRANULARITY,
-    ZoneAllowance,
+    JobDirectory, JobProfile, MAX_QUEUED_TASKS, PlannedMachine, PlannedTasks, Plans, QueueEntry,
+    SERVICE_FINISH_GRANULARITY, ZoneAllowance,
 };
 use crate::types::{Duration, JobId, MachineId, Timestamp};
 use std::cmp::Reverse;
@@ -181,9 +181,10 @@
     /// When all planned tasks of a job are predicted to have room at once; `None` if some never have.
     pub fn common_start(&self, job: JobId, now: Timestamp) -> Option<Timestamp> {
         let mut latest = now;
-        for (id, _) in self.planned_machines(job) {
-            for (_, start) in self.predicted_starts(id, now).into_iter().filter(|(entry, _)| entry.job == job) {
-                latest = latest.max(start?);
+        for PlannedTasks { machine, .. } in self.planned_machines(job) {
+            let starts = self.predicted_starts(machine, now).into_iter();
+            for predicted in starts.filter(|predicted| predicted.task.job == job) {
+                latest = latest.max(predicted.start?);
             }
         }
         Some(latest)
--- a/src/plan/queues.rs
+++ b/src/plan/queues.rs
@@ -13,6 +13,15 @@
     tasks_by_machine: BTreeMap<MachineId, u32>,
 }
 
+/// How many tasks of a job are in one machine's queue.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PlannedTasks {
+    /// The machine.
+    pub machine: MachineId,
+    /// The number of tasks.
+    pub count: u32,
+}
+
 impl PlannedJob {
     /// The job's id.
     pub fn id(&self) -> JobId {
@@ -53,10 +62,11 @@
         self.by_priority.iter().filter_map(|(_, job)| self.planned_jobs.get(job))
     }
 
-    /// Machines in whose queues a job's tasks are, and how many in each.
-    pub fn planned_machines(&self, job: JobId) -> Vec<(MachineId, u32)> {
+    /// Machines in whose queues a job's tasks are, by id, and how many in each.
+    pub fn planned_machines(&self, job: JobId) -> Vec<PlannedTasks> {
         let Some(planned) = self.planned_jobs.get(&job) else { return Vec::new() };
-        planned.tasks_by_machine.iter().map(|(machine, count)| (*machine, *count)).collect()
+        let by_machine = planned.tasks_by_machine.iter();
+        by_machine.map(|(machine, count)| PlannedTasks { machine: *machine, count: *count }).collect()
     }
 
     /// How many of a job's tasks are in queues of each zone.
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -5,7 +5,7 @@
 const TIME_UNIT_MS: u64 = TASK_FINISH_GRANULARITY.as_millis();
 
 /// Table 1 of the paper: execution times by task and server, `None` for "np".
-struct Table;
+struct PaperTable;
 const TIMES: [[Option<u64>; 3]; 5] = [
     [Some(3), Some(5), Some(6)],
     [Some(5), Some(12), Some(9)],
@@ -13,9 +13,13 @@
     [Some(10), None, Some(17)],
     [Some(12), Some(14), None],
 ];
-fn server(id: u64) -> PlannedMachine {
+
+/// One of the paper's servers: it runs one task at a time.
+fn paper_server(id: u64) -> PlannedMachine {
     PlannedMachine { id: MachineId(id), machine_type: id as usize - 1, free: ONE, ..PlannedMachine::default() }
 }
+
+/// Room for one task.
 const ONE: Resources = Resources { cpus: 1000, gpus: 0, memory: 0 };
 
 /// The same time with and without the image.
@@ -23,7 +27,7 @@
     PredictedDurations { image_cached: duration, image_fetched: duration }
 }
 
-impl JobDirectory for Table {
+impl JobDirectory for PaperTable {
     fn profile(&self, job: JobId) -> Option<JobProfile> {
         let times = TIMES[job.0 as usize - 1];
         let durations = |time: &Option<u64>| time.map(|units| always(Duration::from_millis(units * TIME_UNIT_MS)));
@@ -56,10 +60,11 @@
     }
 }
 
-fn shown(plans: &Plans) -> String {
+/// The queues as the paper's Figure 2 draws them.
+fn queues_by_machine(plans: &Plans) -> String {
     let queues: Vec<String> = plans
         .machines()
-        .map(|s| s.queue.iter().map(|e| format!("T{}", e.job.0)).collect::<Vec<_>>().join(","))
+        .map(|machine| machine.queue.iter().map(|entry| format!("T{}", entry.job.0)).collect::<Vec<_>>().join(","))
         .collect();
     queues.join(" | ")
 }
@@ -68,7 +73,7 @@
 fn figure_2_of_the_paper_step_by_step() {
     let mut plans = Plans::default();
     for id in 1..=3 {
-        plans.add_machines(Timestamp::ZERO, vec![server(id)]);
+        plans.add_machines(Timestamp::ZERO, vec![paper_server(id)]);
     }
     let steps = [
         (task(1, 3, 15), "T1 |  | "),
@@ -78,8 +83,8 @@
         (task(5, 5, 15), "T2,T4 | T5 | T1,T3"), // T1 is fallbacked again and goes to S3
     ];
     for (task, expected) in steps {
-        assert_eq!(plans.place(Timestamp::ZERO, task, 1, &Table), 1);
-        assert_eq!(shown(&plans), expected);
+        assert_eq!(plans.place(Timestamp::ZERO, task, 1, &PaperTable), 1);
+        assert_eq!(queues_by_machine(&plans), expected);
     }
     assert_eq!(plans.planned_count(JobId(1)), 1);
 }
@@ -88,54 +93,56 @@
 fn without_a_machine_that_meets_the_deadline_the_soonest_finish_wins() {
     let mut plans = Plans::default();
     for id in 1..=3 {
-        plans.add_machines(Timestamp::ZERO, vec![server(id)]);
+        plans.add_machines(Timestamp::ZERO, vec![paper_server(id)]);
     }
-    plans.place(Timestamp::ZERO, task(3, 2, 1), 1, &Table);
-    assert_eq!(shown(&plans), "T3 |  | ");
+    plans.place(Timestamp::ZERO, task(3, 2, 1), 1, &PaperTable);
+    assert_eq!(queues_by_machine(&plans), "T3 |  | ");
 }
 
 #[test]
 fn an_idle_machine_takes_the_highest_priority_task_that_fits() {
     let mut plans = Plans::default();
-    plans.add_machines(Timestamp::ZERO, vec![server(1)]);
-    for t in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
-        plans.place(Timestamp::ZERO, t, 1, &Table);
+    plans.add_machines(Timestamp::ZERO, vec![paper_server(1)]);
+    for waiting in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
+        plans.place(Timestamp::ZERO, waiting, 1, &PaperTable);
     }
     plans.add_machines(
         Timestamp::ZERO,
-        vec![PlannedMachine { ready_at: Timestamp::from_millis(1_000_000), ..server(2) }],
+        vec![PlannedMachine { ready_at: Timestamp::from_millis(1_000_000), ..paper_server(2) }],
     );
-    let taken = plans.steal_for(MachineId(2), &|e, s| Table.profile(e.job)?.predicted_duration(s)).unwrap();
+    let taken = plans
+        .steal_for(MachineId(2), &|entry, thief| PaperTable.profile(entry.job)?.predicted_duration(thief))
+        .unwrap();
     assert_eq!(taken.job, JobId(2));
-    assert_eq!(shown(&plans), "T4,T1 | T2");
+    assert_eq!(queues_by_machine(&plans), "T4,T1 | T2");
 }
 
 #[test]
 fn tasks_behind_services_that_took_their_room_are_planned_anew() {
     let mut plans = Plans::default();
-    plans.add_machines(Timestamp::ZERO, vec![server(1)]);
-    plans.place(Timestamp::ZERO, task(1, 3, 1000), 1, &Table);
-    plans.update_machine(PlannedMachine { free: Resources::default(), ..server(1) });
+    plans.add_machines(Timestamp::ZERO, vec![paper_server(1)]);
+    plans.place(Timestamp::ZERO, task(1, 3, 1000), 1, &PaperTable);
+    plans.update_machine(PlannedMachine { free: Resources::default(), ..paper_server(1) });
     plans.unplan_stuck(Timestamp::ZERO, [MachineId(1)].into_iter());
-    assert_eq!((shown(&plans).as_str(), plans.planned_count(JobId(1))), ("", 0));
+    assert_eq!((queues_by_machine(&plans).as_str(), plans.planned_count(JobId(1))), ("", 0));
 }
 
 #[test]
 fn correcfast_follows_its_formula() {
-    let mut c = Correction::default();
-    c.learn(Duration::from_millis(150), Duration::from_millis(100));
-    assert_eq!(c, Correction { percent: 150.0, executions: 1 });
-    c.learn(Duration::from_millis(50), Duration::from_millis(100));
-    assert_eq!(c, Correction { percent: 100.0, executions: 2 });
-    c.learn(Duration::from_millis(250), Duration::from_millis(100));
-    assert_eq!(c.percent, 150.0);
-    assert_eq!(c.predict(Duration::from_millis(10)), Duration::from_millis(15));
+    let mut correction = Correction::default();
+    correction.learn(Duration::from_millis(150), Duration::from_millis(100));
+    assert_eq!(correction, Correction { percent: 150.0, executions: 1 });
+    correction.learn(Duration::from_millis(50), Duration::from_millis(100));
+    assert_eq!(correction, Correction { percent: 100.0, executions: 2 });
+    correction.learn(Duration::from_millis(250), Duration::from_millis(100));
+    assert_eq!(correction.percent, 150.0);
+    assert_eq!(correction.predict(Duration::from_millis(10)), Duration::from_millis(15));
 }
 
 /// Gangs: three zones of machines; a gang's tasks take a second each.
 struct Cluster {
     /// Whether all tasks must be in one zone.
-    together: bool,
+    colocate: bool,
 }
 
 impl JobDirectory for Cluster {
@@ -150,7 +157,7 @@
         })
     }
     fn zone_allowance(&self, _: JobId, _: &BTreeMap<usize, u32>) -> ZoneAllowance {
-        ZoneAllowance { remaining_tasks: vec![u32::MAX; 3], colocate: self.together }
+        ZoneAllowance { remaining_tasks: vec![u32::MAX; 3], colocate: self.colocate }
     }
 }
 
@@ -169,17 +176,17 @@
 
 #[test]
 fn a_gang_is_planned_as_a_whole_or_not_at_all() {
-    for (together, sizes, placed) in
+    for (colocate, sizes, placed) in
         [(true, [2, 2, 2], false), (false, [2, 2, 2], true), (true, [2, 4, 2], true), (false, [1, 1, 1], false)]
     {
         let mut plans = Plans::default();
         let machines = sizes.iter().enumerate().map(|(zone, cpus)| machine(zone as u64 + 1, zone, *cpus)).collect();
         plans.add_machines(Timestamp::ZERO, machines);
-        let world = Cluster { together };
-        assert_eq!(plans.place_gang(Timestamp::ZERO, gang(1), 4, &world), placed, "{together} {sizes:?}");
+        let jobs = Cluster { colocate };
+        assert_eq!(plans.place_gang(Timestamp::ZERO, gang(1), 4, &jobs), placed, "{colocate} {sizes:?}");
         assert_eq!(plans.planned_count(JobId(1)), if placed { 4 } else { 0 });
-        if together && placed {
-            assert_eq!(plans.planned_machines(JobId(1)), [(MachineId(2), 4)]);
+        if colocate && placed {
+            assert_eq!(plans.planned_machines(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 4 }]);
         }
     }
 }
@@ -189,14 +196,14 @@
 fn tasks_of_a_gang_do_not_wait_for_each_other() {
     let mut plans = Plans::default();
     plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2)]);
-    assert!(!plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
+    assert!(!plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { colocate: false }));
     // Behind what ends in time there is room for all at once.
     let mut busy = machine(2, 0, 1);
     let resources = Resources { cpus: 2000, gpus: 0, memory: 0 };
     busy.releases = vec![ResourceRelease { at: Timestamp::from_millis(5000), resources }];
     plans.add_machines(Timestamp::ZERO, vec![busy]);
     plans.remove_machine(MachineId(1));
-    assert!(plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { together: false }));
+    assert!(plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { colocate: false }));
     assert_eq!(plans.common_start(JobId(1), Timestamp::ZERO), Some(Timestamp::from_millis(5000)));
 }
 
@@ -210,6 +217,6 @@
         let waits = QueueEntry { predicted_duration: Duration::from_millis(10 * TIME_UNIT_MS), ..task(number, 1, 11) };
         plans.enqueue(MachineId(1), waits);
     }
-    assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { together: true }));
-    assert_eq!(plans.planned_machines(JobId(1)), [(MachineId(2), 2)]);
+    assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { colocate: true }));
+    assert_eq!(plans.planned_machines(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 2 }]);
 }
