--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -16,14 +16,29 @@
 #[derive(Debug, Default)]
 pub(crate) struct CommandDispatch {
     /// Machines to which a command should be sent soon.
-    pub(crate) waiting: BTreeSet<MachineId>,
+    waiting: BTreeSet<MachineId>,
     /// Commands that were sent and have neither an answer nor timed out.
-    pub(crate) in_flight: usize,
+    in_flight: usize,
     /// Commands that were sent by this leader; numbers them.
-    pub(crate) issued: u64,
+    issued: u64,
 }
 
 impl CommandDispatch {
+    /// Requests that a command is sent to a machine soon.
+    pub(super) fn request(&mut self, id: MachineId) {
+        self.waiting.insert(id);
+    }
+
+    /// Requests that a command is sent to each of these machines soon.
+    pub(super) fn request_all(&mut self, ids: impl IntoIterator<Item = MachineId>) {
+        self.waiting.extend(ids);
+    }
+
+    /// How many commands are in flight.
+    pub(super) fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
     /// The number of the next command.
     fn next_id(&mut self) -> u64 {
         self.issued += 1;
--- a/src/leader/failure_detection.rs
+++ b/src/leader/failure_detection.rs
@@ -11,7 +11,6 @@
 mod zones;
 
 pub(super) use isolation::WorkerReachability;
-pub(crate) use zones::LostZone;
 pub(super) use zones::ZoneHealth;
 
 use crate::types::Duration;
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -197,7 +197,7 @@
             release_unreached_after: times.release_unreached_after(),
             lease_expired_after: times.lease_expired_after(),
             node_isolated,
-            mostly_unfenced_zones: self.unfenced_zones(),
+            mostly_unfenced_zones: self.mostly_unfenced_zones(),
             unresponsive_zones: self.unresponsive_zones(),
             zones: &self.zones,
         };
@@ -240,7 +240,7 @@
         let max_commands = self.max_commands_in_flight();
         let max_probes = (max_commands / 2).saturating_sub(probes.in_flight);
         for candidate in probes.candidates.into_iter().take(max_probes) {
-            if self.command_dispatch.in_flight < max_commands {
+            if self.command_dispatch.in_flight() < max_commands {
                 self.send_direct_command(now, candidate.machine, true, out);
             }
         }
--- a/src/leader/failure_detection/zones.rs
+++ b/src/leader/failure_detection/zones.rs
@@ -13,19 +13,19 @@
 /// A machine that is reached this long after an outage was seen last shows that its zone is back.
 const RECOVERY_MARGIN: Duration = Duration::from_millis(250);
 
-/// A zone most of whose machines are out of reach.
+/// A time in which a zone is out of reach.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct LostZone {
-    /// Since when.
-    pub since: Timestamp,
-    /// When that was seen last.
-    pub seen: Timestamp,
+pub(in crate::leader) struct ZoneOutage {
+    /// When it was detected.
+    pub(super) since: Timestamp,
+    /// When the zone was last found out of reach.
+    last_seen_at: Timestamp,
 }
 
-impl LostZone {
+impl ZoneOutage {
     /// Whether it is still out of reach.
     fn lasts(&self, now: Timestamp) -> bool {
-        now.since(self.seen) < OUTAGE_EXPIRY
+        now.since(self.last_seen_at) < OUTAGE_EXPIRY
     }
 }
 
@@ -36,7 +36,7 @@
     /// leases of its machines alive.
     pub(in crate::leader) recent_leader_zones: BTreeSet<String>,
     /// Zones that are, or were, out of reach.
-    pub(in crate::leader) unreachable: HashMap<String, LostZone>,
+    pub(in crate::leader) unreachable: HashMap<String, ZoneOutage>,
     /// Zones in which no machine is up while others have several.
     pub(in crate::leader) empty: BTreeSet<String>,
     /// Those of them where machines fell silent or do not come up.
@@ -45,7 +45,7 @@
 
 impl ZoneHealth {
     /// The zone's outage that lasts now, if there is one.
-    pub(super) fn current_outage(&self, now: Timestamp, zone: &str) -> Option<&LostZone> {
+    pub(super) fn current_outage(&self, now: Timestamp, zone: &str) -> Option<&ZoneOutage> {
         self.unreachable.get(zone).filter(|outage| outage.lasts(now))
     }
 
@@ -55,11 +55,22 @@
         self.unreachable.retain(|zone, outage| {
             let is_back = zones
                 .get(zone.as_str())
-                .is_some_and(|reachability| reachability.last_reached_at.since(outage.seen) > RECOVERY_MARGIN);
+                .is_some_and(|reachability| reachability.last_reached_at.since(outage.last_seen_at) > RECOVERY_MARGIN);
             !is_back
         });
     }
 
+    /// Whether a zone was found out of reach within this time.
+    pub(in crate::leader) fn unreachable_within(&self, now: Timestamp, zone: &str, span: Duration) -> bool {
+        self.unreachable.get(zone).is_some_and(|outage| now.since(outage.last_seen_at) < span)
+    }
+
+    /// Notes that an instance in a zone without machines does not come up, so that the zone counts as out of reach.
+    pub(in crate::leader) fn note_late_instance(&mut self, now: Timestamp, zone: &str) {
+        let outage = self.unreachable.entry(zone.to_string());
+        outage.or_insert(ZoneOutage { since: now, last_seen_at: now }).last_seen_at = now;
+    }
+
     /// Notes that a zone is out of reach now.
     fn note_outage(&mut self, now: Timestamp, zone: &str, reachability: &ZoneReachability) {
         let since = self.current_outage(now, zone).map(|outage| outage.since);
@@ -69,7 +80,7 @@
                 reachability.machines, reachability.unreached
             );
         }
-        self.unreachable.insert(zone.to_string(), LostZone { since: since.unwrap_or(now), seen: now });
+        self.unreachable.insert(zone.to_string(), ZoneOutage { since: since.unwrap_or(now), last_seen_at: now });
     }
 }
 
@@ -135,7 +146,7 @@
     }
 
     /// Zones most of whose machines are not fenced yet.
-    pub(crate) fn unfenced_zones(&self) -> BTreeSet<String> {
+    pub(crate) fn mostly_unfenced_zones(&self) -> BTreeSet<String> {
         #[derive(Default)]
         struct Fenced {
             machines: usize,
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -120,7 +120,7 @@
     /// tells the worker our fencing token, and it says so at once.
     fn request_fencing_proof(&mut self, id: MachineId) {
         if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_answered()) {
-            self.command_dispatch.waiting.insert(id);
+            self.command_dispatch.request(id);
         }
     }
 
@@ -186,7 +186,7 @@
         self.register_machine(lease_valid, id);
         if answered {
             // More commands may have been requested in the meantime, or it is not fenced yet.
-            self.command_dispatch.waiting.insert(id);
+            self.command_dispatch.request(id);
         }
         self.schedule_if_due(now, wall, lease_valid, out);
         self.flush(now, out);
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -47,7 +47,7 @@
                     for job in jobs {
                         self.planning.arrivals.record(job.submitted_at, &job.spec);
                     }
-                    self.command_dispatch.waiting.extend(self.machines.keys());
+                    self.command_dispatch.request_all(self.machines.keys().copied());
                     self.planning.changed_machines.extend(self.machines.keys());
                     self.flush(now, out);
                 }
--- a/src/leader/provisioning/expected_services.rs
+++ b/src/leader/provisioning/expected_services.rs
@@ -56,7 +56,7 @@
     pub(super) fn replicas_held_back(&self, now: Timestamp) -> u64 {
         if self.all_machines_fenced()
             || now.since(self.leader_since) < HEARTBEATS_AFTER_ELECTION
-            || self.unfenced_zones().is_subset(&self.zones.recent_leader_zones)
+            || self.mostly_unfenced_zones().is_subset(&self.zones.recent_leader_zones)
         {
             return 0;
         }
--- a/src/leader/provisioning/zones.rs
+++ b/src/leader/provisioning/zones.rs
@@ -3,7 +3,6 @@
 use super::ZONE_AVOIDANCE;
 use crate::cloud::InstancePool;
 use crate::leader::Leader;
-use crate::leader::failure_detection::LostZone;
 use crate::types::{Duration, Timestamp};
 use crate::wire::MachineType;
 use std::collections::{BTreeSet, HashMap};
@@ -20,7 +19,7 @@
 impl Leader {
     /// Whether most machines of a zone were seen silent, or not coming up, within this time.
     pub(super) fn zone_unreachable_within(&self, zone: &str, now: Timestamp, span: Duration) -> bool {
-        self.zones.unreachable.get(zone).is_some_and(|lost| now.since(lost.seen) < span)
+        self.zones.unreachable_within(now, zone, span)
     }
 
     /// Whether a machine is on its way in a zone.
@@ -64,8 +63,7 @@
         for (_, instance) in self.cloud.pending().filter(|(_, instance)| empty_zones.contains(&instance.zone)) {
             let limit_s = self.cloud.boot_s(&instance.machine_type) * LATE_BOOT_TIMES + LATE_MARGIN_S;
             if now.since(instance.requested_at) > Duration::from_secs_f64(limit_s) {
-                let lost = self.zones.unreachable.entry(instance.zone.clone());
-                lost.or_insert(LostZone { since: now, seen: now }).seen = now;
+                self.zones.note_late_instance(now, &instance.zone);
             }
         }
     }
