--- a/crates/disruption/src/budget.rs
+++ b/crates/disruption/src/budget.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// What a budget is for.
+/// The work that a budget covers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
     /// All of a team's work.
@@ -40,32 +40,32 @@
 }
 
 /// The scopes that a task of a class is charged to.
-pub fn scopes_of(class: &TaskClass) -> [Scope; 2] {
+pub fn scopes_for_class(class: &TaskClass) -> [Scope; 2] {
     [Scope::Class(class.clone()), Scope::Team(class.team.clone())]
 }
 
 /// How many replicas or tasks may be unavailable at once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Limit {
-    /// So many.
+    /// This many.
     Count(u32),
-    /// This share of what is wanted, rounded down, so that never more than the share is out.
+    /// This share of what is desired, rounded down, so that never more than the share is unavailable.
     Share {
         /// From 0 to 1.
         share: f64,
-        /// So many at least; 0 where operators state a share, which is then kept whatever it comes to.
+        /// Lower bound; 0 where operators state a share, which is then kept whatever it comes to.
         at_least: u32,
     },
 }
 
 impl Limit {
-    /// The limit where so much is wanted.
-    pub fn of(&self, wanted: u32) -> u32 {
+    /// The limit where so many tasks are desired.
+    pub fn resolve(&self, desired: u32) -> u32 {
         // Shares such as 0.29 have no exact binary form: 0.29 of 100 must be 29.
         const ROUNDING: f64 = 1e-9;
         match *self {
             Limit::Count(count) => count,
-            Limit::Share { share, at_least } => ((f64::from(wanted) * share + ROUNDING) as u32).max(at_least),
+            Limit::Share { share, at_least } => ((f64::from(desired) * share + ROUNDING) as u32).max(at_least),
         }
     }
 }
@@ -91,13 +91,22 @@
     Always,
 }
 
-/// What a team states for all of its work or for a class. What is not stated is taken from the team, then from the default.
+/// A limit that applies within a window.
+#[derive(Debug, Clone, PartialEq)]
+pub struct WindowLimit {
+    /// When it applies.
+    pub window: Window,
+    /// The limit.
+    pub limit: Limit,
+}
+
+/// The settings of a team for all of its work or for a class. What is not stated is taken from the team, then from the default.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Budget {
-    /// How much may be unavailable at once.
+    /// How many tasks may be unavailable at once.
     pub max_unavailable: Option<Limit>,
     /// Stricter limits, by window.
-    pub windows: Vec<(Window, Limit)>,
+    pub windows: Vec<WindowLimit>,
     /// Least time between two evictions.
     pub min_interval: Option<Duration>,
     /// How long batch tasks are left to end.
@@ -112,21 +121,21 @@
 pub const DEFAULT_BATCH_WAIT: Duration = Duration::from_secs(600);
 /// By default only tasks that lose little are stopped.
 pub const DEFAULT_BATCH_EVICTION: BatchEviction = BatchEviction::Checkpointed;
-/// Share of all machines that may be emptied at once by default.
-pub const DEFAULT_PARALLEL: Limit = Limit::Share { share: 0.1, at_least: 1 };
+/// Share of all machines that may be drained at once by default.
+pub const DEFAULT_MAX_DRAINING_MACHINES: Limit = Limit::Share { share: 0.1, at_least: 1 };
 
 /// All budgets of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// Whether operators' drains are carried out and voluntary stops pass the budgets.
+    /// Whether operators' drains are carried out and voluntary evictions are checked against the budgets.
     pub enabled: bool,
-    /// How many machines may be emptied at once.
-    pub parallel: Limit,
+    /// How many machines may be drained at once.
+    pub max_draining_machines: Limit,
     /// How far the time of day may be off.
     pub clock_error: Duration,
-    /// What teams state.
+    /// Budgets of teams.
     pub teams: BTreeMap<String, Budget>,
-    /// What they state for classes.
+    /// Budgets of classes.
     pub classes: BTreeMap<TaskClass, Budget>,
 }
 
@@ -134,7 +143,7 @@
     fn default() -> Policy {
         Policy {
             enabled: false,
-            parallel: DEFAULT_PARALLEL,
+            max_draining_machines: DEFAULT_MAX_DRAINING_MACHINES,
             clock_error: Duration::ZERO,
             teams: BTreeMap::new(),
             classes: BTreeMap::new(),
@@ -143,7 +152,7 @@
 }
 
 impl Policy {
-    fn stated(&self, scope: &Scope) -> Option<&Budget> {
+    fn budget_for(&self, scope: &Scope) -> Option<&Budget> {
         match scope {
             Scope::Team(team) => self.teams.get(team),
             Scope::Class(class) => self.classes.get(class),
@@ -153,8 +162,8 @@
     /// The limit of a scope outside of windows; `None`: no limit of its own.
     ///
     /// A class without a statement has the default, unless its team states a limit, which is then the only one.
-    pub fn limit(&self, scope: &Scope) -> Option<Limit> {
-        let stated = self.stated(scope).and_then(|budget| budget.max_unavailable);
+    pub fn standing_limit(&self, scope: &Scope) -> Option<Limit> {
+        let stated = self.budget_for(scope).and_then(|budget| budget.max_unavailable);
         match scope {
             Scope::Team(_) => stated,
             Scope::Class(class) => stated.or_else(|| {
@@ -165,7 +174,7 @@
     }
 
     /// Scopes for which operators state that nothing may be unavailable at any time.
-    pub fn without_budget(&self) -> Vec<Scope> {
+    pub fn scopes_with_zero_budget(&self) -> Vec<Scope> {
         let none = |budget: &Budget| {
             matches!(budget.max_unavailable, Some(Limit::Count(0) | Limit::Share { share: 0.0, at_least: 0 }))
         };
@@ -174,31 +183,31 @@
         teams.chain(classes.map(|(class, _)| Scope::Class(class.clone()))).collect()
     }
 
-    /// How much of a scope may be unavailable at this time; `None`: no limit of its own.
-    pub fn allowed(&self, scope: &Scope, wanted: u32, wall: WallClock) -> Option<u32> {
-        let windows = self.stated(scope).into_iter().flat_map(|budget| &budget.windows);
-        let in_force = windows.filter(|(window, _)| window.may_contain(wall, self.clock_error));
-        let limits = self.limit(scope).into_iter().chain(in_force.map(|(_, limit)| *limit));
-        limits.map(|limit| limit.of(wanted)).min()
+    /// How many tasks of a scope may be unavailable at this time; `None`: no limit of its own.
+    pub fn max_unavailable(&self, scope: &Scope, desired: u32, wall: WallClock) -> Option<u32> {
+        let windows = self.budget_for(scope).into_iter().flat_map(|budget| &budget.windows);
+        let in_force = windows.filter(|limited| limited.window.may_contain(wall, self.clock_error));
+        let limits = self.standing_limit(scope).into_iter().chain(in_force.map(|limited| limited.limit));
+        limits.map(|limit| limit.resolve(desired)).min()
     }
 
     /// The least time between two evictions of a scope.
     pub fn min_interval(&self, scope: &Scope) -> Duration {
-        self.stated(scope).and_then(|budget| budget.min_interval).unwrap_or_default()
+        self.budget_for(scope).and_then(|budget| budget.min_interval).unwrap_or_default()
     }
 
     /// How long a class's batch tasks are left to end.
     pub fn batch_wait(&self, class: &TaskClass) -> Duration {
-        self.of_class(class, |budget| budget.batch_wait).unwrap_or(DEFAULT_BATCH_WAIT)
+        self.class_setting(class, |budget| budget.batch_wait).unwrap_or(DEFAULT_BATCH_WAIT)
     }
 
     /// Which batch tasks of a class may be stopped afterwards.
     pub fn batch_eviction(&self, class: &TaskClass) -> BatchEviction {
-        self.of_class(class, |budget| budget.batch_eviction).unwrap_or(DEFAULT_BATCH_EVICTION)
+        self.class_setting(class, |budget| budget.batch_eviction).unwrap_or(DEFAULT_BATCH_EVICTION)
     }
 
-    /// What a class states, else what its team does.
-    fn of_class<T>(&self, class: &TaskClass, field: impl Fn(&Budget) -> Option<T>) -> Option<T> {
+    /// A setting of a class, else of its team.
+    fn class_setting<T>(&self, class: &TaskClass, field: impl Fn(&Budget) -> Option<T>) -> Option<T> {
         let own = self.classes.get(class).and_then(&field);
         own.or_else(|| self.teams.get(&class.team).and_then(&field))
     }
--- a/crates/disruption/src/coordinator.rs
+++ b/crates/disruption/src/coordinator.rs
@@ -1,127 +1,81 @@
-//! The leader's view of all drains: what is charged, which machines are being emptied, and what comes next.
+//! The leader's state of all drains: what is charged to budgets, which machines are being drained, and what comes next.
 //!
-//! Each round settles what is over, follows the operators, stops what is charged durably, and charges what the budgets leave. A
-//! task is told to stop only in a round after its charge was written, and only if the budgets still allow it then.
+//! Each reconciliation releases what has ended, follows the operators, evicts what is charged durably, and charges what the
+//! budgets leave. A task is told to stop only in a reconciliation after its charge was written, and only if the budgets still
+//! allow it then.
 
 mod charges;
-mod durable;
-mod operators;
-mod steps;
-
-use crate::allowance::{Allowances, LastEvictions};
-use crate::budget::{Policy, TaskClass};
+mod consolidation;
+mod context;
+mod evictions;
+mod machine_drain;
+mod machine_selection;
+mod persistence;
+mod replacements;
+mod requests;
+mod statuses;
+
+use crate::allowance::{Allowances, ChargedTasks, DisruptionState, LastEvictions};
+use crate::budget::Policy;
 use crate::drain::Drain;
-use crate::fleet::{ChargeState, Demand, Fleet, InstancePool};
-use crate::records::{Charge, Phase, Status};
-use crate::store::Store;
-use caperstile_types::{AttemptId, JobId, MachineId, Timestamp, WallClock};
+use crate::effect::{Effect, UnplaceableReplica};
+use crate::fleet::Fleet;
+use crate::instance_pool::InstancePool;
+use crate::record_store::{ObservedRequest, RecordStore};
+use crate::records::{BudgetCharge, DrainPhase, DrainStatus};
+use caperstile_types::{MachineId, Timestamp, WallClock};
+use context::ReconcileContext;
+use machine_drain::MachineDrain;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is told to stop.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stop {
-    /// One task.
-    Task {
-        /// Its machine.
-        machine: MachineId,
-        /// The attempt.
-        key: AttemptId,
-    },
-    /// All tasks of a gang.
-    Gang(JobId),
-}
-
-/// What a round wants done.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Effect {
-    /// Plan nothing more on this machine, and return it once it is empty.
-    Cordon(MachineId),
-    /// Plan on it again.
-    Uncordon(MachineId),
-    /// Stop a task, or a gang.
-    Stop(Stop),
-    /// Rent so many machines.
-    Rent(InstancePool, u32),
-}
-
-/// A machine that is being emptied.
-#[derive(Debug, Clone, Default)]
-struct Emptying {
-    /// For which drain; none: consolidation.
-    drain: Option<String>,
-    since: WallClock,
-    charges: BTreeSet<Charge>,
-    /// Charges whose tasks this leader told to stop.
-    commanded: BTreeSet<Charge>,
-    /// Its drain was called off: it takes work again, and only its charges are still counted.
-    released: bool,
-}
-
-impl Emptying {
-    /// Whether it is to be emptied further: its drain runs, or it is being consolidated.
-    fn goes_on(&self, drains: &BTreeMap<String, Drain>) -> bool {
-        let runs = |name: &String| drains.get(name).is_some_and(Drain::runs);
-        !self.released && self.drain.as_ref().is_none_or(runs)
-    }
-}
-
-/// What a round knows and gathers.
-struct Round<'a> {
-    now: Timestamp,
-    wall: WallClock,
-    fleet: &'a dyn Fleet,
-    demand: BTreeMap<TaskClass, Demand>,
-    /// For whom or what each drain waits.
-    waits: BTreeMap<String, Vec<String>>,
-    effects: Vec<Effect>,
-}
-
-impl Round<'_> {
-    /// Notes why a drain waits.
-    fn wait(&mut self, drain: Option<&String>, reason: String) {
-        if let Some(name) = drain {
-            self.waits.entry(name.clone()).or_default().push(reason);
-        }
-    }
+/// What the state service takes from the drains.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StoreLimits {
+    /// Longest value in bytes.
+    pub max_value_bytes: usize,
+    /// Most changes in a transaction.
+    pub max_operations: usize,
+    /// Changes a second.
+    pub writes_per_second: f64,
 }
 
 /// State of all drains under one leader.
 #[derive(Debug)]
 pub struct Coordinator {
     policy: Policy,
-    store: Store,
-    value_bytes: usize,
-    restored: bool,
+    store: RecordStore,
+    max_value_bytes: usize,
+    records_restored: bool,
     drains: BTreeMap<String, Drain>,
-    emptying: BTreeMap<MachineId, Emptying>,
-    last: LastEvictions,
-    /// Replicas for which no room was found in the last round, with their machines.
-    without_room: Vec<(MachineId, AttemptId)>,
-    told: Timestamp,
+    machine_drains: BTreeMap<MachineId, MachineDrain>,
+    last_evictions: LastEvictions,
+    /// Replicas for which no room was found in the last reconciliation.
+    unplaceable: Vec<UnplaceableReplica>,
+    statuses_updated_at: Timestamp,
 }
 
 impl Coordinator {
-    /// A leader's, at the begin of its term. `value_bytes`, `ops` and `rate` are what the state service takes.
-    pub fn new(policy: Policy, now: Timestamp, value_bytes: usize, ops: usize, rate: f64) -> Coordinator {
+    /// The state of a leader that was just elected; it reads the records before it decides anything.
+    pub fn new(policy: Policy, now: Timestamp, limits: StoreLimits) -> Coordinator {
         Coordinator {
             policy,
-            store: Store::new(now, ops, rate),
-            value_bytes,
-            restored: false,
+            store: RecordStore::new(now, limits.max_operations, limits.writes_per_second),
+            max_value_bytes: limits.max_value_bytes,
+            records_restored: false,
             drains: BTreeMap::new(),
-            emptying: BTreeMap::new(),
-            last: LastEvictions::new(now),
-            without_room: Vec::new(),
-            told: Timestamp::ZERO,
+            machine_drains: BTreeMap::new(),
+            last_evictions: LastEvictions::new(now),
+            unplaceable: Vec::new(),
+            statuses_updated_at: Timestamp::ZERO,
         }
     }
 
     /// The durable records.
-    pub fn store(&mut self) -> &mut Store {
+    pub fn record_store(&mut self) -> &mut RecordStore {
         &mut self.store
     }
 
-    /// Takes other budgets over. What is out already counts against them.
+    /// Replaces the budgets. What is unavailable already counts against them.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
@@ -131,118 +85,132 @@
         self.policy.enabled
     }
 
-    /// Whether there is nothing to do in a round.
+    /// Whether there is nothing to do in a reconciliation.
     pub fn is_idle(&self) -> bool {
-        let answered = |(name, asked): (&String, &crate::store::Asked)| {
-            self.drains.get(name).is_some_and(|drain| drain.status.request == asked.revision)
+        let followed = |(name, observed): (&String, &ObservedRequest)| {
+            self.drains.get(name).is_some_and(|drain| drain.status.request_revision == observed.revision)
         };
-        let live = self.drains.values().any(|drain| drain.status.phase.is_live());
+        let any_open = self.drains.values().any(|drain| drain.status.phase.is_open());
         !self.policy.enabled
-            || (self.restored
-                && self.emptying.is_empty()
-                && self.store.settled()
-                && !live
-                && self.store.requests().iter().all(answered))
+            || (self.records_restored
+                && self.machine_drains.is_empty()
+                && self.store.is_reconciled()
+                && !any_open
+                && self.store.requests().iter().all(followed))
     }
 
-    /// How a drain stands.
-    pub fn status(&self, name: &str) -> Option<&Status> {
+    /// The status of a drain.
+    pub fn drain_status(&self, name: &str) -> Option<&DrainStatus> {
         self.drains.get(name).map(|drain| &drain.status)
     }
 
     /// Whether a machine belongs to a drain that runs.
-    pub fn is_member(&self, id: MachineId) -> bool {
-        self.drains.values().any(|drain| drain.runs() && drain.members.contains_key(&id))
+    pub fn is_member(&self, machine: MachineId) -> bool {
+        self.drains.values().any(|drain| drain.is_running() && drain.members.contains_key(&machine))
     }
 
-    /// Replicas that wait for room, which is to be rented for them, with their machines.
-    pub fn without_room(&self) -> &[(MachineId, AttemptId)] {
-        &self.without_room
+    /// Replicas that wait for room, which is to be rented for them.
+    pub fn unplaceable_replicas(&self) -> &[UnplaceableReplica] {
+        &self.unplaceable
     }
 
     /// Whether a machine was rented to replace one of a running drain, so that it is kept although it is idle.
-    pub fn keeps_idle(&self, id: MachineId, place: &InstancePool, rented_at: WallClock) -> bool {
+    pub fn retains_replacement(&self, machine: MachineId, pool: &InstancePool, rented_at: WallClock) -> bool {
         let replaces = |drain: &Drain| {
-            drain.runs()
-                && drain.replaces()
+            drain.is_running()
+                && drain.replaces_machines()
                 && rented_at >= drain.status.accepted_at
-                && !drain.members.contains_key(&id)
-                && drain.members.values().any(|member| member.place == *place)
+                && !drain.members.contains_key(&machine)
+                && drain.members.values().any(|member| member.pool == *pool)
         };
         self.drains.values().any(replaces)
     }
 
-    /// One round; to be called again after each write.
-    pub fn round(&mut self, now: Timestamp, wall: WallClock, fleet: &dyn Fleet) -> Vec<Effect> {
-        if !self.policy.enabled || !self.store.loaded() {
+    /// Reconciles drains with the fleet once; to be called periodically and after each write of the record store.
+    pub fn reconcile(&mut self, now: Timestamp, wall: WallClock, fleet: &dyn Fleet) -> Vec<Effect> {
+        if !self.policy.enabled || !self.store.is_loaded() {
             return Vec::new();
         }
-        if !self.restored {
+        if !self.records_restored {
             self.restore();
         }
-        let demand = fleet.demand();
-        let mut round = Round { now, wall, fleet, demand, waits: BTreeMap::new(), effects: Vec::new() };
-        self.follow_requests(&round);
-        self.release_cancelled(&mut round);
-        self.without_room.clear();
-        if fleet.settled() {
-            self.settle(fleet);
-            self.step(&mut round);
+        let mut context = ReconcileContext::new(now, wall, fleet);
+        self.follow_requests(&context);
+        self.release_cancelled(&mut context);
+        self.unplaceable.clear();
+        if fleet.is_complete() {
+            self.release_finished(fleet);
+            self.advance(&mut context);
         } else {
-            self.wait_all(&mut round, "machines that an earlier leader commanded have not answered yet");
+            self.note_wait_for_all(&mut context, "machines that an earlier leader commanded have not answered yet");
         }
-        self.cordon(&mut round);
-        self.tell(&round);
-        self.keep();
-        round.effects
+        self.cordon_machines(&mut context);
+        self.update_statuses(&context);
+        self.update_desired_records();
+        context.effects
     }
 
-    fn step(&mut self, round: &mut Round<'_>) {
-        let goes_on = |emptying: &Emptying| emptying.goes_on(&self.drains);
-        let active = self.emptying.values().any(goes_on) || self.drains.values().any(Drain::runs);
-        if !active {
+    /// Evicts, charges and starts to drain what the budgets allow.
+    fn advance(&mut self, context: &mut ReconcileContext<'_>) {
+        let any_active = self.active_machine_drains().next().is_some() || self.drains.values().any(Drain::is_running);
+        if !any_active {
             return;
         }
-        if let Some(zone) = round.fleet.lost_zone() {
-            return self.wait_all(round, &format!("zone {zone} is out of reach"));
+        if let Some(zone) = context.fleet.unreachable_zone() {
+            return self.note_wait_for_all(context, &format!("zone {zone} is out of reach"));
         }
-        self.drop_what_exceeds(round);
-        self.command(round);
-        // Again, since charges were dropped and evictions noted.
-        let mut allowances = self.allowances(round);
-        self.charge_more(round, &mut allowances);
-        self.begin(round, &mut allowances);
+        self.drop_excess_charges(context);
+        self.evict_durably_charged(context);
+        // Again, since charges were dropped and evictions recorded.
+        let mut allowances = self.allowances(context);
+        self.charge_evictions(context, &mut allowances);
+        self.start_machine_drains(context, &mut allowances);
     }
 
-    fn wait_all(&self, round: &mut Round<'_>, reason: &str) {
-        for (name, _) in self.drains.iter().filter(|(_, drain)| drain.runs()) {
-            round.wait(Some(name), reason.to_string());
+    fn note_wait_for_all(&self, context: &mut ReconcileContext<'_>, reason: &str) {
+        for (name, _) in self.drains.iter().filter(|(_, drain)| drain.is_running()) {
+            context.note_wait(Some(name), reason.to_string());
         }
     }
 
-    /// Machines that take no work because they are being emptied.
-    fn busy(&self) -> BTreeSet<MachineId> {
-        self.emptying.iter().filter(|(_, emptying)| !emptying.released).map(|(id, _)| *id).collect()
+    /// Machines of which more is to be evicted.
+    fn active_machine_drains(&self) -> impl Iterator<Item = (MachineId, &MachineDrain)> {
+        let active = self.machine_drains.iter().filter(|(_, machine_drain)| machine_drain.is_active(&self.drains));
+        active.map(|(machine, machine_drain)| (*machine, machine_drain))
     }
 
-    fn allowances(&self, round: &Round<'_>) -> Allowances {
-        let charges: Vec<(ChargeState, u32)> = self
-            .emptying
-            .values()
-            .flat_map(|emptying| &emptying.charges)
-            .map(|charge| (round.fleet.charge_state(charge), charge.count))
-            .collect();
-        let counted = charges.iter().map(|(state, count)| (state, *count));
-        Allowances::new(&self.policy, round.now, round.wall, &round.demand, counted, &self.last)
+    /// Machines that take no work because they are being drained.
+    fn draining_machines(&self) -> BTreeSet<MachineId> {
+        let cordoned = self.machine_drains.iter().filter(|(_, machine_drain)| !machine_drain.uncordoned);
+        cordoned.map(|(machine, _)| *machine).collect()
     }
 
-    /// Returns charges, forgets machines that are gone, and ends drains.
-    fn settle(&mut self, fleet: &dyn Fleet) {
-        self.return_charges(fleet);
-        self.emptying.retain(|id, emptying| !emptying.charges.is_empty() || (!emptying.released && fleet.exists(*id)));
-        for drain in self.drains.values_mut().filter(|drain| drain.runs()) {
-            if !drain.members.keys().any(|id| fleet.exists(*id)) {
-                drain.status.phase = Phase::Done;
+    fn allowances(&self, context: &ReconcileContext<'_>) -> Allowances {
+        let charged = |charge: &BudgetCharge| ChargedTasks {
+            state: context.fleet.charge_state(charge),
+            task_count: charge.task_count,
+        };
+        let charges: Vec<ChargedTasks> =
+            self.machine_drains.values().flat_map(|machine_drain| &machine_drain.charges).map(charged).collect();
+        let state = DisruptionState {
+            now: context.now,
+            wall: context.wall,
+            availability: &context.availability,
+            charges: &charges,
+            last_evictions: &self.last_evictions,
+        };
+        Allowances::new(&self.policy, &state)
+    }
+
+    /// Releases charges, forgets machines that are gone, and ends drains.
+    fn release_finished(&mut self, fleet: &dyn Fleet) {
+        self.release_charges(fleet);
+        self.machine_drains.retain(|machine, machine_drain| {
+            !machine_drain.charges.is_empty() || (!machine_drain.uncordoned && fleet.exists(*machine))
+        });
+        for drain in self.drains.values_mut().filter(|drain| drain.is_running()) {
+            if !drain.members.keys().any(|machine| fleet.exists(*machine)) {
+                drain.status.phase = DrainPhase::Done;
             }
         }
     }
--- a/crates/disruption/src/fleet.rs
+++ b/crates/disruption/src/fleet.rs
@@ -1,34 +1,12 @@
-//! What a drain has to know of the fleet, as the leader sees it.
+//! The fleet as drains see it: machines, their tasks, and how much of each class is available.
 
 use crate::budget::TaskClass;
-use crate::records::Charge;
+use crate::instance_pool::InstancePool;
+use crate::records::BudgetCharge;
 use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 
-/// Where and how a machine is rented.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct InstancePool {
-    /// Machine type.
-    #[serde(rename = "k")]
-    pub kind: String,
-    /// Zone.
-    #[serde(rename = "z")]
-    pub zone: String,
-    /// Spot or ordinary.
-    #[serde(rename = "s")]
-    pub spot: bool,
-}
-
-impl fmt::Display for InstancePool {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let kind = if self.spot { "spot" } else { "ordinary" };
-        write!(f, "{} in zone {}, {kind}", self.kind, self.zone)
-    }
-}
-
-/// What a task is, as far as stopping it matters.
+/// What kind of work a task is, as far as its eviction matters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskKind {
     /// A replica of a service: it is moved.
@@ -36,14 +14,14 @@
     /// An independent task, which ends by itself.
     Batch {
         /// Whether it saves checkpoints.
-        saves: bool,
+        checkpoints: bool,
     },
     /// A task of a gang, which ends with the whole gang.
     Gang {
         /// Whether the gang saves checkpoints.
-        saves: bool,
+        checkpoints: bool,
         /// How many tasks the gang has.
-        tasks: u32,
+        size: u32,
     },
 }
 
@@ -51,99 +29,104 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskView {
     /// The attempt.
-    pub key: AttemptId,
+    pub attempt: AttemptId,
     /// Team and class of its job.
     pub class: TaskClass,
     /// What it is.
     pub kind: TaskKind,
     /// Whether it was told to stop.
     pub stopping: bool,
-    /// Whether `Demand::unavailable` counts it already, so that stopping it takes no more capacity.
-    pub counted: bool,
+    /// Whether `ClassAvailability::unavailable` counts it already, so that stopping it takes no more capacity.
+    pub already_unavailable: bool,
     /// Predicted time until it ends by itself; none for replicas.
-    pub ends_in: Option<Duration>,
+    pub predicted_remaining: Option<Duration>,
 }
 
 /// A machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineView {
-    /// Where and how it is rented.
-    pub place: InstancePool,
+    /// Machine type, zone and purchase model.
+    pub pool: InstancePool,
     /// When it was rented.
     pub rented_at: WallClock,
-    /// Whether something of ours reached it lately.
+    /// Whether it was reached within the overdue time of a heartbeat.
     pub reachable: bool,
-    /// Whether it goes anyhow: being returned, taken back, or out of order.
+    /// Whether it leaves anyhow: it is being released, or the cloud reclaims it.
     pub leaving: bool,
-    /// What is on it.
+    /// Tasks on it.
     pub tasks: Vec<TaskView>,
 }
 
-/// How much of a class is wanted and missing.
+/// How many tasks of a class are desired, and how many of them are unavailable.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Demand {
-    /// Replicas, and batch tasks that are not over.
-    pub wanted: u32,
-    /// Replicas that do not run, are told to stop, or are out of reach, for whatever reason.
+pub struct ClassAvailability {
+    /// Replicas, and batch tasks that have not ended.
+    pub desired: u32,
+    /// Replicas that do not run, are told to stop, or are unreachable, for whatever reason.
     pub unavailable: u32,
 }
 
 /// What became of a charged attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChargeState {
-    /// It is on its machine still and was not told to stop.
-    Standing {
+    /// It is still on its machine and was not told to stop.
+    Pending {
         /// Its class.
         class: TaskClass,
-        /// Whether `Demand::unavailable` counts it already.
-        counted: bool,
+        /// Whether `ClassAvailability::unavailable` counts it already.
+        already_unavailable: bool,
     },
-    /// It was stopped, and no other attempt runs yet.
-    Out {
+    /// It was told to stop, and no other attempt runs yet.
+    Disrupted {
         /// Its class.
         class: TaskClass,
-        /// Whether `Demand::unavailable` counts it already, as it does with replicas.
-        counted: bool,
+        /// Whether `ClassAvailability::unavailable` counts it already, as it does with replicas.
+        already_unavailable: bool,
     },
-    /// Another attempt runs, or there is nothing to run any more.
-    Returned,
+    /// Another attempt runs, or there is nothing to run any more: the charge no longer counts.
+    Released,
 }
 
-/// Like machines that were rented lately.
+/// Machines of a pool that were rented to replace others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Supply {
+pub struct ReplacementSupply {
     /// Up and usable.
-    pub up: u32,
+    pub ready: u32,
     /// Still booting.
     pub booting: u32,
     /// Whether the cloud refused such machines lately.
-    pub refused: bool,
+    pub recently_refused: bool,
 }
 
 /// The fleet as the leader sees it.
 pub trait Fleet {
     /// Whether every machine that earlier leaders commanded is fenced or gone, so that nothing is missing from this view.
-    fn settled(&self) -> bool;
-    /// A zone that is out of reach as a whole.
-    fn lost_zone(&self) -> Option<String>;
+    fn is_complete(&self) -> bool;
+    /// A zone that is unreachable as a whole.
+    fn unreachable_zone(&self) -> Option<String>;
     /// All machines that are up.
     fn machine_ids(&self) -> Vec<MachineId>;
-    /// Whether a machine is there still; false once it is surely gone.
+    /// Whether a machine still exists; false only once it is surely gone.
     fn exists(&self, id: MachineId) -> bool;
     /// A machine with its tasks; none once it is surely gone.
     fn machine(&self, id: MachineId) -> Option<MachineView>;
-    /// What is wanted and missing, by class.
-    fn demand(&self) -> BTreeMap<TaskClass, Demand>;
+    /// What is desired and unavailable, by class.
+    fn availability(&self) -> BTreeMap<TaskClass, ClassAvailability>;
     /// What became of a charged attempt.
-    fn charge_state(&self, charge: &Charge) -> ChargeState;
-    /// Free room for replicas, machines in `without` left out.
-    fn rooms<'a>(&'a self, without: &BTreeSet<MachineId>) -> Box<dyn Rooms + 'a>;
-    /// Machines of a place that were rented since, those in `without` left out.
-    fn supply(&self, place: &InstancePool, since: WallClock, without: &BTreeSet<MachineId>) -> Supply;
+    fn charge_state(&self, charge: &BudgetCharge) -> ChargeState;
+    /// Spare capacity for replicas, without the excluded machines.
+    fn spare_capacity<'a>(&'a self, excluded: &BTreeSet<MachineId>) -> Box<dyn SpareCapacity + 'a>;
+    /// Machines of a pool that were rented since, without the excluded ones.
+    fn replacement_supply(
+        &self,
+        pool: &InstancePool,
+        since: WallClock,
+        excluded: &BTreeSet<MachineId>,
+    ) -> ReplacementSupply;
 }
 
-/// Free room that is given away step by step.
-pub trait Rooms {
-    /// Takes room for these replicas of a machine; false, and nothing taken, if not all of them fit.
-    fn take(&mut self, from: MachineId, tasks: &[AttemptId]) -> bool;
+/// Spare capacity that is reserved step by step, so that several replicas do not count on the same.
+pub trait SpareCapacity {
+    /// Reserves capacity for these replicas of a machine; false, and nothing reserved, if not all of them fit.
+    fn reserve(&mut self, from: MachineId, tasks: &[AttemptId]) -> bool;
 }
--- a/crates/disruption/src/policy.rs
+++ b/crates/disruption/src/policy_parser.rs
@@ -1,6 +1,6 @@
 //! Reads budgets from the sections of the operators' INI file and checks them.
 
-use crate::budget::{BatchEviction, Budget, Limit, Policy, TaskClass};
+use crate::budget::{BatchEviction, Budget, Limit, Policy, TaskClass, WindowLimit};
 use crate::window::{Minute, Window};
 use caperstile_types::Duration;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
     pub entries: Vec<(String, String)>,
 }
 
-/// Why a statement cannot be used.
+/// Why a setting cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("[{section}] {key}: {reason}")]
 pub struct PolicyError {
@@ -23,15 +23,68 @@
     /// Key.
     pub key: String,
     /// What is wrong.
-    pub reason: String,
+    pub reason: InvalidSetting,
+}
+
+/// What is wrong with a setting.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidSetting {
+    /// The key has no meaning here.
+    #[error("not a known setting")]
+    UnknownKey,
+    /// A key that must be there is not.
+    #[error("is missing")]
+    Missing,
+    /// Not a switch.
+    #[error("`{0}` is neither yes nor no")]
+    NotYesOrNo(String),
+    /// A limit of 0 machines.
+    #[error("must be at least 1")]
+    BelowOne,
+    /// Not a percentage.
+    #[error("`{0}` is not a share from 0% to 100%")]
+    NotAShare(String),
+    /// Neither a count nor a percentage.
+    #[error("`{0}` is neither a count such as 3 nor a share such as 10%")]
+    NotALimit(String),
+    /// Not a duration.
+    #[error("`{0}` is not a time from 0 to {MAX_DURATION_S} seconds")]
+    NotADuration(String),
+    /// Not a rule for batch tasks.
+    #[error("`{0}` is not never, checkpointed or always")]
+    NotABatchEviction(String),
+    /// A limit for a window that is not defined.
+    #[error("there is no section [{WINDOW}{0}]")]
+    UnknownWindow(String),
+    /// A budget of a team without a class after its slash.
+    #[error("the class is missing")]
+    MissingClass,
+    /// A budget of nobody.
+    #[error("`{0}` names no team of this deployment")]
+    UnknownTeam(String),
+    /// Not a time of day.
+    #[error("`{0}` is not a time such as 09:30")]
+    NotATimeOfDay(String),
+    /// Not a time zone of the IANA database.
+    #[error("`{0}` is not a known time zone")]
+    UnknownTimeZone(String),
+    /// The window has no length.
+    #[error("the window is empty: it ends when it begins")]
+    EmptyWindow,
+    /// Not a day of the week.
+    #[error("`{0}` is not a day such as mon")]
+    NotADay(String),
+    /// A span of days that runs backwards.
+    #[error("`{0}` ends before it begins")]
+    ReversedDays(String),
 }
 
 const DRAINS: &str = "drains";
 const BUDGET: &str = "budget ";
 const WINDOW: &str = "window ";
 const MAX_UNAVAILABLE: &str = "max_unavailable";
-/// Longest time that may be stated, in seconds: a week.
-const LONGEST_S: f64 = 7.0 * 86_400.0;
+/// Longest duration that may be set, in seconds: a week.
+const MAX_DURATION_S: f64 = 7.0 * 86_400.0;
 const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
 /// Whether a section of the operators' file belongs to this module.
@@ -53,14 +106,14 @@
             parse_drains(section, &mut policy)?;
         } else if let Some(scope) = section.name.strip_prefix(BUDGET) {
             let budget = parse_budget(section, &windows)?;
-            enter_budget(section, scope.trim(), budget, teams, &mut policy)?;
+            insert_budget(section, scope.trim(), budget, teams, &mut policy)?;
         }
     }
     Ok(policy)
 }
 
-fn error(section: &Section, key: &str, reason: impl Into<String>) -> PolicyError {
-    PolicyError { section: section.name.clone(), key: key.to_string(), reason: reason.into() }
+fn error(section: &Section, key: &str, reason: InvalidSetting) -> PolicyError {
+    PolicyError { section: section.name.clone(), key: key.to_string(), reason }
 }
 
 fn parse_drains(section: &Section, policy: &mut Policy) -> Result<(), PolicyError> {
@@ -70,17 +123,17 @@
                 policy.enabled = match value.as_str() {
                     "yes" | "true" => true,
                     "no" | "false" => false,
-                    _ => return Err(error(section, key, format!("`{value}` is neither yes nor no"))),
+                    _ => return Err(error(section, key, InvalidSetting::NotYesOrNo(value.clone()))),
                 }
             }
             "max_machines" => {
-                policy.parallel = match parse_limit(section, key, value)? {
-                    Limit::Count(0) => return Err(error(section, key, "must be at least 1")),
+                policy.max_draining_machines = match parse_limit(section, key, value)? {
+                    Limit::Count(0) => return Err(error(section, key, InvalidSetting::BelowOne)),
                     Limit::Share { share, .. } => Limit::Share { share, at_least: 1 },
                     limit => limit,
                 }
             }
-            _ => return Err(error(section, key, "not a known setting")),
+            _ => return Err(error(section, key, InvalidSetting::UnknownKey)),
         }
     }
     Ok(())
@@ -91,19 +144,16 @@
     if let Some(percent) = value.strip_suffix('%') {
         return match percent.trim().parse::<f64>() {
             Ok(percent) if (0.0..=100.0).contains(&percent) => Ok(Limit::Share { share: percent / 100.0, at_least: 0 }),
-            _ => Err(error(section, key, format!("`{value}` is not a share from 0% to 100%"))),
+            _ => Err(error(section, key, InvalidSetting::NotAShare(value.to_string()))),
         };
     }
-    value
-        .parse()
-        .map(Limit::Count)
-        .map_err(|_| error(section, key, format!("`{value}` is neither a count such as 3 nor a share such as 10%")))
+    value.parse().map(Limit::Count).map_err(|_| error(section, key, InvalidSetting::NotALimit(value.to_string())))
 }
 
 fn parse_seconds(section: &Section, key: &str, value: &str) -> Result<Duration, PolicyError> {
     match value.parse::<f64>() {
-        Ok(seconds) if (0.0..=LONGEST_S).contains(&seconds) => Ok(Duration::from_secs_f64(seconds)),
-        _ => Err(error(section, key, format!("`{value}` is not a time from 0 to {LONGEST_S} seconds"))),
+        Ok(seconds) if (0.0..=MAX_DURATION_S).contains(&seconds) => Ok(Duration::from_secs_f64(seconds)),
+        _ => Err(error(section, key, InvalidSetting::NotADuration(value.to_string()))),
     }
 }
 
@@ -117,12 +167,13 @@
             "evict_batch" => budget.batch_eviction = Some(parse_eviction(section, key, value)?),
             _ => {
                 let Some(name) = key.strip_prefix(MAX_UNAVAILABLE).and_then(|rest| rest.strip_prefix('.')) else {
-                    return Err(error(section, key, "not a known setting"));
+                    return Err(error(section, key, InvalidSetting::UnknownKey));
                 };
                 let Some(window) = windows.get(name) else {
-                    return Err(error(section, key, format!("there is no section [{WINDOW}{name}]")));
+                    return Err(error(section, key, InvalidSetting::UnknownWindow(name.to_string())));
                 };
-                budget.windows.push((window.clone(), parse_limit(section, key, value)?));
+                let limit = parse_limit(section, key, value)?;
+                budget.windows.push(WindowLimit { window: window.clone(), limit });
             }
         }
     }
@@ -134,12 +185,12 @@
         "never" => Ok(BatchEviction::Never),
         "checkpointed" => Ok(BatchEviction::Checkpointed),
         "always" => Ok(BatchEviction::Always),
-        _ => Err(error(section, key, format!("`{value}` is not never, checkpointed or always"))),
+        _ => Err(error(section, key, InvalidSetting::NotABatchEviction(value.to_string()))),
     }
 }
 
 /// `TEAM` or `TEAM/CLASS`; names may hold slashes, so the teams of the deployment decide.
-fn enter_budget(
+fn insert_budget(
     section: &Section,
     scope: &str,
     budget: Budget,
@@ -157,32 +208,32 @@
             policy.classes.insert(TaskClass { team, class }, budget);
             Ok(())
         }
-        Some(_) => Err(error(section, "", "the class is missing")),
-        None => Err(error(section, "", format!("`{scope}` names no team of this deployment"))),
+        Some(_) => Err(error(section, "", InvalidSetting::MissingClass)),
+        None => Err(error(section, "", InvalidSetting::UnknownTeam(scope.to_string()))),
     }
 }
 
 fn parse_window(section: &Section, name: &str) -> Result<Window, PolicyError> {
     let (mut zone, mut days, mut from, mut until) = (None, [true; 7], None, None);
     let minute = |key: &str, value: &str| {
-        Minute::parse(value).ok_or_else(|| error(section, key, format!("`{value}` is not a time such as 09:30")))
+        Minute::parse(value).ok_or_else(|| error(section, key, InvalidSetting::NotATimeOfDay(value.to_string())))
     };
     for (key, value) in &section.entries {
         match key.as_str() {
             "zone" => {
-                let unknown = |_| error(section, key, format!("`{value}` is not a known time zone"));
+                let unknown = |_| error(section, key, InvalidSetting::UnknownTimeZone(value.clone()));
                 zone = Some(value.parse().map_err(unknown)?);
             }
             "days" => days = parse_days(section, key, value)?,
             "from" => from = Some(minute(key, value)?),
             "until" => until = Some(minute(key, value)?),
-            _ => return Err(error(section, key, "not a known setting")),
+            _ => return Err(error(section, key, InvalidSetting::UnknownKey)),
         }
     }
-    let missing = |key: &str| error(section, key, "is missing");
+    let missing = |key: &str| error(section, key, InvalidSetting::Missing);
     let (from, until) = (from.ok_or_else(|| missing("from"))?, until.ok_or_else(|| missing("until"))?);
     if from == until {
-        return Err(error(section, "until", "the window is empty: it ends when it begins"));
+        return Err(error(section, "until", InvalidSetting::EmptyWindow));
     }
     Ok(Window { name: name.to_string(), zone: zone.ok_or_else(|| missing("zone"))?, days, from, until })
 }
@@ -192,14 +243,14 @@
     let day = |text: &str| {
         let text = text.trim();
         let known = DAYS.iter().position(|day| *day == text);
-        known.ok_or_else(|| error(section, key, format!("`{text}` is not a day such as mon")))
+        known.ok_or_else(|| error(section, key, InvalidSetting::NotADay(text.to_string())))
     };
     let mut days = [false; 7];
     for part in value.split(',') {
         let (first, last) = part.split_once('-').unwrap_or((part, part));
         let (first, last) = (day(first)?, day(last)?);
         if last < first {
-            return Err(error(section, key, format!("`{}` ends before it begins", part.trim())));
+            return Err(error(section, key, InvalidSetting::ReversedDays(part.trim().to_string())));
         }
         days[first..=last].fill(true);
     }
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -1,73 +1,28 @@
-//! The durable records: what operators ask for and what leaders keep, with their keys in the state service.
-//!
-//! | key | written by | on condition that |
-//! | --- | --- | --- |
-//! | `drain/request/NAME` | operators | the key has the revision that they read; 0 for a new request |
-//! | `drain/status/NAME`, `drain/member/NAME/PART`, `drain/machine/ID` | the leader | it still leads, and the key has the revision that it read or wrote last |
-
-use crate::fleet::InstancePool;
+//! The durable records: what operators request and what leaders store. The names of their fields are a stored form.
+
+use crate::instance_pool::InstancePool;
 use caperstile_types::{AttemptNumber, Duration, JobId, MachineId, WallClock};
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all keys.
-pub const PREFIX: &str = "drain/";
-/// Prefix of operators' requests.
-pub const REQUESTS: &str = "drain/request/";
-/// Prefix of what the leader answers.
-pub const STATUSES: &str = "drain/status/";
-/// Prefix of the machines that belong to a drain.
-pub const MEMBERS: &str = "drain/member/";
-/// Prefix of the machines that are being emptied.
-pub const MACHINES: &str = "drain/machine/";
-
-/// The key of an operator's request.
-pub fn request_key(name: &str) -> String {
-    format!("{REQUESTS}{name}")
-}
-
-/// The key of a drain's status.
-pub fn status_key(name: &str) -> String {
-    format!("{STATUSES}{name}")
-}
-
-/// The key of a part of a drain's machines.
-pub fn member_key(name: &str, part: usize) -> String {
-    format!("{MEMBERS}{name}/{part:04}")
-}
-
-/// The key of a machine that is being emptied.
-pub fn machine_key(machine: MachineId) -> String {
-    format!("{MACHINES}{machine}")
-}
-
-/// Longest name of a drain.
-const NAME_LIMIT: usize = 40;
-
-/// Whether a drain may have this name: it becomes a part of keys.
-pub fn valid_name(name: &str) -> bool {
-    let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    !name.is_empty() && name.len() <= NAME_LIMIT && name.bytes().all(allowed)
-}
-
 /// Which machines a drain is for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Selector {
+pub enum MachineSelector {
     /// These.
     Machines(Vec<MachineId>),
     /// All that match.
-    Matching(Filter),
+    Matching(MachineFilter),
 }
 
-/// What machines must be like; what is not named does not matter.
+/// What machines must match; what is not named matches all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Filter {
+pub struct MachineFilter {
     /// Zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Machine type.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
+    #[serde(rename = "kind", default, skip_serializing_if = "Option::is_none")]
+    pub machine_type: Option<String>,
     /// Rented at least so long ago: a machine's system image is as old as its rental.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub older_than: Option<Duration>,
@@ -76,72 +31,75 @@
     pub count: Option<u32>,
 }
 
-/// What becomes of the capacity.
+/// Whether drained machines are replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
-    /// Machines are emptied and returned.
+pub enum DrainMode {
+    /// Machines are drained and released.
     Remove,
-    /// For each a like one is rented first.
+    /// For each machine another one of its pool is rented first.
     Replace,
 }
 
-/// What the operators want of a drain now.
+/// The state in which the operators want a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wanted {
+pub enum DesiredState {
     /// It goes on.
     Run,
-    /// It rests: nothing more is evicted.
+    /// It is paused: nothing more is evicted.
     Pause,
-    /// It ends; machines that are not returned yet take work again.
+    /// It ends; machines that are not released yet take work again.
     Cancel,
 }
 
-/// An operator's request.
+/// An operator's request for a drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Request {
+pub struct DrainRequest {
     /// Which machines.
-    pub selector: Selector,
-    /// What becomes of the capacity.
-    pub mode: Mode,
-    /// What is wanted now.
-    pub wanted: Wanted,
+    pub selector: MachineSelector,
+    /// Whether drained machines are replaced.
+    pub mode: DrainMode,
+    /// The desired state.
+    #[serde(rename = "wanted")]
+    pub desired_state: DesiredState,
 }
 
 /// How far a drain is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Phase {
-    /// Machines are being emptied, as budgets allow.
+pub enum DrainPhase {
+    /// Machines are being drained, as budgets allow.
     Running,
-    /// It rests.
+    /// Nothing more is evicted until it is resumed.
     Paused,
-    /// It was called off.
+    /// The operators cancelled it.
     Cancelled,
     /// All of its machines are gone.
     Done,
-    /// It was not taken.
+    /// The request was not accepted.
     Refused,
 }
 
-impl Phase {
-    /// Whether it can still change.
-    pub fn is_live(self) -> bool {
-        matches!(self, Phase::Running | Phase::Paused)
+impl DrainPhase {
+    /// Whether the drain has not ended.
+    pub fn is_open(self) -> bool {
+        matches!(self, DrainPhase::Running | DrainPhase::Paused)
     }
 }
 
-/// What the leader says of a drain.
+/// The state of a drain as the leader reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct DrainStatus {
     /// How far it is.
-    pub phase: Phase,
-    /// Revision of the request that this answers.
-    pub request: u64,
-    /// Revision at which it was asked for first; orders drains.
-    pub created: u64,
-    /// When it was taken.
+    pub phase: DrainPhase,
+    /// Revision of the request that this status reflects.
+    #[serde(rename = "request")]
+    pub request_revision: u64,
+    /// Revision of the first request; orders drains.
+    #[serde(rename = "created")]
+    pub created_revision: u64,
+    /// When it was accepted.
     pub accepted_at: WallClock,
     /// Why it was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -150,85 +108,111 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub notes: Vec<String>,
     /// How many machines it is for.
-    pub total: u32,
+    #[serde(rename = "total")]
+    pub machine_count: u32,
     /// How many of them are gone.
-    pub emptied: u32,
-    /// How many are being emptied.
-    pub emptying: u32,
-    /// For whom or what it waits, most important first.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub waits_for: Vec<String>,
-}
-
-impl Status {
-    /// Of a drain that was just asked for.
-    pub fn asked_for(request: u64, now: WallClock) -> Status {
-        Status {
-            phase: Phase::Running,
-            request,
-            created: request,
+    #[serde(rename = "emptied")]
+    pub drained: u32,
+    /// How many are being drained.
+    #[serde(rename = "emptying")]
+    pub draining: u32,
+    /// What it waits for, most important first.
+    #[serde(rename = "waits_for", default, skip_serializing_if = "Vec::is_empty")]
+    pub wait_reasons: Vec<String>,
+}
+
+impl DrainStatus {
+    /// The status of a drain that was just requested.
+    pub fn requested(request_revision: u64, now: WallClock) -> DrainStatus {
+        DrainStatus {
+            phase: DrainPhase::Running,
+            request_revision,
+            created_revision: request_revision,
             accepted_at: now,
             refusal: None,
             notes: Vec::new(),
-            total: 0,
-            emptied: 0,
-            emptying: 0,
-            waits_for: Vec::new(),
+            machine_count: 0,
+            drained: 0,
+            draining: 0,
+            wait_reasons: Vec::new(),
         }
     }
 
-    /// It is not taken, for this reason.
+    /// Refuses the request for this reason.
     pub fn refuse(&mut self, reason: String) {
-        self.phase = Phase::Refused;
+        self.phase = DrainPhase::Refused;
         self.refusal = Some(reason);
     }
 }
 
-/// Some machines of a drain, all of one place.
+/// Some machines of a drain, all of one pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberPart {
-    /// Type, zone and kind.
-    pub place: InstancePool,
-    /// Machines, and when each was rented.
-    pub machines: Vec<(MachineId, WallClock)>,
+pub struct MemberRecord {
+    /// Machine type, zone and purchase model.
+    #[serde(rename = "place")]
+    pub pool: InstancePool,
+    /// The machines.
+    pub machines: Vec<MemberMachine>,
+}
+
+/// A machine of a drain. Stored as a pair.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(MachineId, WallClock)", into = "(MachineId, WallClock)")]
+pub struct MemberMachine {
+    /// The machine.
+    pub id: MachineId,
+    /// When it was rented.
+    pub rented_at: WallClock,
+}
+
+impl From<(MachineId, WallClock)> for MemberMachine {
+    fn from((id, rented_at): (MachineId, WallClock)) -> MemberMachine {
+        MemberMachine { id, rented_at }
+    }
+}
+
+impl From<MemberMachine> for (MachineId, WallClock) {
+    fn from(machine: MemberMachine) -> (MachineId, WallClock) {
+        (machine.id, machine.rented_at)
+    }
 }
 
-/// A machine that is being emptied.
+/// A machine that is being drained.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EmptyingRecord {
-    /// For which drain; none: its services fit elsewhere, and it costs more than it is worth.
+pub struct MachineDrainRecord {
+    /// For which drain; none: it is consolidated, since its services fit elsewhere.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub drain: Option<String>,
     /// Since when it takes no new work.
     #[serde(rename = "s")]
-    pub since: WallClock,
-    /// What of it was charged and is not available again.
+    pub started_at: WallClock,
+    /// Evictions that are charged to budgets and not released yet.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
-    pub charges: Vec<Charge>,
+    pub charges: Vec<BudgetCharge>,
 }
 
 /// One eviction as it is charged to the budgets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Charge {
+pub struct BudgetCharge {
     /// Job.
     #[serde(rename = "j")]
     pub job: JobId,
     /// Task; none: all tasks of a gang.
     #[serde(rename = "i", default, skip_serializing_if = "Option::is_none")]
     pub index: Option<u32>,
-    /// The attempt that is stopped. The charge is returned once another one runs, or the task is over.
+    /// The attempt that is stopped. The charge is released once another one runs, or the task is over.
     #[serde(rename = "a")]
     pub attempt: AttemptNumber,
     /// How many tasks it counts for.
     #[serde(rename = "n")]
-    pub count: u32,
+    pub task_count: u32,
 }
 
 /// Most bytes that a charge takes in its record: `{"j":…,"i":…,"a":…,"n":…},` with the largest numbers.
-pub const CHARGE_BYTES: usize = 84;
+pub const MAX_CHARGE_BYTES: usize = 84;
 /// Bytes of a machine's record without charges, with the longest name of a drain.
-pub const MACHINE_BYTES: usize = 128;
-/// Most bytes that a machine takes in a part: `[123456789012345,1234567890123],`.
-pub const MEMBER_BYTES: usize = 32;
-/// Bytes of a part without machines, generously: names of types and zones are short.
-pub const PART_BYTES: usize = 256;
+pub const MAX_MACHINE_RECORD_BYTES: usize = 128;
+/// Most bytes that a machine takes in a record of members: `[123456789012345,1234567890123],`.
+pub const MAX_MEMBER_BYTES: usize = 32;
+/// Bytes of a record of members without machines, generously: names of types and zones are short.
+pub const MAX_MEMBER_RECORD_OVERHEAD_BYTES: usize = 256;
--- /dev/null
+++ b/crates/disruption/src/selection.rs
@@ -0,0 +1,189 @@
+//! Selects which machines are drained next: as many as budgets, spare capacity and replacements allow.
+//!
+//! A small integer program, solved by branch and bound with a limit on nodes, so that every leader gets the same answer from the
+//! same facts. Machines with equal loads are one variable. The greedy selection is the fallback and the comparison.
+
+use crate::allowance::Allowances;
+use crate::budget::Scope;
+use crate::eviction_load::EvictionLoad;
+use crate::instance_pool::InstancePool;
+use caperstile_types::MachineId;
+use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Groups of equal machines that one selection considers; others have their turn in the next.
+const MAX_CANDIDATE_GROUPS: usize = 32;
+/// Nodes of the search. Problems of this size take a few dozen.
+const MAX_SEARCH_NODES: u64 = 500;
+
+/// A machine that might be drained.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Candidate {
+    /// The machine.
+    pub machine: MachineId,
+    /// What would be evicted at once.
+    pub load: EvictionLoad,
+    /// The pool in which a replacement must be ready; none: the machine is not replaced.
+    pub replacement_pool: Option<InstancePool>,
+}
+
+/// What a selection may use.
+#[derive(Debug, Clone)]
+pub struct StepLimits<'a> {
+    /// Budgets.
+    pub allowances: &'a Allowances,
+    /// Most machines.
+    pub machines: u32,
+    /// Replacements that are ready, by pool.
+    pub ready_replacements: BTreeMap<InstancePool, u32>,
+}
+
+impl StepLimits<'_> {
+    /// Whether all of these may be drained together.
+    fn allow(&self, selected: &[&Candidate]) -> bool {
+        let mut load = EvictionLoad::default();
+        let mut replaced: BTreeMap<&InstancePool, u32> = BTreeMap::new();
+        for candidate in selected {
+            load.add(&candidate.load);
+            if let Some(pool) = &candidate.replacement_pool {
+                *replaced.entry(pool).or_default() += 1;
+            }
+        }
+        selected.len() <= self.machines as usize
+            && self.allowances.check(&load).is_ok()
+            && replaced.into_iter().all(|(pool, count)| count <= self.replacements_in(pool))
+    }
+
+    fn replacements_in(&self, pool: &InstancePool) -> u32 {
+        self.ready_replacements.get(pool).copied().unwrap_or(0)
+    }
+}
+
+/// Candidates in order as long as they fit.
+pub fn select_greedily(candidates: &[Candidate], limits: &StepLimits<'_>) -> Vec<MachineId> {
+    let mut selected: Vec<&Candidate> = Vec::new();
+    for candidate in candidates {
+        selected.push(candidate);
+        if !limits.allow(&selected) {
+            selected.pop();
+        }
+    }
+    selected.into_iter().map(|candidate| candidate.machine).collect()
+}
+
+/// As many candidates as fit. The first one that fits alone is always among them, so that no drain starves.
+pub fn select_machines(candidates: &[Candidate], limits: &StepLimits<'_>) -> Vec<MachineId> {
+    let Some(first) = candidates.iter().find(|candidate| limits.allow(&[candidate])) else { return Vec::new() };
+    let greedy = select_greedily(candidates, limits);
+    let Some(solved) = solve(candidates, first, limits) else { return greedy };
+    // The solver works with floating-point numbers: its solution is checked with whole ones.
+    let taken: BTreeSet<MachineId> = solved.iter().copied().collect();
+    let selected: Vec<&Candidate> = candidates.iter().filter(|candidate| taken.contains(&candidate.machine)).collect();
+    if solved.len() > greedy.len() && limits.allow(&selected) { solved } else { greedy }
+}
+
+/// What makes machines equal for the solver.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct GroupKey<'a> {
+    load: &'a EvictionLoad,
+    replacement_pool: Option<&'a InstancePool>,
+}
+
+/// Machines that are equal for the solver.
+#[derive(Debug)]
+struct CandidateGroup<'a> {
+    key: GroupKey<'a>,
+    machines: Vec<MachineId>,
+}
+
+/// The candidates in groups, in the order of each group's first machine.
+fn group_candidates(candidates: &[Candidate]) -> Vec<CandidateGroup<'_>> {
+    let mut groups: Vec<CandidateGroup<'_>> = Vec::new();
+    let mut index: BTreeMap<GroupKey<'_>, usize> = BTreeMap::new();
+    for candidate in candidates {
+        let key = GroupKey { load: &candidate.load, replacement_pool: candidate.replacement_pool.as_ref() };
+        match index.get(&key) {
+            Some(at) => groups[*at].machines.push(candidate.machine),
+            None if groups.len() < MAX_CANDIDATE_GROUPS => {
+                index.insert(key, groups.len());
+                groups.push(CandidateGroup { key, machines: vec![candidate.machine] });
+            }
+            None => {}
+        }
+    }
+    groups
+}
+
+/// A constraint of the integer program.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Constraint<'a> {
+    Machines,
+    Replacements(&'a InstancePool),
+    Budget(Scope),
+}
+
+impl Constraint<'_> {
+    fn upper_bound(&self, limits: &StepLimits<'_>) -> u32 {
+        match self {
+            Constraint::Machines => limits.machines,
+            Constraint::Replacements(pool) => limits.replacements_in(pool),
+            Constraint::Budget(scope) => limits.allowances.remaining(scope),
+        }
+    }
+}
+
+/// The machines that the integer program selects; none without a solution.
+fn solve(candidates: &[Candidate], first: &Candidate, limits: &StepLimits<'_>) -> Option<Vec<MachineId>> {
+    let groups = group_candidates(candidates);
+    let mut problem = Problem::new(OptimizationDirection::Maximize);
+    let variables = add_variables(&mut problem, &groups, first, limits)?;
+    add_constraints(&mut problem, &groups, &variables, limits);
+    let mut options = SolveOptions::default();
+    options.node_limit = Some(MAX_SEARCH_NODES);
+    let outcome = problem.solve_with(options).ok()?;
+    let solution = outcome.solution()?;
+    let mut selected = Vec::new();
+    for (group, variable) in groups.iter().zip(variables) {
+        let count = solution.var_value(variable).round().max(0.0) as usize;
+        selected.extend(group.machines.iter().take(count));
+    }
+    Some(selected)
+}
+
+/// One variable a group: how many of its machines are selected.
+fn add_variables(
+    problem: &mut Problem,
+    groups: &[CandidateGroup<'_>],
+    first: &Candidate,
+    limits: &StepLimits<'_>,
+) -> Option<Vec<Variable>> {
+    let mut variables = Vec::new();
+    for group in groups {
+        let most = group.machines.len().min(limits.machines as usize);
+        let least = i32::from(group.machines.contains(&first.machine));
+        variables.push(problem.add_integer_var(1.0, (least, i32::try_from(most).ok()?)));
+    }
+    Some(variables)
+}
+
+fn add_constraints(
+    problem: &mut Problem,
+    groups: &[CandidateGroup<'_>],
+    variables: &[Variable],
+    limits: &StepLimits<'_>,
+) {
+    let mut constraints: BTreeMap<Constraint<'_>, Vec<(Variable, f64)>> = BTreeMap::new();
+    for (group, variable) in groups.iter().zip(variables) {
+        constraints.entry(Constraint::Machines).or_default().push((*variable, 1.0));
+        if let Some(pool) = group.key.replacement_pool {
+            constraints.entry(Constraint::Replacements(pool)).or_default().push((*variable, 1.0));
+        }
+        for (scope, count) in group.key.load.by_scope() {
+            constraints.entry(Constraint::Budget(scope)).or_default().push((*variable, f64::from(count)));
+        }
+    }
+    for (constraint, terms) in constraints {
+        let upper_bound = constraint.upper_bound(limits);
+        problem.add_constraint(terms, ComparisonOp::Le, f64::from(upper_bound));
+    }
+}
--- a/crates/disruption/tests/measure.rs
+++ b/crates/disruption/tests/measure.rs
@@ -2,9 +2,9 @@
 //!
 //!     cargo test --release -p caperstile-disruption --test measure -- --ignored --nocapture
 
-use caperstile_disruption::allowance::{Allowances, LastEvictions, Load};
-use caperstile_disruption::choose::{Candidate, StepLimits, choose, greedy};
-use caperstile_disruption::{Budget, Demand, Limit, Policy, TaskClass};
+use caperstile_disruption::allowance::{Allowances, DisruptionState, LastEvictions};
+use caperstile_disruption::selection::{Candidate, StepLimits, select_greedily, select_machines};
+use caperstile_disruption::{Budget, ClassAvailability, EvictionLoad, Limit, Policy, TaskClass};
 use caperstile_types::{MachineId, Timestamp, WallClock};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -32,14 +32,19 @@
     let budget = |limit: u64| Budget { max_unavailable: Some(Limit::Count(limit as u32)), ..Budget::default() };
     let classes = (0..CLASSES).map(|n| (class(n), budget(4 + numbers.below(machines / 4)))).collect();
     let policy = Policy { classes, ..Policy::default() };
-    let demand = (0..CLASSES).map(|n| (class(n), Demand { wanted: 4000, unavailable: 0 })).collect();
-    let last = LastEvictions::new(Timestamp::ZERO);
-    let allowances =
-        Allowances::new(&policy, Timestamp::ZERO, WallClock::from_millis(0), &demand, std::iter::empty(), &last);
+    let availability = (0..CLASSES).map(|n| (class(n), ClassAvailability { desired: 4000, unavailable: 0 })).collect();
+    let state = DisruptionState {
+        now: Timestamp::ZERO,
+        wall: WallClock::from_millis(0),
+        availability: &availability,
+        charges: &[],
+        last_evictions: &LastEvictions::new(Timestamp::ZERO),
+    };
+    let allowances = Allowances::new(&policy, &state);
     let candidate = |n: u64, numbers: &mut Numbers| {
-        let load: Load =
+        let load: EvictionLoad =
             (0..1 + numbers.below(3)).map(|_| (class(numbers.below(CLASSES)), 1 + numbers.below(4) as u32)).collect();
-        Candidate { machine: MachineId(n), load, replaced_at: None }
+        Candidate { machine: MachineId(n), load, replacement_pool: None }
     };
     let candidates = (0..machines).map(|n| candidate(n, numbers)).collect();
     (allowances, candidates)
@@ -54,10 +59,10 @@
         let mut times: Vec<Duration> = Vec::new();
         for _ in 0..STEPS {
             let (allowances, candidates) = step(&mut numbers, machines);
-            let limits = StepLimits { allowances: &allowances, machines: 400, ready: BTreeMap::new() };
-            let greedy = greedy(&candidates, &limits).len();
+            let limits = StepLimits { allowances: &allowances, machines: 400, ready_replacements: BTreeMap::new() };
+            let greedy = select_greedily(&candidates, &limits).len();
             let begin = Instant::now();
-            let chosen = choose(&candidates, &limits).len();
+            let chosen = select_machines(&candidates, &limits).len();
             times.push(begin.elapsed());
             by_order += greedy;
             solved += chosen;
--- a/crates/disruption/tests/policy.rs
+++ b/crates/disruption/tests/policy.rs
@@ -1,7 +1,7 @@
 //! Budgets as operators state them: read, checked, and in force at the right times.
 
 use caperstile_disruption::budget::BatchEviction;
-use caperstile_disruption::policy::{Section, parse};
+use caperstile_disruption::policy_parser::{Section, parse};
 use caperstile_disruption::{Limit, Policy, PolicyError, Scope, TaskClass};
 use caperstile_types::{Duration, WallClock};
 use std::collections::BTreeSet;
@@ -30,26 +30,26 @@
 fn a_class_without_a_statement_has_the_default_unless_its_team_states_one() {
     let policy = read(&[section("budget studio", &[("max_unavailable", "3")])]).expect("valid");
     let at = utc("2026-12-02 10:00");
-    assert_eq!(policy.allowed(&class("studio", "live"), 100, at), None);
-    assert_eq!(policy.allowed(&Scope::Team("studio".into()), 100, at), Some(3));
-    assert_eq!(policy.allowed(&class("a/b", "x"), 100, at), Some(10));
-    assert_eq!(policy.allowed(&class("a/b", "x"), 4, at), Some(1), "one replica at least");
-    assert_eq!(policy.allowed(&Scope::Team("a/b".into()), 4, at), None);
+    assert_eq!(policy.max_unavailable(&class("studio", "live"), 100, at), None);
+    assert_eq!(policy.max_unavailable(&Scope::Team("studio".into()), 100, at), Some(3));
+    assert_eq!(policy.max_unavailable(&class("a/b", "x"), 100, at), Some(10));
+    assert_eq!(policy.max_unavailable(&class("a/b", "x"), 4, at), Some(1), "one replica at least");
+    assert_eq!(policy.max_unavailable(&Scope::Team("a/b".into()), 4, at), None);
 }
 
 #[test]
 fn a_stated_share_is_rounded_down() {
     let policy = read(&[section("budget studio/live", &[("max_unavailable", "29%")])]).expect("valid");
     let at = utc("2026-12-02 10:00");
-    assert_eq!(policy.allowed(&class("studio", "live"), 100, at), Some(29));
-    assert_eq!(policy.allowed(&class("studio", "live"), 3, at), Some(0));
+    assert_eq!(policy.max_unavailable(&class("studio", "live"), 100, at), Some(29));
+    assert_eq!(policy.max_unavailable(&class("studio", "live"), 3, at), Some(0));
 }
 
 #[test]
 fn team_names_may_hold_slashes() {
     let policy =
         read(&[section("budget a/b/c", &[("max_unavailable", "2"), ("evict_batch", "always")])]).expect("valid");
-    assert_eq!(policy.limit(&class("a/b", "c")), Some(Limit::Count(2)));
+    assert_eq!(policy.standing_limit(&class("a/b", "c")), Some(Limit::Count(2)));
     assert_eq!(policy.batch_eviction(&TaskClass { team: "a/b".into(), class: "c".into() }), BatchEviction::Always);
 }
 
@@ -58,7 +58,7 @@
     let window = section("window night", &[("zone", "Europe/Berlin"), ("from", "02:00"), ("until", "03:00")]);
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.night", "1")]);
     let policy = read(&[budget, window]).expect("valid");
-    let allowed = |at: &str| policy.allowed(&Scope::Team("studio".into()), 100, utc(at));
+    let allowed = |at: &str| policy.max_unavailable(&Scope::Team("studio".into()), 100, utc(at));
     // Ordinary days: an hour, at +1 in winter and +2 in summer.
     assert_eq!((allowed("2026-01-15 01:30"), allowed("2026-07-15 00:30")), (Some(1), Some(1)));
     assert_eq!((allowed("2026-01-15 00:30"), allowed("2026-07-15 01:30")), (Some(5), Some(5)));
@@ -74,7 +74,7 @@
     let entries = [("zone", "Africa/Nairobi"), ("days", "fri"), ("from", "22:00"), ("until", "06:00")];
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.late", "0")]);
     let policy = read(&[section("window late", &entries), budget]).expect("valid");
-    let allowed = |at: &str| policy.allowed(&Scope::Team("studio".into()), 100, utc(at));
+    let allowed = |at: &str| policy.max_unavailable(&Scope::Team("studio".into()), 100, utc(at));
     // 4 December 2026 is a Friday; Nairobi is three hours ahead of UTC.
     assert_eq!(allowed("2026-12-04 18:59"), Some(5));
     assert_eq!(allowed("2026-12-04 19:00"), Some(0));
@@ -89,7 +89,7 @@
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.day", "0")]);
     let teams = BTreeSet::from(["studio".to_string()]);
     let policy = parse(&[window, budget], &teams, Duration::from_secs(60)).expect("valid");
-    let allowed = |at: &str| policy.allowed(&Scope::Team("studio".into()), 100, utc(at));
+    let allowed = |at: &str| policy.max_unavailable(&Scope::Team("studio".into()), 100, utc(at));
     assert_eq!((allowed("2026-12-02 08:58"), allowed("2026-12-02 08:59")), (Some(5), Some(0)));
     assert_eq!((allowed("2026-12-02 17:00"), allowed("2026-12-02 17:01")), (Some(0), Some(5)));
 }
--- a/crates/disruption/tests/choose.rs
+++ b/crates/disruption/tests/selection.rs
@@ -1,8 +1,8 @@
 //! Which machines a step takes: never more than fits, and at least as many as the greedy way.
 
-use caperstile_disruption::allowance::{Allowances, LastEvictions, Load};
-use caperstile_disruption::choose::{Candidate, StepLimits, choose, greedy};
-use caperstile_disruption::{Budget, Demand, InstancePool, Limit, Policy, TaskClass};
+use caperstile_disruption::allowance::{Allowances, DisruptionState, LastEvictions};
+use caperstile_disruption::selection::{Candidate, StepLimits, select_greedily, select_machines};
+use caperstile_disruption::{Budget, ClassAvailability, EvictionLoad, InstancePool, Limit, Policy, TaskClass};
 use caperstile_types::{MachineId, Timestamp, WallClock};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -16,24 +16,26 @@
     let budget = |limit: &u32| Budget { max_unavailable: Some(Limit::Count(*limit)), ..Budget::default() };
     let classes = limits.iter().enumerate().map(|(n, limit)| (class(n), budget(limit))).collect();
     let policy = Policy { classes, ..Policy::default() };
-    let demand = (0..limits.len()).map(|n| (class(n), Demand { wanted: 100, unavailable: 0 })).collect();
-    Allowances::new(
-        &policy,
-        Timestamp::ZERO,
-        WallClock::from_millis(0),
-        &demand,
-        std::iter::empty(),
-        &LastEvictions::new(Timestamp::ZERO),
-    )
+    let availability =
+        (0..limits.len()).map(|n| (class(n), ClassAvailability { desired: 100, unavailable: 0 })).collect();
+    let state = DisruptionState {
+        now: Timestamp::ZERO,
+        wall: WallClock::from_millis(0),
+        availability: &availability,
+        charges: &[],
+        last_evictions: &LastEvictions::new(Timestamp::ZERO),
+    };
+    Allowances::new(&policy, &state)
 }
 
 fn candidate(machine: usize, counts: &[u32]) -> Candidate {
-    let load: Load = counts.iter().enumerate().filter(|(_, n)| **n > 0).map(|(n, count)| (class(n), *count)).collect();
-    Candidate { machine: MachineId(machine as u64), load, replaced_at: None }
+    let load: EvictionLoad =
+        counts.iter().enumerate().filter(|(_, n)| **n > 0).map(|(n, count)| (class(n), *count)).collect();
+    Candidate { machine: MachineId(machine as u64), load, replacement_pool: None }
 }
 
 fn limits(allowances: &Allowances, machines: u32) -> StepLimits<'_> {
-    StepLimits { allowances, machines, ready: BTreeMap::new() }
+    StepLimits { allowances, machines, ready_replacements: BTreeMap::new() }
 }
 
 #[test]
@@ -42,11 +44,11 @@
     // In order, the first takes all of the first class; the others take one of it each.
     let candidates = [candidate(1, &[1, 1]), candidate(2, &[1, 1]), candidate(3, &[2, 0]), candidate(4, &[0, 2])];
     let unlucky = [candidate(3, &[2, 0]), candidate(5, &[0, 1]), candidate(6, &[0, 1])];
-    assert_eq!(choose(&candidates, &limits(&allowances, 10)).len(), 2);
-    assert_eq!(choose(&unlucky, &limits(&allowances, 10)).len(), 3);
+    assert_eq!(select_machines(&candidates, &limits(&allowances, 10)).len(), 2);
+    assert_eq!(select_machines(&unlucky, &limits(&allowances, 10)).len(), 3);
     let greedy_trap = [candidate(1, &[0, 1]), candidate(2, &[2, 0]), candidate(3, &[1, 0]), candidate(4, &[1, 0])];
-    assert_eq!(greedy(&greedy_trap, &limits(&allowances, 10)).len(), 2);
-    assert_eq!(choose(&greedy_trap, &limits(&allowances, 10)).len(), 3);
+    assert_eq!(select_greedily(&greedy_trap, &limits(&allowances, 10)).len(), 2);
+    assert_eq!(select_machines(&greedy_trap, &limits(&allowances, 10)).len(), 3);
 }
 
 #[test]
@@ -54,24 +56,24 @@
     let allowances = allowances(&[2]);
     // Two small ones would be more, but the large one has waited longest.
     let candidates = [candidate(1, &[2]), candidate(2, &[1]), candidate(3, &[1])];
-    assert_eq!(choose(&candidates, &limits(&allowances, 10)), vec![MachineId(1)]);
+    assert_eq!(select_machines(&candidates, &limits(&allowances, 10)), vec![MachineId(1)]);
 }
 
 #[test]
 fn replacements_bound_a_step() {
     let allowances = allowances(&[9]);
-    let place = InstancePool { kind: "g8".into(), zone: "a".into(), spot: false };
-    let at = |machine| Candidate { replaced_at: Some(place.clone()), ..candidate(machine, &[1]) };
-    let step = StepLimits { ready: BTreeMap::from([(place.clone(), 2)]), ..limits(&allowances, 10) };
-    assert_eq!(choose(&[at(1), at(2), at(3)], &step).len(), 2);
-    assert!(choose(&[at(1)], &limits(&allowances, 10)).is_empty(), "nothing is ready");
+    let pool = InstancePool { machine_type: "g8".into(), zone: "a".into(), spot: false };
+    let at = |machine| Candidate { replacement_pool: Some(pool.clone()), ..candidate(machine, &[1]) };
+    let step = StepLimits { ready_replacements: BTreeMap::from([(pool.clone(), 2)]), ..limits(&allowances, 10) };
+    assert_eq!(select_machines(&[at(1), at(2), at(3)], &step).len(), 2);
+    assert!(select_machines(&[at(1)], &limits(&allowances, 10)).is_empty(), "nothing is ready");
 }
 
 #[test]
 fn like_machines_are_decided_together_at_any_number() {
     let allowances = allowances(&[300]);
     let candidates: Vec<Candidate> = (0..4000).map(|n| candidate(n, &[1])).collect();
-    assert_eq!(choose(&candidates, &limits(&allowances, 4000)).len(), 300);
+    assert_eq!(select_machines(&candidates, &limits(&allowances, 4000)).len(), 300);
 }
 
 proptest! {
@@ -86,13 +88,13 @@
         let allowances = allowances(&budgets);
         let candidates: Vec<Candidate> = loads.iter().enumerate().map(|(n, counts)| candidate(n, counts)).collect();
         let limits = limits(&allowances, machines);
-        let chosen = choose(&candidates, &limits);
+        let chosen = select_machines(&candidates, &limits);
         prop_assert!(chosen.len() <= machines as usize);
         for (class, budget) in budgets.iter().enumerate() {
             let out: u32 = chosen.iter().map(|id| loads[id.0 as usize][class]).sum();
             prop_assert!(out <= *budget, "{out} of class {class}, {budget} allowed");
         }
-        prop_assert!(chosen.len() >= greedy(&candidates, &limits).len());
-        prop_assert_eq!(&chosen, &choose(&candidates, &limits), "the same facts, the same step");
+        prop_assert!(chosen.len() >= select_greedily(&candidates, &limits).len());
+        prop_assert_eq!(&chosen, &select_machines(&candidates, &limits), "the same facts, the same step");
     }
 }
--- a/crates/disruption/tests/support/mod.rs
+++ b/crates/disruption/tests/support/mod.rs
@@ -1,47 +1,62 @@
 //! Stand-ins for the tests of this package.
 #![allow(dead_code)] // Each test uses some of them.
 
-use caperstile_disruption::store::{Answer, Call, Entry, Write};
+pub mod fleet;
+
+use caperstile_disruption::record_store::{ConditionalWrite, RecordStore, StoreEntry, StoreRequest, StoreResponse};
+use caperstile_types::Timestamp;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// Time of day at the begin of a test, in milliseconds since 1970.
+pub const START: u64 = 1_700_000_000_000;
+
 /// A state service that keeps revisions.
 #[derive(Default)]
-pub struct Service {
+pub struct FakeStateService {
     pub keys: BTreeMap<String, (u64, Value)>,
     pub revision: u64,
 }
 
-impl Service {
-    pub fn apply(&mut self, write: &Write) -> Answer {
-        let stamp = |key: &String| self.keys.get(key).map_or(0, |(revision, _)| *revision);
-        if write.conditions.iter().any(|(key, revision)| stamp(key) != *revision) {
-            return Answer::Conflict;
+impl FakeStateService {
+    pub fn apply(&mut self, write: &ConditionalWrite) -> StoreResponse {
+        let revision_of = |key: &String| self.keys.get(key).map_or(0, |(revision, _)| *revision);
+        if write.conditions.iter().any(|condition| revision_of(&condition.key) != condition.revision) {
+            return StoreResponse::Conflict;
         }
         self.revision += 1;
-        for (key, value) in &write.puts {
-            self.keys.insert(key.clone(), (self.revision, value.clone()));
+        for put in &write.puts {
+            self.keys.insert(put.key.clone(), (self.revision, put.value.clone()));
         }
         for key in &write.removals {
             self.keys.remove(key);
         }
-        Answer::Written { revision: self.revision }
+        StoreResponse::Written { revision: self.revision }
     }
 
-    fn scan(&self, prefix: &str) -> Answer {
+    fn scan(&self, prefix: &str) -> StoreResponse {
         let found = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
-        let entry = |(key, (revision, value)): (&String, &(u64, Value))| Entry {
+        let entry = |(key, (revision, value)): (&String, &(u64, Value))| StoreEntry {
             key: key.clone(),
             value: value.clone(),
             revision: *revision,
         };
-        Answer::Page { entries: found.map(entry).collect(), more: false }
+        StoreResponse::Page { entries: found.map(entry).collect(), more: false }
+    }
+
+    pub fn respond(&mut self, request: &StoreRequest) -> StoreResponse {
+        match request {
+            StoreRequest::Scan { prefix, .. } => self.scan(prefix),
+            StoreRequest::Write(write) => self.apply(write),
+        }
     }
 
-    pub fn answer(&mut self, call: &Call) -> Answer {
-        match call {
-            Call::Scan { prefix, .. } => self.scan(prefix),
-            Call::Write(write) => self.apply(write),
+    /// Lets a record store make its requests at this time, and answers all of them.
+    pub fn serve(&mut self, store: &mut RecordStore, now: Timestamp) {
+        let mut next = store.tick(now);
+        while let Some(outgoing) = next {
+            let response = self.respond(&outgoing.request);
+            next = store.handle_response(now, outgoing.id, response);
         }
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -55,7 +55,7 @@
     };
     if !start {
         println!("{}: settings of node {} can be used", file.display(), settings.node);
-        for scope in settings.policy.without_budget() {
+        for scope in settings.policy.scopes_with_zero_budget() {
             println!(
                 "the budget of {scope} is 0: its services are never moved, and machines with them cannot be drained"
             );
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -44,7 +44,7 @@
 
 impl From<caperstile_disruption::InstancePool> for InstancePool {
     fn from(pool: caperstile_disruption::InstancePool) -> InstancePool {
-        InstancePool { machine_type: pool.kind, zone: pool.zone, spot: pool.spot }
+        InstancePool { machine_type: pool.machine_type, zone: pool.zone, spot: pool.spot }
     }
 }
 
--- a/src/leader/drains/tests.rs
+++ b/src/leader/drains/tests.rs
@@ -1,20 +1,28 @@
 //! Transactions of the drains, as they are sent to the state service.
 
-use super::*;
+use super::record_store::{leader_key_changed, service_request, store_response};
 use crate::fixture::{self, Example, example};
+use crate::store::{ServiceResponse, StoreRequest};
+use crate::types::FencingToken;
+use crate::upgrade::Format;
+use caperstile_disruption::record_store::{
+    self, ConditionalWrite, RevisionCondition, StoreEntry, StorePut, StoreResponse,
+};
 use serde_json::json;
 
 #[test]
 fn writes_of_the_drains_keep_their_form() {
-    let write = Write {
-        conditions: vec![("drain/machine/m-000007".into(), 0), ("drain/request/kernel-5".into(), 29)],
-        puts: vec![("drain/machine/m-000007".into(), json!({"s": 0}))],
+    let condition = |key: &str, revision| RevisionCondition { key: key.into(), revision };
+    let write = ConditionalWrite {
+        conditions: vec![condition("drain/machine/m-000007", 0), condition("drain/request/kernel-5", 29)],
+        puts: vec![StorePut { key: "drain/machine/m-000007".into(), value: json!({"s": 0}) }],
         removals: vec!["drain/request/kernel-5".into()],
     };
-    let sent = |format| match state_call(Call::Write(write.clone()), format, FencingToken(41)) {
-        StoreRequest::CompareAndSwap(txn) => serde_json::to_string(&txn).expect("JSON"),
-        _ => panic!("a write is a transaction"),
-    };
+    let sent =
+        |format| match service_request(record_store::StoreRequest::Write(write.clone()), format, FencingToken(41)) {
+            StoreRequest::CompareAndSwap(txn) => serde_json::to_string(&txn).expect("JSON"),
+            _ => panic!("a write is a transaction"),
+        };
     let made: [Example; 2] = [example("before-gangs", sent(Format::One)), example("with-gangs", sent(Format::Two))];
     fixture::assert_examples("stored/drain-writes.txt", &made);
 }
@@ -22,13 +30,13 @@
 #[test]
 fn answers_to_the_drains_are_told_apart_as_before() {
     let reply = |status, body: serde_json::Value| ServiceResponse { status, body: body.to_string().into() };
-    let entry = Entry { key: "drain/status/x".into(), value: json!(1), revision: 5 };
+    let entry = StoreEntry { key: "drain/status/x".into(), value: json!(1), revision: 5 };
     let page = json!({"Pairs": [{"K": "drain/status/x", "V": 1, "Stamp": 5}], "More": true, "Ledger": 9});
-    assert_eq!(answer_of(&reply(200, page)), Answer::Page { entries: vec![entry], more: true });
-    assert_eq!(answer_of(&reply(200, json!({"Ledger": 9}))), Answer::Written { revision: 9 });
+    assert_eq!(store_response(&reply(200, page)), StoreResponse::Page { entries: vec![entry], more: true });
+    assert_eq!(store_response(&reply(200, json!({"Ledger": 9}))), StoreResponse::Written { revision: 9 });
     let failed = reply(409, json!({"failed": ["leader-2"], "Ledger": 9}));
-    assert_eq!(answer_of(&failed), Answer::Conflict);
-    assert!(names_leader_key(&failed, Format::Two) && !names_leader_key(&failed, Format::One));
-    assert_eq!(answer_of(&ServiceResponse::none()), Answer::Lost);
-    assert_eq!(answer_of(&reply(503, json!({}))), Answer::Refused);
+    assert_eq!(store_response(&failed), StoreResponse::Conflict);
+    assert!(leader_key_changed(&failed, Format::Two) && !leader_key_changed(&failed, Format::One));
+    assert_eq!(store_response(&ServiceResponse::none()), StoreResponse::Unknown);
+    assert_eq!(store_response(&reply(503, json!({}))), StoreResponse::Rejected);
 }
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -63,7 +63,7 @@
         self.count_unplanned_tasks(round, &mut late_tasks);
         let headroom = self.headroom(now, round.boot);
         let of_jobs = late_tasks.into_iter().filter_map(|(late, count)| self.demand_of_job(&late, count));
-        let demands = of_jobs.chain(headroom).chain(self.demands_of_drains(now));
+        let demands = of_jobs.chain(headroom).chain(self.replica_demands(now));
         demands.filter(|demand| demand.count > 0).collect()
     }
 
--- a/src/leader/provisioning/scale_in.rs
+++ b/src/leader/provisioning/scale_in.rs
@@ -1,7 +1,7 @@
 //! Scaling in: machines that are emptied because their services fit elsewhere, and idle ones that are given back.
 
 use crate::leader::Leader;
-use crate::leader::drains::RoomPlanner;
+use crate::leader::drains::SpareCapacityPlanner;
 use crate::types::{Duration, MachineId, Timestamp, WallClock};
 use crate::workers::{DrainReason, Machine, TaskAttempt};
 use caperstile_disruption::Coordinator;
@@ -37,7 +37,7 @@
     /// One consolidation at a time, by a leader that knows all machines, and not while more are being rented.
     fn may_consolidate(&self, now: Timestamp) -> bool {
         let consolidating = self.machines.values().any(|machine| machine.draining == Some(DrainReason::Consolidated))
-            || self.drain_state.coordinator.as_ref().is_some_and(Coordinator::consolidates);
+            || self.drain_state.coordinator.as_ref().is_some_and(Coordinator::is_consolidating);
         self.all_machines_fenced()
             && !consolidating
             && now.since(self.leader_since) >= MIN_RUN_BEFORE_MOVE
@@ -104,12 +104,12 @@
     /// Whether services of a machine fit into free room of others that hold their images, with room
     /// left for those that are likely to come.
     fn services_fit_elsewhere(&self, from: MachineId, services: &[&TaskAttempt], boot_s: f64) -> bool {
-        let mut rooms = RoomPlanner::for_consolidation(self, from);
-        if !rooms.take_all(services.iter().copied()) {
+        let mut capacity = SpareCapacityPlanner::for_consolidation(self, from);
+        if !capacity.reserve_all(services.iter().copied()) {
             return false;
         }
         let Some(expected) = self.expected_services(boot_s) else { return true };
-        rooms.count(expected.typical_job) >= expected.tasks
+        capacity.remaining_tasks(expected.typical_job) >= expected.tasks
     }
 
     /// Gives back what has been idle for long enough and is not kept as headroom or for a drain.
--- a/src/operator/drain.rs
+++ b/src/operator/drain.rs
@@ -3,7 +3,10 @@
 use super::report;
 use super::request::{CommandError, Requests, Shown};
 use crate::types::{self, MachineId};
-use caperstile_disruption::records::{Filter, Mode, Phase, Request, Selector, Wanted, valid_name};
+use caperstile_disruption::record_keys::valid_name;
+use caperstile_disruption::records::{
+    DesiredState, DrainMode, DrainPhase, DrainRequest, MachineFilter, MachineSelector,
+};
 use clap::{ArgGroup, Args, Subcommand};
 use serde_json::json;
 use std::process::ExitCode;
@@ -81,11 +84,11 @@
 }
 
 impl Start {
-    fn request(&self) -> Request {
+    fn request(&self) -> DrainRequest {
         let selector = if self.machines.is_empty() {
-            Selector::Matching(Filter {
+            MachineSelector::Matching(MachineFilter {
                 zone: self.zone.clone(),
-                kind: self.kind.clone(),
+                machine_type: self.kind.clone(),
                 older_than: self.older_than.map(|age| types::Duration::from_millis(age.as_millis() as u64)),
                 count: self.count,
             })
@@ -93,10 +96,10 @@
             let mut machines = self.machines.clone();
             machines.sort();
             machines.dedup();
-            Selector::Machines(machines)
+            MachineSelector::Machines(machines)
         };
-        let mode = if self.replace { Mode::Replace } else { Mode::Remove };
-        Request { selector, mode, wanted: Wanted::Run }
+        let mode = if self.replace { DrainMode::Replace } else { DrainMode::Remove };
+        DrainRequest { selector, mode, desired_state: DesiredState::Run }
     }
 }
 
@@ -121,13 +124,18 @@
         Action::Start(start) => start_drain(requests, &start.name, &start.request(), patience).map(|shown| vec![shown]),
         Action::Status { name: Some(name) } => requests.show(name).map(|shown| vec![shown]),
         Action::Status { name: None } => requests.show_all(),
-        Action::Pause { name } => change(requests, name, Wanted::Pause, patience).map(|shown| vec![shown]),
-        Action::Resume { name } => change(requests, name, Wanted::Run, patience).map(|shown| vec![shown]),
-        Action::Cancel { name } => change(requests, name, Wanted::Cancel, patience).map(|shown| vec![shown]),
+        Action::Pause { name } => change(requests, name, DesiredState::Pause, patience).map(|shown| vec![shown]),
+        Action::Resume { name } => change(requests, name, DesiredState::Run, patience).map(|shown| vec![shown]),
+        Action::Cancel { name } => change(requests, name, DesiredState::Cancel, patience).map(|shown| vec![shown]),
     }
 }
 
-fn start_drain(requests: &Requests, name: &str, request: &Request, patience: Duration) -> Result<Shown, CommandError> {
+fn start_drain(
+    requests: &Requests,
+    name: &str,
+    request: &DrainRequest,
+    patience: Duration,
+) -> Result<Shown, CommandError> {
     if !valid_name(name) {
         let form = "up to 40 of a to z, 0 to 9 and -";
         return Err(CommandError::Refused(format!("`{name}` is no name for a drain: {form}")));
@@ -146,27 +154,27 @@
 /// Waits for the leader's answer to what was asked.
 fn answered(requests: &Requests, name: &str, revision: u64, patience: Duration) -> Result<Shown, CommandError> {
     let status = requests.await_status(name, revision, patience)?;
-    if status.phase == Phase::Refused {
+    if status.phase == DrainPhase::Refused {
         return Err(CommandError::Refused(status.refusal.unwrap_or_default()));
     }
     let request = requests.request(name)?.map(|(request, _)| request);
     Ok(Shown { name: name.to_string(), request, status: Some(status) })
 }
 
-fn change(requests: &Requests, name: &str, wanted: Wanted, patience: Duration) -> Result<Shown, CommandError> {
+fn change(requests: &Requests, name: &str, wanted: DesiredState, patience: Duration) -> Result<Shown, CommandError> {
     for _ in 0..TRIES {
         let Some((request, revision)) = requests.request(name)? else {
             return Err(CommandError::Refused(format!("there is no drain {name}")));
         };
         let phase = requests.show(name)?.status.map(|status| status.phase);
-        match (phase, request.wanted) {
-            (Some(Phase::Done), _) => return Err(CommandError::Refused(format!("drain {name} is done"))),
-            (Some(Phase::Refused), _) => return Err(CommandError::Refused(format!("drain {name} was refused"))),
+        match (phase, request.desired_state) {
+            (Some(DrainPhase::Done), _) => return Err(CommandError::Refused(format!("drain {name} is done"))),
+            (Some(DrainPhase::Refused), _) => return Err(CommandError::Refused(format!("drain {name} was refused"))),
             (_, before) if before == wanted => return answered(requests, name, revision, patience),
-            (_, Wanted::Cancel) => return Err(CommandError::Refused(format!("drain {name} was called off"))),
+            (_, DesiredState::Cancel) => return Err(CommandError::Refused(format!("drain {name} was called off"))),
             _ => {}
         }
-        if let Some(written) = requests.write(name, &Request { wanted, ..request }, revision)? {
+        if let Some(written) = requests.write(name, &DrainRequest { desired_state: wanted, ..request }, revision)? {
             return answered(requests, name, written, patience).and_then(|shown| in_time(shown, wanted));
         }
     }
@@ -174,10 +182,10 @@
 }
 
 /// A drain may end before a change reaches the leader.
-fn in_time(shown: Shown, wanted: Wanted) -> Result<Shown, CommandError> {
+fn in_time(shown: Shown, wanted: DesiredState) -> Result<Shown, CommandError> {
     let phase = shown.status.as_ref().map(|status| status.phase);
     match (phase, wanted) {
-        (Some(Phase::Done), Wanted::Pause | Wanted::Cancel) => {
+        (Some(DrainPhase::Done), DesiredState::Pause | DesiredState::Cancel) => {
             Err(CommandError::Refused(format!("drain {} was done before", shown.name)))
         }
         _ => Ok(shown),
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of drains: lines for people, JSON for programs.
 
 use super::request::Shown;
-use caperstile_disruption::records::{Phase, Selector};
+use caperstile_disruption::records::{DrainPhase, MachineSelector};
 use serde_json::{Value, json};
 
 /// A drain in a few lines.
@@ -10,35 +10,35 @@
         return vec![format!("{}: asked for, not taken by a leader yet", shown.name)];
     };
     let phase = match status.phase {
-        Phase::Running => "running",
-        Phase::Paused => "paused",
-        Phase::Cancelled => "cancelled",
-        Phase::Done => "done",
-        Phase::Refused => "refused",
+        DrainPhase::Running => "running",
+        DrainPhase::Paused => "paused",
+        DrainPhase::Cancelled => "cancelled",
+        DrainPhase::Done => "done",
+        DrainPhase::Refused => "refused",
     };
     let mut lines = vec![match &status.refusal {
         Some(reason) => format!("{}: refused: {reason}", shown.name),
         None => format!(
             "{}: {phase}, {} of {} machines emptied, {} being emptied",
-            shown.name, status.emptied, status.total, status.emptying
+            shown.name, status.drained, status.machine_count, status.draining
         ),
     }];
     lines.extend(status.notes.iter().map(|note| format!("  note: {note}")));
-    lines.extend(status.waits_for.iter().map(|reason| format!("  waits: {reason}")));
+    lines.extend(status.wait_reasons.iter().map(|reason| format!("  waits: {reason}")));
     lines
 }
 
 /// A drain for programs.
 pub(crate) fn json(shown: &Shown) -> Value {
     let machines = shown.request.as_ref().map(|request| match &request.selector {
-        Selector::Machines(ids) => json!(ids.iter().map(ToString::to_string).collect::<Vec<_>>()),
-        Selector::Matching(filter) => json!(filter),
+        MachineSelector::Machines(ids) => json!(ids.iter().map(ToString::to_string).collect::<Vec<_>>()),
+        MachineSelector::Matching(filter) => json!(filter),
     });
     json!({
         "name": shown.name,
         "machines": machines,
         "mode": shown.request.as_ref().map(|request| request.mode),
-        "wanted": shown.request.as_ref().map(|request| request.wanted),
+        "wanted": shown.request.as_ref().map(|request| request.desired_state),
         "status": shown.status,
     })
 }
--- a/src/operator/report/tests.rs
+++ b/src/operator/report/tests.rs
@@ -3,39 +3,51 @@
 use super::*;
 use crate::fixture::{self, example};
 use crate::types::{Duration, MachineId, WallClock};
-use caperstile_disruption::records::{Filter, Mode, Request, Status, Wanted};
+use caperstile_disruption::records::{DesiredState, DrainMode, DrainRequest, DrainStatus, MachineFilter};
 
 fn shown() -> Vec<(&'static str, Shown)> {
-    let asked_for = Status::asked_for(17, WallClock::from_millis(1_700_000_000_123));
-    let running = Status {
-        request: 29,
+    let asked_for = DrainStatus::requested(17, WallClock::from_millis(1_700_000_000_123));
+    let running = DrainStatus {
+        request_revision: 29,
         notes: vec!["m-000007 is gone".into()],
-        total: 20,
-        emptied: 3,
-        emptying: 2,
-        waits_for: vec!["the budget of team crew is 0".into(), "crew/live: 2 to be moved".into()],
+        machine_count: 20,
+        drained: 3,
+        draining: 2,
+        wait_reasons: vec!["the budget of team crew is 0".into(), "crew/live: 2 to be moved".into()],
         ..asked_for.clone()
     };
-    let of_phase = |phase| Status { phase, ..asked_for.clone() };
+    let of_phase = |phase| DrainStatus { phase, ..asked_for.clone() };
     let mut refused = asked_for.clone();
     refused.refuse("no machine matches".into());
-    let filter = Filter {
+    let filter = MachineFilter {
         zone: Some("a".into()),
-        kind: Some("g8".into()),
+        machine_type: Some("g8".into()),
         older_than: Some(Duration::from_millis(604_800_000)),
         count: Some(20),
     };
-    let machines = Selector::Machines(vec![MachineId(7), MachineId(231)]);
-    let request = |selector, mode, wanted| Some(Request { selector, mode, wanted });
-    let everything = || Selector::Matching(Filter::default());
+    let machines = MachineSelector::Machines(vec![MachineId(7), MachineId(231)]);
+    let request = |selector, mode, desired_state| Some(DrainRequest { selector, mode, desired_state });
+    let everything = || MachineSelector::Matching(MachineFilter::default());
     let drain = |request, status| Shown { name: "kernel-5".into(), request, status };
     vec![
-        ("asked-for", drain(request(machines, Mode::Remove, Wanted::Run), None)),
-        ("running", drain(request(Selector::Matching(filter), Mode::Replace, Wanted::Run), Some(running))),
-        ("paused", drain(request(everything(), Mode::Replace, Wanted::Pause), Some(of_phase(Phase::Paused)))),
-        ("cancelled", drain(request(everything(), Mode::Remove, Wanted::Cancel), Some(of_phase(Phase::Cancelled)))),
-        ("done", drain(None, Some(of_phase(Phase::Done)))),
-        ("refused", drain(request(everything(), Mode::Remove, Wanted::Run), Some(refused))),
+        ("asked-for", drain(request(machines, DrainMode::Remove, DesiredState::Run), None)),
+        (
+            "running",
+            drain(request(MachineSelector::Matching(filter), DrainMode::Replace, DesiredState::Run), Some(running)),
+        ),
+        (
+            "paused",
+            drain(request(everything(), DrainMode::Replace, DesiredState::Pause), Some(of_phase(DrainPhase::Paused))),
+        ),
+        (
+            "cancelled",
+            drain(
+                request(everything(), DrainMode::Remove, DesiredState::Cancel),
+                Some(of_phase(DrainPhase::Cancelled)),
+            ),
+        ),
+        ("done", drain(None, Some(of_phase(DrainPhase::Done)))),
+        ("refused", drain(request(everything(), DrainMode::Remove, DesiredState::Run), Some(refused))),
     ]
 }
 
--- a/src/operator/request.rs
+++ b/src/operator/request.rs
@@ -4,7 +4,8 @@
 use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::Revision;
 use crate::wire::{CompareAndSwap, CompareAndSwapResponse, KeyPage, KeyValue, StoreWrite};
-use caperstile_disruption::records::{REQUESTS, Request, STATUSES, Status, request_key, status_key};
+use caperstile_disruption::record_keys::{REQUEST_PREFIX, STATUS_PREFIX, request_key, status_key};
+use caperstile_disruption::records::{DrainRequest, DrainStatus};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -33,9 +34,9 @@
 pub(crate) struct Shown {
     pub name: String,
     /// None for one whose request is gone.
-    pub request: Option<Request>,
+    pub request: Option<DrainRequest>,
     /// None as long as no leader has taken it.
-    pub status: Option<Status>,
+    pub status: Option<DrainStatus>,
 }
 
 impl Requests {
@@ -76,12 +77,12 @@
     }
 
     /// A request and its revision.
-    pub(crate) fn request(&self, name: &str) -> Result<Option<(Request, u64)>, CommandError> {
+    pub(crate) fn request(&self, name: &str) -> Result<Option<(DrainRequest, u64)>, CommandError> {
         self.get(&request_key(name))
     }
 
     /// Writes a request on condition that it has this revision, 0: that there is none. `None`: another operator was faster.
-    pub(crate) fn write(&self, name: &str, request: &Request, revision: u64) -> Result<Option<u64>, CommandError> {
+    pub(crate) fn write(&self, name: &str, request: &DrainRequest, revision: u64) -> Result<Option<u64>, CommandError> {
         let key = request_key(name);
         let value = serde_json::to_value(request).map_err(|e| CommandError::Refused(e.to_string()))?;
         let put = StoreWrite::Put { key: key.clone(), value, lease: None };
@@ -96,7 +97,7 @@
     }
 
     /// After a write without an answer: it is told from the key, if it was carried out.
-    fn settle(&self, name: &str, request: &Request, before: u64) -> Result<Option<u64>, CommandError> {
+    fn settle(&self, name: &str, request: &DrainRequest, before: u64) -> Result<Option<u64>, CommandError> {
         let doubt = "the state service did not answer: the request may have been carried out, or may yet be";
         match self.request(name) {
             Ok(Some((found, revision))) if revision > before && found == *request => Ok(Some(revision)),
@@ -106,11 +107,16 @@
     }
 
     /// Waits until a leader has answered what stands in the request since this revision.
-    pub(crate) fn await_status(&self, name: &str, revision: u64, patience: Duration) -> Result<Status, CommandError> {
+    pub(crate) fn await_status(
+        &self,
+        name: &str,
+        revision: u64,
+        patience: Duration,
+    ) -> Result<DrainStatus, CommandError> {
         let begin = Instant::now();
         loop {
-            let status = self.get::<Status>(&status_key(name))?.map(|(status, _)| status);
-            if let Some(status) = status.filter(|status| status.request >= revision) {
+            let status = self.get::<DrainStatus>(&status_key(name))?.map(|(status, _)| status);
+            if let Some(status) = status.filter(|status| status.request_revision >= revision) {
                 return Ok(status);
             }
             if begin.elapsed() >= patience {
@@ -136,12 +142,12 @@
 
     /// All drains, in the order in which they were asked for.
     pub(crate) fn show_all(&self) -> Result<Vec<Shown>, CommandError> {
-        let mut requests: BTreeMap<String, (Request, u64)> = self.scan(REQUESTS)?;
-        let statuses: BTreeMap<String, (Status, u64)> = self.scan(STATUSES)?;
+        let mut requests: BTreeMap<String, (DrainRequest, u64)> = self.scan(REQUEST_PREFIX)?;
+        let statuses: BTreeMap<String, (DrainStatus, u64)> = self.scan(STATUS_PREFIX)?;
         let mut shown = Vec::new();
         for (name, (status, _)) in statuses {
             let request = requests.remove(&name).map(|(request, _)| request);
-            shown.push((status.created, Shown { name, request, status: Some(status) }));
+            shown.push((status.created_revision, Shown { name, request, status: Some(status) }));
         }
         for (name, (request, revision)) in requests {
             shown.push((revision, Shown { name, request: Some(request), status: None }));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::types::Duration;
 use caperstile_admission::{AdmissionPolicy, AdmissionPolicyError};
-use caperstile_disruption::{Policy, PolicyError, Section, policy};
+use caperstile_disruption::{Policy, PolicyError, Section, policy_parser};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -222,10 +222,10 @@
         let sections: Vec<Section> = ini
             .iter()
             .map(|(name, properties)| Section { name: name.unwrap_or("").into(), entries: entries(properties) })
-            .filter(|section| policy::is_section(&section.name))
+            .filter(|section| policy_parser::is_section(&section.name))
             .collect();
         let clock_error = Duration::from_secs_f64(self.deployment.clock_error_ms / 1000.0);
-        Ok(policy::parse(&sections, &self.team_names(), clock_error)?)
+        Ok(policy_parser::parse(&sections, &self.team_names(), clock_error)?)
     }
 
     /// Reads and checks the platform's TOML.
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -43,7 +43,7 @@
         let mut tuning = Tuning::default();
         for (section, properties) in ini.iter() {
             let section = section.unwrap_or("");
-            if policy::is_section(section) || AdmissionPolicy::is_section(section) {
+            if policy_parser::is_section(section) || AdmissionPolicy::is_section(section) {
                 continue;
             }
             for (name, value) in properties.iter() {
--- a/tests/characterization/settings.rs
+++ b/tests/characterization/settings.rs
@@ -6,7 +6,7 @@
     WorkerTimes,
 };
 use caperstile_admission::{AdmissionPolicy, BacklogBound};
-use caperstile_disruption::budget::BatchEviction;
+use caperstile_disruption::budget::{BatchEviction, WindowLimit};
 use caperstile_disruption::window::Minute;
 use caperstile_disruption::{Budget, Limit, Policy, TaskClass};
 use std::path::Path;
@@ -109,9 +109,9 @@
     }
 
     fn add_budgets(&mut self, policy: &Policy) {
-        let Policy { enabled, parallel, clock_error, teams, classes } = policy;
+        let Policy { enabled, max_draining_machines, clock_error, teams, classes } = policy;
         self.add("drains.enabled", enabled);
-        self.add("drains.max_machines", parallel);
+        self.add("drains.max_machines", max_draining_machines);
         self.add("drains:clock-error", clock_error.as_secs_f64());
         for (team, budget) in teams {
             self.add_budget(&format!("budget:{team}"), budget);
@@ -124,7 +124,7 @@
     fn add_budget(&mut self, scope: &str, budget: &Budget) {
         let Budget { max_unavailable, windows, min_interval, batch_wait, batch_eviction } = budget;
         self.add_option(&format!("{scope}.max_unavailable"), max_unavailable.as_ref().map(Limit::to_string));
-        for (window, limit) in windows {
+        for WindowLimit { window, limit } in windows {
             let minute = |text| Minute::parse(text).expect("a time");
             assert_eq!((window.from, window.until), (minute("09:30"), minute("17:00")));
             let days: String = window.days.iter().map(|day| if *day { 'x' } else { '-' }).collect();
--- a/tests/characterization/stored_drains.rs
+++ b/tests/characterization/stored_drains.rs
@@ -3,8 +3,11 @@
 use crate::fixture::{self, Example, example, example_of};
 use caperstile::types::{AttemptNumber, Duration, JobId, MachineId, WallClock};
 use caperstile_disruption::InstancePool;
-use caperstile_disruption::records::{self, Charge, EmptyingRecord, Filter, MemberPart, Mode, Phase, Request};
-use caperstile_disruption::records::{Selector, Status, Wanted};
+use caperstile_disruption::record_keys;
+use caperstile_disruption::records::{
+    BudgetCharge, DrainMode, DrainPhase, DrainRequest, MachineDrainRecord, MachineFilter, MemberMachine, MemberRecord,
+};
+use caperstile_disruption::records::{DesiredState, DrainStatus, MachineSelector};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
@@ -27,77 +30,77 @@
     fixture::assert_examples(
         KEYS,
         &[
-            example("all", records::PREFIX),
-            example("requests", records::REQUESTS),
-            example("statuses", records::STATUSES),
-            example("members", records::MEMBERS),
-            example("machines", records::MACHINES),
-            example("request", records::request_key("kernel-5")),
-            example("status", records::status_key("kernel-5")),
-            example("member", records::member_key("kernel-5", 12)),
-            example("machine", records::machine_key(MachineId(231))),
+            example("all", record_keys::PREFIX),
+            example("requests", record_keys::REQUEST_PREFIX),
+            example("statuses", record_keys::STATUS_PREFIX),
+            example("members", record_keys::MEMBER_PREFIX),
+            example("machines", record_keys::MACHINE_PREFIX),
+            example("request", record_keys::request_key("kernel-5")),
+            example("status", record_keys::status_key("kernel-5")),
+            example("member", record_keys::member_key("kernel-5", 12)),
+            example("machine", record_keys::machine_key(MachineId(231))),
         ],
     );
 }
 
 #[test]
 fn requests_keep_their_form() {
-    let everything = Filter {
+    let everything = MachineFilter {
         zone: Some("a".into()),
-        kind: Some("g8".into()),
+        machine_type: Some("g8".into()),
         older_than: Some(Duration::from_millis(604_800_000)),
         count: Some(20),
     };
-    let matching = |filter| Selector::Matching(filter);
-    let machines = Selector::Machines(vec![MachineId(7), MachineId(231)]);
-    let request = |selector, mode, wanted| Request { selector, mode, wanted };
+    let matching = |filter| MachineSelector::Matching(filter);
+    let machines = MachineSelector::Machines(vec![MachineId(7), MachineId(231)]);
+    let request = |selector, mode, desired_state| DrainRequest { selector, mode, desired_state };
     assert_stored(
         "stored/drain-requests.txt",
         &[
-            ("machines-remove-run", request(machines, Mode::Remove, Wanted::Run)),
-            ("filter-replace-pause", request(matching(everything), Mode::Replace, Wanted::Pause)),
-            ("all-remove-cancel", request(matching(Filter::default()), Mode::Remove, Wanted::Cancel)),
+            ("machines-remove-run", request(machines, DrainMode::Remove, DesiredState::Run)),
+            ("filter-replace-pause", request(matching(everything), DrainMode::Replace, DesiredState::Pause)),
+            ("all-remove-cancel", request(matching(MachineFilter::default()), DrainMode::Remove, DesiredState::Cancel)),
         ],
     );
 }
 
 #[test]
 fn statuses_keep_their_form() {
-    let asked_for = Status::asked_for(17, WallClock::from_millis(1_700_000_000_123));
-    let full = Status {
-        phase: Phase::Paused,
-        request: 29,
-        created: 17,
+    let asked_for = DrainStatus::requested(17, WallClock::from_millis(1_700_000_000_123));
+    let full = DrainStatus {
+        phase: DrainPhase::Paused,
+        request_revision: 29,
+        created_revision: 17,
         accepted_at: WallClock::from_millis(1_700_000_000_123),
         refusal: None,
         notes: vec!["m-000007 is gone".into()],
-        total: 20,
-        emptied: 3,
-        emptying: 2,
-        waits_for: vec!["the budget of team crew is 0".into(), "crew/live".into()],
+        machine_count: 20,
+        drained: 3,
+        draining: 2,
+        wait_reasons: vec!["the budget of team crew is 0".into(), "crew/live".into()],
     };
     let mut refused = asked_for.clone();
     refused.refuse("no machine matches".into());
-    let of_phase = |phase| Status { phase, ..asked_for.clone() };
+    let of_phase = |phase| DrainStatus { phase, ..asked_for.clone() };
     assert_stored(
         "stored/drain-statuses.txt",
         &[
             ("asked-for", asked_for.clone()),
             ("full", full),
             ("refused", refused),
-            ("cancelled", of_phase(Phase::Cancelled)),
-            ("done", of_phase(Phase::Done)),
+            ("cancelled", of_phase(DrainPhase::Cancelled)),
+            ("done", of_phase(DrainPhase::Done)),
         ],
     );
 }
 
 #[test]
 fn members_keep_their_form() {
-    let part = |spot| MemberPart {
-        place: InstancePool { kind: "g8".into(), zone: "a".into(), spot },
+    let part = |spot| MemberRecord {
+        pool: InstancePool { machine_type: "g8".into(), zone: "a".into(), spot },
         machines: vec![
-            (MachineId(7), WallClock::from_millis(1_700_000_000_123)),
-            (MachineId(231), WallClock::from_millis(0)),
+            MemberMachine { id: MachineId(7), rented_at: WallClock::from_millis(1_700_000_000_123) },
+            MemberMachine { id: MachineId(231), rented_at: WallClock::from_millis(0) },
         ],
     };
     assert_stored("stored/drain-members.txt", &[("spot", part(true)), ("on-demand", part(false))]);
@@ -105,12 +108,13 @@
 
 #[test]
 fn machines_that_are_being_emptied_keep_their_form() {
-    let charge = |index, count| Charge { job: JobId(412), index, attempt: AttemptNumber(90_071), count };
-    let drained = EmptyingRecord {
+    let charge =
+        |index, task_count| BudgetCharge { job: JobId(412), index, attempt: AttemptNumber(90_071), task_count };
+    let drained = MachineDrainRecord {
         drain: Some("kernel-5".into()),
-        since: WallClock::from_millis(1_700_000_000_123),
+        started_at: WallClock::from_millis(1_700_000_000_123),
         charges: vec![charge(Some(4), 1), charge(None, 8)],
     };
-    let consolidated = EmptyingRecord { drain: None, since: WallClock::from_millis(0), charges: Vec::new() };
+    let consolidated = MachineDrainRecord { drain: None, started_at: WallClock::from_millis(0), charges: Vec::new() };
     assert_stored("stored/drain-machines.txt", &[("drained", drained), ("consolidated", consolidated)]);
 }
