--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -7,7 +7,8 @@
 
 use crate::cloud::{InstancePool, MAX_INSTANCES_PER_REQUEST};
 use crate::effects::{Effect, StoreCaller};
-use crate::leader::{Leader, StepDownReason};
+use crate::leader::Leader;
+use crate::leadership::StepDownReason;
 use crate::settings::Settings;
 use crate::store::ServiceResponse;
 use crate::types::{MachineId, Timestamp, WallClock};
@@ -181,7 +182,7 @@
         count: u32,
         out: &mut Vec<Effect>,
     ) {
-        if self.cloud.scale_out_in_flight() || self.cloud.available_calls() == 0 {
+        if self.cloud.scale_out_in_flight() || self.cloud.available_requests() == 0 {
             return;
         }
         let pool = InstancePool::from(pool);
