--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -4,7 +4,7 @@
 use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::leader::scheduling::queue_priority;
-use crate::plan::{QueueEntry, QueuePriority};
+use crate::plan::{PredictedStart, QueueEntry, QueuePriority};
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::BTreeMap;
 
@@ -63,7 +63,7 @@
         self.count_unplanned_tasks(round, &mut late_tasks);
         let headroom = self.headroom(now, round.boot);
         let of_jobs = late_tasks.into_iter().filter_map(|(late, count)| self.demand_of_job(&late, count));
-        let demands = of_jobs.chain(headroom).chain(self.demands_of_drains(now));
+        let demands = of_jobs.chain(headroom).chain(self.replica_demands(now));
         demands.filter(|demand| demand.count > 0).collect()
     }
 
@@ -75,7 +75,7 @@
     /// Counts tasks that wait in a machine's queue and would start too late there.
     fn count_late_planned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
         for machine in self.planning.plans.machines().filter(|machine| !machine.queue.is_empty()) {
-            for (entry, start) in self.planning.plans.predicted_starts(machine.id, round.now) {
+            for PredictedStart { task: entry, start } in self.planning.plans.predicted_starts(machine.id, round.now) {
                 let job = self.jobs.get(entry.job);
                 if self.starts_late(&entry, start, round) {
                     let late = LateTasks {
@@ -140,7 +140,7 @@
         if !is_colocated_gang(job) {
             return None;
         }
-        let (machine, _) = self.planning.plans.planned_machines(job.spec.id).into_iter().next()?;
+        let machine = self.planning.plans.planned_machines(job.spec.id).into_iter().next()?.machine;
         let zone = self.planning.plans.machine(machine)?.zone;
         self.planning.names.zone_name(zone).map(str::to_string)
     }
