--- a/src/operator/admission.rs
+++ b/src/operator/admission.rs
@@ -7,8 +7,8 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A leader that refuses something says so every ten seconds: what is older says nothing of now.
-const CURRENT_S: f64 = 30.0;
+/// A leader that refuses something writes its status every ten seconds: an older one says nothing of now.
+const MAX_STATUS_AGE_S: f64 = 30.0;
 
 /// Arguments of `caperstile admission`.
 #[derive(Debug, Args)]
@@ -27,14 +27,14 @@
 
 /// Runs a command.
 pub(crate) fn main(arguments: &Arguments) -> ExitCode {
-    let requests = match super::connect(arguments.common.config.as_deref()) {
-        Ok(requests) => requests,
+    let client = match super::connect(arguments.common.config.as_deref()) {
+        Ok(client) => client,
         Err(code) => return code,
     };
     let Action::Status = arguments.action;
-    match requests.get::<AdmissionStatus>(STATUS_KEY) {
+    match client.get::<AdmissionStatus>(STATUS_KEY) {
         Ok(found) => {
-            let shown = Shown { status: found.map(|(status, _)| status), now: now() };
+            let shown = Shown { status: found.map(|found| found.value), now: now() };
             print(arguments.common.json, &shown);
             ExitCode::SUCCESS
         }
@@ -59,7 +59,7 @@
 
     /// What is refused now: nothing, if the last that was written is old.
     fn current(&self) -> Option<&AdmissionStatus> {
-        self.status.as_ref().filter(|status| !status.refused.is_empty() && self.age_s(status) <= CURRENT_S)
+        self.status.as_ref().filter(|status| !status.refused.is_empty() && self.age_s(status) <= MAX_STATUS_AGE_S)
     }
 
     fn lines(&self) -> Vec<String> {
--- a/src/operator/drain.rs
+++ b/src/operator/drain.rs
@@ -1,7 +1,9 @@
 //! `caperstile drain`: asks for drains, shows them, lets them rest, go on or end.
 
+use super::drain_requests::{DrainRequests, DrainSummary};
+use super::error::{CommandError, Refusal};
 use super::report;
-use super::request::{CommandError, Requests, Shown};
+use super::state_client::Versioned;
 use crate::types::{self, MachineId};
 use caperstile_disruption::record_keys::valid_name;
 use caperstile_disruption::records::{
@@ -12,8 +14,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Tries at a change of a request that other operators change too.
-const TRIES: u32 = 5;
+/// Attempts at a change of a request that other operators change too.
+const MAX_ATTEMPTS: u32 = 5;
 
 /// Arguments of `caperstile drain`.
 #[derive(Debug, Args)]
@@ -105,102 +107,120 @@
 
 /// Runs a command.
 pub(crate) fn main(arguments: &Arguments) -> ExitCode {
-    let requests = match super::connect(arguments.common.config.as_deref()) {
-        Ok(requests) => requests,
+    let client = match super::connect(arguments.common.config.as_deref()) {
+        Ok(client) => client,
         Err(code) => return code,
     };
-    match run(arguments, &requests) {
-        Ok(shown) => {
-            print(arguments.common.json, &shown);
+    match run(arguments, &DrainRequests::new(&client)) {
+        Ok(summaries) => {
+            print(arguments.common.json, &summaries);
             ExitCode::SUCCESS
         }
         Err(error) => super::fail(arguments.common.json, &error),
     }
 }
 
-fn run(arguments: &Arguments, requests: &Requests) -> Result<Vec<Shown>, CommandError> {
-    let patience = Duration::from_secs(arguments.wait);
-    match &arguments.action {
-        Action::Start(start) => start_drain(requests, &start.name, &start.request(), patience).map(|shown| vec![shown]),
-        Action::Status { name: Some(name) } => requests.show(name).map(|shown| vec![shown]),
-        Action::Status { name: None } => requests.show_all(),
-        Action::Pause { name } => change(requests, name, DesiredState::Pause, patience).map(|shown| vec![shown]),
-        Action::Resume { name } => change(requests, name, DesiredState::Run, patience).map(|shown| vec![shown]),
-        Action::Cancel { name } => change(requests, name, DesiredState::Cancel, patience).map(|shown| vec![shown]),
-    }
+fn run(arguments: &Arguments, requests: &DrainRequests<'_>) -> Result<Vec<DrainSummary>, CommandError> {
+    let timeout = Duration::from_secs(arguments.wait);
+    let change = |name, desired_state| change_state(requests, name, desired_state, timeout);
+    let summary = match &arguments.action {
+        Action::Status { name: None } => return requests.show_all(),
+        Action::Status { name: Some(name) } => requests.show(name),
+        Action::Start(start) => start_drain(requests, &start.name, &start.request(), timeout),
+        Action::Pause { name } => change(name, DesiredState::Pause),
+        Action::Resume { name } => change(name, DesiredState::Run),
+        Action::Cancel { name } => change(name, DesiredState::Cancel),
+    };
+    Ok(vec![summary?])
 }
 
 fn start_drain(
-    requests: &Requests,
+    requests: &DrainRequests<'_>,
     name: &str,
     request: &DrainRequest,
-    patience: Duration,
-) -> Result<Shown, CommandError> {
+    timeout: Duration,
+) -> Result<DrainSummary, CommandError> {
     if !valid_name(name) {
-        let form = "up to 40 of a to z, 0 to 9 and -";
-        return Err(CommandError::Refused(format!("`{name}` is no name for a drain: {form}")));
+        return Err(CommandError::Refused(Refusal::InvalidName(name.to_string())));
     }
-    // Asked for twice, by one operator or by two, it is the same drain.
     let revision = match requests.write(name, request, 0)? {
         Some(revision) => revision,
-        None => match requests.request(name)? {
-            Some((found, revision)) if (&found.selector, found.mode) == (&request.selector, request.mode) => revision,
-            _ => return Err(CommandError::Refused(format!("there is another drain {name}; choose another name"))),
-        },
+        None => existing_revision(requests, name, request)?,
     };
-    answered(requests, name, revision, patience)
+    await_answer(requests, name, revision, timeout)
 }
 
-/// Waits for the leader's answer to what was asked.
-fn answered(requests: &Requests, name: &str, revision: u64, patience: Duration) -> Result<Shown, CommandError> {
-    let status = requests.await_status(name, revision, patience)?;
+/// Requested twice, by one operator or by two, it is the same drain.
+fn existing_revision(requests: &DrainRequests<'_>, name: &str, request: &DrainRequest) -> Result<u64, CommandError> {
+    let is_same = |found: &DrainRequest| (&found.selector, found.mode) == (&request.selector, request.mode);
+    match requests.request(name)? {
+        Some(found) if is_same(&found.value) => Ok(found.revision),
+        _ => Err(CommandError::Refused(Refusal::NameTaken(name.to_string()))),
+    }
+}
+
+/// Waits for the leader's answer to a request.
+fn await_answer(
+    requests: &DrainRequests<'_>,
+    name: &str,
+    revision: u64,
+    timeout: Duration,
+) -> Result<DrainSummary, CommandError> {
+    let status = requests.await_status(name, revision, timeout)?;
     if status.phase == DrainPhase::Refused {
-        return Err(CommandError::Refused(status.refusal.unwrap_or_default()));
+        return Err(CommandError::Refused(Refusal::ByLeader(status.refusal.unwrap_or_default())));
     }
-    let request = requests.request(name)?.map(|(request, _)| request);
-    Ok(Shown { name: name.to_string(), request, status: Some(status) })
+    let request = requests.request(name)?.map(|found| found.value);
+    Ok(DrainSummary { name: name.to_string(), request, status: Some(status) })
 }
 
-fn change(requests: &Requests, name: &str, wanted: DesiredState, patience: Duration) -> Result<Shown, CommandError> {
-    for _ in 0..TRIES {
-        let Some((request, revision)) = requests.request(name)? else {
-            return Err(CommandError::Refused(format!("there is no drain {name}")));
+fn change_state(
+    requests: &DrainRequests<'_>,
+    name: &str,
+    desired_state: DesiredState,
+    timeout: Duration,
+) -> Result<DrainSummary, CommandError> {
+    let refused = |reason: fn(String) -> Refusal| Err(CommandError::Refused(reason(name.to_string())));
+    for _ in 0..MAX_ATTEMPTS {
+        let Some(Versioned { value: request, revision }) = requests.request(name)? else {
+            return refused(Refusal::NoSuchDrain);
         };
         let phase = requests.show(name)?.status.map(|status| status.phase);
         match (phase, request.desired_state) {
-            (Some(DrainPhase::Done), _) => return Err(CommandError::Refused(format!("drain {name} is done"))),
-            (Some(DrainPhase::Refused), _) => return Err(CommandError::Refused(format!("drain {name} was refused"))),
-            (_, before) if before == wanted => return answered(requests, name, revision, patience),
-            (_, DesiredState::Cancel) => return Err(CommandError::Refused(format!("drain {name} was called off"))),
+            (Some(DrainPhase::Done), _) => return refused(Refusal::Done),
+            (Some(DrainPhase::Refused), _) => return refused(Refusal::DrainRefused),
+            (_, before) if before == desired_state => return await_answer(requests, name, revision, timeout),
+            (_, DesiredState::Cancel) => return refused(Refusal::Cancelled),
             _ => {}
         }
-        if let Some(written) = requests.write(name, &DrainRequest { desired_state: wanted, ..request }, revision)? {
-            return answered(requests, name, written, patience).and_then(|shown| in_time(shown, wanted));
+        if let Some(written) = requests.write(name, &DrainRequest { desired_state, ..request }, revision)? {
+            let summary = await_answer(requests, name, written, timeout)?;
+            return check_in_time(summary, desired_state);
         }
     }
-    Err(CommandError::Refused(format!("others are changing drain {name}; nothing was changed, try again")))
+    refused(Refusal::ConcurrentChanges)
 }
 
 /// A drain may end before a change reaches the leader.
-fn in_time(shown: Shown, wanted: DesiredState) -> Result<Shown, CommandError> {
-    let phase = shown.status.as_ref().map(|status| status.phase);
-    match (phase, wanted) {
+fn check_in_time(summary: DrainSummary, desired_state: DesiredState) -> Result<DrainSummary, CommandError> {
+    let phase = summary.status.as_ref().map(|status| status.phase);
+    match (phase, desired_state) {
         (Some(DrainPhase::Done), DesiredState::Pause | DesiredState::Cancel) => {
-            Err(CommandError::Refused(format!("drain {} was done before", shown.name)))
+            Err(CommandError::Refused(Refusal::DoneBefore(summary.name)))
         }
-        _ => Ok(shown),
+        _ => Ok(summary),
     }
 }
 
-fn print(json: bool, shown: &[Shown]) {
+fn print(json: bool, summaries: &[DrainSummary]) {
     if json {
-        println!("{}", json!({"drains": shown.iter().map(report::json).collect::<Vec<_>>()}));
+        println!("{}", json!({"drains": summaries.iter().map(report::json).collect::<Vec<_>>()}));
         return;
     }
-    if shown.is_empty() {
+    if summaries.is_empty() {
         println!("no drains");
     }
-    for line in shown.iter().flat_map(report::lines) {
+    for line in summaries.iter().flat_map(report::lines) {
         println!("{line}");
     }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -2,13 +2,16 @@
 
 pub(crate) mod admission;
 pub(crate) mod drain;
+mod drain_requests;
+mod error;
 mod report;
-mod request;
+mod state_client;
 
 use crate::runtime::StoreClient;
 use crate::settings::Settings;
-use request::{CommandError, Requests};
+use error::CommandError;
 use serde_json::json;
+use state_client::StateClient;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -33,7 +36,7 @@
 }
 
 /// A client of the state service that the settings name; says what is wrong with them.
-fn connect(config: Option<&Path>) -> Result<Requests, ExitCode> {
+fn connect(config: Option<&Path>) -> Result<StateClient, ExitCode> {
     let usage = |problem: String| {
         eprintln!("caperstile: {problem}");
         ExitCode::from(EXIT_USAGE)
@@ -44,7 +47,7 @@
         eprintln!("caperstile: {e}");
         ExitCode::from(EXIT_NOT_REACHED)
     })?;
-    Ok(Requests::new(client))
+    Ok(StateClient::new(client))
 }
 
 /// Says why a command did not do what was asked.
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -1,13 +1,13 @@
 //! What operators are shown of drains: lines for people, JSON for programs.
 
-use super::request::Shown;
+use super::drain_requests::DrainSummary;
 use caperstile_disruption::records::{DrainPhase, MachineSelector};
 use serde_json::{Value, json};
 
 /// A drain in a few lines.
-pub(crate) fn lines(shown: &Shown) -> Vec<String> {
-    let Some(status) = &shown.status else {
-        return vec![format!("{}: asked for, not taken by a leader yet", shown.name)];
+pub(crate) fn lines(summary: &DrainSummary) -> Vec<String> {
+    let Some(status) = &summary.status else {
+        return vec![format!("{}: asked for, not taken by a leader yet", summary.name)];
     };
     let phase = match status.phase {
         DrainPhase::Running => "running",
@@ -17,10 +17,10 @@
         DrainPhase::Refused => "refused",
     };
     let mut lines = vec![match &status.refusal {
-        Some(reason) => format!("{}: refused: {reason}", shown.name),
+        Some(reason) => format!("{}: refused: {reason}", summary.name),
         None => format!(
             "{}: {phase}, {} of {} machines emptied, {} being emptied",
-            shown.name, status.drained, status.machine_count, status.draining
+            summary.name, status.drained, status.machine_count, status.draining
         ),
     }];
     lines.extend(status.notes.iter().map(|note| format!("  note: {note}")));
@@ -29,17 +29,17 @@
 }
 
 /// A drain for programs.
-pub(crate) fn json(shown: &Shown) -> Value {
-    let machines = shown.request.as_ref().map(|request| match &request.selector {
+pub(crate) fn json(summary: &DrainSummary) -> Value {
+    let machines = summary.request.as_ref().map(|request| match &request.selector {
         MachineSelector::Machines(ids) => json!(ids.iter().map(ToString::to_string).collect::<Vec<_>>()),
         MachineSelector::Matching(filter) => json!(filter),
     });
     json!({
-        "name": shown.name,
+        "name": summary.name,
         "machines": machines,
-        "mode": shown.request.as_ref().map(|request| request.mode),
-        "wanted": shown.request.as_ref().map(|request| request.desired_state),
-        "status": shown.status,
+        "mode": summary.request.as_ref().map(|request| request.mode),
+        "wanted": summary.request.as_ref().map(|request| request.desired_state),
+        "status": summary.status,
     })
 }
 
--- a/src/operator/report/tests.rs
+++ b/src/operator/report/tests.rs
@@ -5,7 +5,7 @@
 use crate::types::{Duration, MachineId, WallClock};
 use caperstile_disruption::records::{DesiredState, DrainMode, DrainRequest, DrainStatus, MachineFilter};
 
-fn shown() -> Vec<(&'static str, Shown)> {
+fn shown() -> Vec<(&'static str, DrainSummary)> {
     let asked_for = DrainStatus::requested(17, WallClock::from_millis(1_700_000_000_123));
     let running = DrainStatus {
         request_revision: 29,
@@ -28,7 +28,7 @@
     let machines = MachineSelector::Machines(vec![MachineId(7), MachineId(231)]);
     let request = |selector, mode, desired_state| Some(DrainRequest { selector, mode, desired_state });
     let everything = || MachineSelector::Matching(MachineFilter::default());
-    let drain = |request, status| Shown { name: "kernel-5".into(), request, status };
+    let drain = |request, status| DrainSummary { name: "kernel-5".into(), request, status };
     vec![
         ("asked-for", drain(request(machines, DrainMode::Remove, DesiredState::Run), None)),
         (
