--- a/benches/node.rs
+++ b/benches/node.rs
@@ -16,7 +16,7 @@
 use std::process::{Child, Command};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{State, state_call};
+use support::{StoreStandIn, store_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use warp::Filter;
@@ -27,7 +27,7 @@
 
 #[derive(Default)]
 struct Shared {
-    state: State,
+    store: StoreStandIn,
     rented: u64,
     most: u64,
     reports: u64,
@@ -195,7 +195,7 @@
             let mut held = shared.lock().unwrap();
             let now = start.elapsed().as_millis() as u64;
             let (status, answer) = match (part, path.as_str()) {
-                (0, path) => held.state.handle(now, 0, &state_call(path, &query, &body)),
+                (0, path) => held.store.handle(now, 0, &store_request(path, &query, &body)),
                 (_, "/flavors") => (
                     200,
                     json!({"Builds": [{"Label": "big", "Cores": 32, "MemoryGb": 128.0, "FetchGbPerS": 1.0,
@@ -298,9 +298,9 @@
 async fn main() {
     let setting = |name: &str, or: f64| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (machines, every) = (setting("MACHINES", 246.0) as u64, setting("REPORT_S", 2.0));
-    let mut state = State::default();
+    let mut state = StoreStandIn::default();
     (state.page, state.value_bytes) = (1000, 16 * 1024);
-    let shared = Arc::new(Mutex::new(Shared { most: machines, state, ..Shared::default() }));
+    let shared = Arc::new(Mutex::new(Shared { most: machines, store: state, ..Shared::default() }));
     let taken: Vec<TcpListener> = (0..4).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let addresses: Vec<SocketAddr> = taken.iter().map(|l| l.local_addr().unwrap()).collect();
     drop(taken);
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -4,14 +4,15 @@
 mod support;
 
 use serde_json::json;
-use support::Sim;
+use support::Simulation;
+use support::jobs::three_spread_replicas;
 
 const SERVICE: &str = "job-000001";
 const BATCH: &str = "job-000002";
 
 /// A world in which a service and a long batch job run.
-fn running(seed: u64) -> Sim {
-    let mut sim = Sim::new(seed);
+fn service_and_batch(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(seed);
     let service = [("Shape", json!("standing")), ("Rank", json!("prod")), ("RuntimeS", json!(0)), ("Pieces", json!(2))];
     sim.submit(SERVICE, &[&service[..], &[("Cores", json!(4.0))]].concat());
     sim.submit(BATCH, &[("Pieces", json!(3)), ("RuntimeS", json!(400.0)), ("Cores", json!(4.0))]);
@@ -21,22 +22,22 @@
 }
 
 /// Plays until the user of a job was told that it is cancelled, for so long at most; whether it was.
-fn until_cancelled(sim: &mut Sim, id: &str, ms: u64) -> bool {
+fn until_cancelled(sim: &mut Simulation, id: &str, ms: u64) -> bool {
     let end = sim.now + ms;
-    while sim.now < end && sim.jobs[id].told != "aborted" {
+    while sim.now < end && sim.jobs[id].last_status != "aborted" {
         sim.run_until(sim.now + 5);
     }
-    sim.jobs[id].told == "aborted"
+    sim.jobs[id].last_status == "aborted"
 }
 
-fn kept(sim: &Sim, story: &str) {
-    assert!(sim.broken.is_empty(), "{story}: {:?}", sim.broken);
+fn assert_no_rule_broken(sim: &Simulation, case: &str) {
+    assert!(sim.broken_rules.is_empty(), "{case}: {:?}", sim.broken_rules);
 }
 
 /// Every job but these has come to its end, and its user was told so.
-fn over(sim: &Sim, but: &[&str], story: &str) {
+fn assert_all_ended(sim: &Simulation, but: &[&str], case: &str) {
     for (id, job) in sim.jobs.iter().filter(|(id, _)| !but.contains(&id.as_str())) {
-        assert!(matches!(job.told.as_str(), "done" | "aborted"), "{story}: {id} is {}", job.told);
+        assert!(matches!(job.last_status.as_str(), "done" | "aborted"), "{case}: {id} is {}", job.last_status);
     }
 }
 
@@ -57,20 +58,20 @@
 fn a_cancellation_confirmed_by_another_while_the_old_leader_goes_on() {
     for (seed, fate) in [Fate::GoesOn, Fate::Ends, Fate::CutOff, Fate::Followed].into_iter().enumerate() {
         for job in [SERVICE, BATCH] {
-            let story = format!("{job} {fate:?}");
-            let mut sim = running(seed as u64);
+            let case = format!("{job} {fate:?}");
+            let mut sim = service_and_batch(seed as u64);
             let old = sim.leader().expect("somebody leads");
-            sim.late_writes = (100, true);
+            sim.faults.unanswered_writes = (100, true);
             sim.cancel(job);
             sim.run_until(sim.now + 300);
-            sim.late_writes = (0, false);
+            sim.faults.unanswered_writes = (0, false);
             sim.isolate(old);
             // Direct commands of the next leader wait on their way, so that it fences nobody.
             let machines: Vec<u64> = sim.workers.keys().copied().collect();
-            sim.hold_commands.extend(machines);
-            assert!(until_cancelled(&mut sim, job, 10_000), "{story}: it is confirmed");
+            sim.faults.commands_held.extend(machines);
+            assert!(until_cancelled(&mut sim, job, 10_000), "{case}: it is confirmed");
             let next = sim.leader().expect("somebody leads");
-            assert_ne!(next, old, "{story}");
+            assert_ne!(next, old, "{case}");
             match fate {
                 Fate::GoesOn => {}
                 Fate::Ends => sim.crash(next),
@@ -80,13 +81,13 @@
                     sim.run_until(sim.now + 4000);
                 }
             }
-            sim.state.down = true;
+            sim.store.down = true;
             sim.run_until(sim.now + sim.site.cancel_ms + 20_000);
-            kept(&sim, &story);
-            assert_eq!(sim.running(job), 0, "{story}");
-            sim.mend();
+            assert_no_rule_broken(&sim, &case);
+            assert_eq!(sim.running(job), 0, "{case}");
+            sim.end_all_faults();
             sim.run_until(sim.now + 100_000);
-            kept(&sim, &story);
+            assert_no_rule_broken(&sim, &case);
         }
     }
 }
@@ -95,33 +96,33 @@
 /// tells its token, and the machine is out of reach again. A chain of new leaders kept a cancelled task alive that way.
 #[test]
 fn new_leaders_one_after_the_other_do_not_renew_what_is_cancelled() {
-    let mut sim = running(11);
+    let mut sim = service_and_batch(11);
     let machine = sim.machine_of("job-000001/0").expect("it runs");
-    sim.hold_commands.insert(machine);
-    sim.outbound_lost.insert(machine);
-    sim.cloud_down = true;
+    sim.faults.commands_held.insert(machine);
+    sim.faults.outbound_lost.insert(machine);
+    sim.cloud.unavailable = true;
     sim.cancel(SERVICE);
     assert!(until_cancelled(&mut sim, SERVICE, 3000), "all machines are fenced");
     for _ in 0..5 {
         let leader = sim.leader().expect("somebody leads");
-        sim.bounce(leader, 3000);
+        sim.restart(leader, 3000);
         sim.run_until(sim.now + 9000);
         // One report gets through, and its answer.
-        sim.outbound_lost.remove(&machine);
-        let before = sim.renewed(machine);
+        sim.faults.outbound_lost.remove(&machine);
+        let before = sim.lease_renewed_at(machine);
         let end = sim.now + 5500;
-        while sim.renewed(machine) == before && sim.now < end {
+        while sim.lease_renewed_at(machine) == before && sim.now < end {
             sim.run_until(sim.now + 1);
         }
-        sim.outbound_lost.insert(machine);
+        sim.faults.outbound_lost.insert(machine);
     }
     sim.run_until(sim.now + 5000);
-    kept(&sim, "a chain of leaders");
+    assert_no_rule_broken(&sim, "a chain of leaders");
     assert!(sim.now > 20_000 + sim.site.cancel_ms, "the chain is longer than a cancellation may take");
     assert_eq!(sim.running(SERVICE), 0);
 }
 
-/// A trouble, begun at one moment; all end together with `Sim::mend`.
+/// A trouble, begun at one moment; all end together with `Simulation::mend`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Trouble {
     /// The state service refuses the leader alone.
@@ -193,50 +194,52 @@
 ];
 
 impl Trouble {
-    fn begin(self, sim: &mut Sim) {
+    fn begin(self, sim: &mut Simulation) {
         self.begin_at(sim, SERVICE);
     }
 
     /// Begins it, for the machines of this job where it is a trouble of machines.
-    fn begin_at(self, sim: &mut Sim, job: &str) {
+    fn begin_at(self, sim: &mut Simulation, job: &str) {
         let leader = sim.leader().unwrap_or(0);
         let its: Vec<u64> = (0..2).filter_map(|i| sim.machine_of(&format!("{job}/{i}"))).collect();
         match self {
-            Trouble::Refused => drop(sim.state.refused_nodes.insert(leader)),
+            Trouble::Refused => drop(sim.store.refused_nodes.insert(leader)),
             Trouble::Isolated => sim.isolate(leader),
-            Trouble::Apart => drop(sim.apart.insert(leader)),
-            Trouble::Island => sim.cut_off(support::zone_of(&sim.site.clone(), leader), leader),
-            Trouble::Back => sim.bounce(leader, 300),
-            Trouble::Ended => sim.bounce(leader, 6000),
+            Trouble::Apart => drop(sim.faults.cut_from_workers.insert(leader)),
+            Trouble::Island => sim.isolate_zone(support::zone_of(&sim.site.clone(), leader), leader),
+            Trouble::Back => sim.restart(leader, 300),
+            Trouble::Ended => sim.restart(leader, 6000),
             Trouble::AllEnd => {
                 (0..3).for_each(|n| sim.crash(n));
-                sim.bounce_back(leader, 800);
+                sim.start_after(leader, 800);
             }
-            Trouble::AllAway => (0..3).for_each(|n| sim.bounce(n, 20_000)),
-            Trouble::Outage => sim.state.down = true,
-            Trouble::Slow => sim.state_slow = 300,
-            Trouble::AnswersLost => sim.late_writes = (100, true),
-            Trouble::LateWrites => sim.late_writes = (50, false),
-            Trouble::Cut => its.into_iter().for_each(|m| sim.cut(m)),
-            Trouble::InboundLost => sim.inbound_lost.extend(its),
-            Trouble::OutboundLost => sim.outbound_lost.extend(its),
-            Trouble::Hang => its.into_iter().for_each(|m| sim.hang(m, 9000)),
-            Trouble::LongHang => its.into_iter().for_each(|m| sim.hang(m, 25_000)),
-            Trouble::CommandsHeld => sim.hold_commands.extend(sim.workers.keys().copied().collect::<Vec<u64>>()),
-            Trouble::Copies => (sim.copies, sim.repeats) = ((60, 30_000), (60, 30_000)),
-            Trouble::KeptForNext => sim.kept_for_next = 100,
-            Trouble::CloudDown => sim.cloud_down = true,
+            Trouble::AllAway => (0..3).for_each(|n| sim.restart(n, 20_000)),
+            Trouble::Outage => sim.store.down = true,
+            Trouble::Slow => sim.faults.store_delay_ms = 300,
+            Trouble::AnswersLost => sim.faults.unanswered_writes = (100, true),
+            Trouble::LateWrites => sim.faults.unanswered_writes = (50, false),
+            Trouble::Cut => its.into_iter().for_each(|m| sim.cut_machine(m)),
+            Trouble::InboundLost => sim.faults.inbound_lost.extend(its),
+            Trouble::OutboundLost => sim.faults.outbound_lost.extend(its),
+            Trouble::Hang => its.into_iter().for_each(|m| sim.hang_machine(m, 9000)),
+            Trouble::LongHang => its.into_iter().for_each(|m| sim.hang_machine(m, 25_000)),
+            Trouble::CommandsHeld => sim.faults.commands_held.extend(sim.workers.keys().copied().collect::<Vec<u64>>()),
+            Trouble::Copies => {
+                (sim.faults.duplicate_heartbeats, sim.faults.duplicate_requests) = ((60, 30_000), (60, 30_000))
+            }
+            Trouble::KeptForNext => sim.faults.heartbeats_kept_percent = 100,
+            Trouble::CloudDown => sim.cloud.unavailable = true,
         }
     }
 }
 
 /// Two troubles meet, and right then jobs are cancelled, end, and are asked about at all nodes: a service, a team at its
 /// limit with another job of it waiting, a stream of short jobs. When the troubles are over everything comes to its end.
-fn meet(first: Trouble, second: Trouble, gap: u64, seed: u64) {
-    let story = format!("{first:?} then {second:?} after {gap} ms, seed {seed}");
+fn play_pair(first: Trouble, second: Trouble, gap: u64, seed: u64) {
+    let case = format!("{first:?} then {second:?} after {gap} ms, seed {seed}");
     let (limited, next) = ("job-000003", "job-000004");
     let short = |n: u64| format!("job-{:06}", 100 + n);
-    let mut sim = running(seed);
+    let mut sim = service_and_batch(seed);
     sim.submit(limited, &[("Crew", json!("small")), ("RuntimeS", json!(300.0))]);
     sim.run_until(sim.now + 4000);
     sim.submit(next, &[("Crew", json!("small")), ("RuntimeS", json!(5.0))]);
@@ -244,7 +247,7 @@
     let begin = sim.now + 6000;
     let (mut acts, mut ended) = (vec![begin, begin + gap, begin + gap + 40], false);
     acts.reverse();
-    sim.close_looks = true;
+    sim.users.recheck_everywhere = true;
     while !ended {
         let at = acts.last().copied().unwrap_or(u64::MAX).min(24_000 + shorts * 1300);
         ended = at > begin + 60_000;
@@ -264,29 +267,29 @@
             }
         }
     }
-    kept(&sim, &story);
-    sim.mend();
+    assert_no_rule_broken(&sim, &case);
+    sim.end_all_faults();
     sim.run_until(sim.now + 150_000);
-    kept(&sim, &story);
-    assert_eq!(sim.jobs[SERVICE].told, "aborted", "{story}");
-    assert_eq!(sim.jobs[limited].told, "aborted", "{story}");
-    assert_eq!(sim.running(SERVICE) + sim.running(limited), 0, "{story}");
-    over(&sim, &[BATCH], &story);
-    let (cancels, questions) = sim.refused;
+    assert_no_rule_broken(&sim, &case);
+    assert_eq!(sim.jobs[SERVICE].last_status, "aborted", "{case}");
+    assert_eq!(sim.jobs[limited].last_status, "aborted", "{case}");
+    assert_eq!(sim.running(SERVICE) + sim.running(limited), 0, "{case}");
+    assert_all_ended(&sim, &[BATCH], &case);
+    let (cancels, questions) = sim.users.refused;
     println!(
-        "{story}: {cancels} cancellations and {questions} questions refused, {} starts after one",
-        sim.late_starts
+        "{case}: {cancels} cancellations and {questions} questions refused, {} starts after one",
+        sim.tasks.starts_after_cancellation
     );
 }
 
 /// Every trouble meets every other, on as many threads as there are processors.
-fn meetings(gap: u64) {
+fn play_every_pair(gap: u64) {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for part in TROUBLES.chunks(TROUBLES.len().div_ceil(threads)) {
             scope.spawn(move || {
                 for (first, second) in part.iter().flat_map(|f| TROUBLES.map(|s| (*f, s))) {
-                    meet(first, second, gap, gap / 1000 + first as u64);
+                    play_pair(first, second, gap, gap / 1000 + first as u64);
                 }
             });
         }
@@ -295,17 +298,17 @@
 
 #[test]
 fn every_trouble_meets_every_other_at_once() {
-    meetings(30);
+    play_every_pair(30);
 }
 
 #[test]
 fn every_trouble_meets_every_other_in_mid_election() {
-    meetings(1700);
+    play_every_pair(1700);
 }
 
 #[test]
 fn every_trouble_meets_every_other_when_the_next_leader_has_begun() {
-    meetings(4300);
+    play_every_pair(4300);
 }
 
 /// Cancellations at every moment of the seconds in which one controller's work changes hands: told once and for all, by whichever
@@ -314,18 +317,18 @@
 fn jobs_are_cancelled_while_the_work_of_one_controller_changes_hands() {
     for how in [Trouble::Back, Trouble::Ended, Trouble::Refused, Trouble::Isolated, Trouble::Apart] {
         for (n, offset) in (0..3600).step_by(300).enumerate() {
-            let story = format!("{how:?}, cancelled after {offset} ms");
-            let mut sim = running(n as u64);
-            sim.close_looks = true;
+            let case = format!("{how:?}, cancelled after {offset} ms");
+            let mut sim = service_and_batch(n as u64);
+            sim.users.recheck_everywhere = true;
             how.begin(&mut sim);
             sim.run_until(sim.now + offset);
             sim.cancel(SERVICE);
             sim.cancel(BATCH);
-            assert!(until_cancelled(&mut sim, SERVICE, 20_000), "{story}: refused for too long");
-            assert!(until_cancelled(&mut sim, BATCH, 5000), "{story}: refused for too long");
+            assert!(until_cancelled(&mut sim, SERVICE, 20_000), "{case}: refused for too long");
+            assert!(until_cancelled(&mut sim, BATCH, 5000), "{case}: refused for too long");
             sim.run_until(sim.now + sim.site.cancel_ms);
-            kept(&sim, &story);
-            assert_eq!(sim.running(SERVICE) + sim.running(BATCH), 0, "{story}");
+            assert_no_rule_broken(&sim, &case);
+            assert_eq!(sim.running(SERVICE) + sim.running(BATCH), 0, "{case}");
         }
     }
 }
@@ -336,24 +339,24 @@
 fn a_cancellation_a_question_and_a_repeat_meet_the_end_of_the_last_task() {
     for lost in [0, 50, 100] {
         for offset in (0..1200).step_by(60) {
-            let story = format!("{offset} ms around the end, {lost} % of the answers lost");
-            let mut sim = running(offset);
+            let case = format!("{offset} ms around the end, {lost} % of the answers lost");
+            let mut sim = service_and_batch(offset);
             sim.submit("job-000009", &[("Pieces", json!(2)), ("RuntimeS", json!(4.0)), ("Cores", json!(1.0))]);
-            let begun = |sim: &Sim| sim.running("job-000009") == 2;
+            let begun = |sim: &Simulation| sim.running("job-000009") == 2;
             while !begun(&sim) {
-                assert!(sim.now < 60_000, "{story}: it runs");
+                assert!(sim.now < 60_000, "{case}: it runs");
                 sim.run_until(sim.now + 10);
             }
             sim.run_until(sim.now + 3500 + offset);
-            sim.close_looks = true;
-            sim.late_writes = (lost, true);
+            sim.users.recheck_everywhere = true;
+            sim.faults.unanswered_writes = (lost, true);
             sim.cancel("job-000009");
-            sim.repeat("job-000009");
+            sim.resubmit("job-000009");
             sim.run_until(sim.now + 1500);
-            sim.late_writes = (0, false);
+            sim.faults.unanswered_writes = (0, false);
             sim.run_until(sim.now + 8000);
-            kept(&sim, &story);
-            assert!(matches!(sim.jobs["job-000009"].told.as_str(), "done" | "aborted"), "{story}");
+            assert_no_rule_broken(&sim, &case);
+            assert!(matches!(sim.jobs["job-000009"].last_status.as_str(), "done" | "aborted"), "{case}");
         }
     }
 }
@@ -374,16 +377,16 @@
             for (cancelled, changed, comes) in
                 [(0, 1500, 0), (300, 300, 0), (2500, 0, 3500), (4500, 0, 3000), (0, never, 0), (9000, 300, 3000)]
             {
-                let story =
+                let case =
                     format!("{at:?}, {change:?} after {changed} ms, cancelled after {cancelled} ms, next {comes}");
-                let mut sim = running(n as u64);
+                let mut sim = service_and_batch(n as u64);
                 sim.submit(first, &small(300.0));
                 sim.submit(filler, &[("Pieces", json!(1)), ("RuntimeS", json!(3.0)), ("Cores", json!(4.0))]);
-                while sim.jobs[filler].told != "done" {
-                    assert!(sim.now < 60_000, "{story}: the filler ends, and leaves a machine idle");
+                while sim.jobs[filler].last_status != "done" {
+                    assert!(sim.now < 60_000, "{case}: the filler ends, and leaves a machine idle");
                     sim.run_until(sim.now + 100);
                 }
-                assert_eq!(sim.running(first), 2, "{story}");
+                assert_eq!(sim.running(first), 2, "{case}");
                 at.begin_at(&mut sim, first);
                 let begin = sim.now;
                 let mut steps = [(cancelled, 0), (changed, 1), (comes, 2)];
@@ -397,12 +400,12 @@
                     }
                 }
                 sim.run_until(begin + 70_000);
-                kept(&sim, &story);
-                sim.mend();
+                assert_no_rule_broken(&sim, &case);
+                sim.end_all_faults();
                 sim.run_until(sim.now + 60_000);
-                kept(&sim, &story);
-                assert_eq!(sim.jobs[first].told, "aborted", "{story}");
-                assert_eq!(sim.jobs[next].told, "done", "{story}");
+                assert_no_rule_broken(&sim, &case);
+                assert_eq!(sim.jobs[first].last_status, "aborted", "{case}");
+                assert_eq!(sim.jobs[next].last_status, "done", "{case}");
             }
         }
     }
@@ -413,26 +416,26 @@
 #[test]
 fn leaders_change_ten_times_in_two_minutes() {
     for seed in 0..6u64 {
-        let mut sim = running(seed);
-        sim.close_looks = true;
-        sim.late_writes = (if seed % 2 == 0 { 0 } else { 20 }, seed % 4 == 1);
+        let mut sim = service_and_batch(seed);
+        sim.users.recheck_everywhere = true;
+        sim.faults.unanswered_writes = (if seed % 2 == 0 { 0 } else { 20 }, seed % 4 == 1);
         for n in 0..10u64 {
             let leader = sim.leader().unwrap_or(0);
             match (seed + n) % 4 {
-                0 => sim.bounce(leader, 400),
-                1 => sim.bounce(leader, 7000),
-                2 => drop(sim.state.refused_nodes.insert(leader)),
+                0 => sim.restart(leader, 400),
+                1 => sim.restart(leader, 7000),
+                2 => drop(sim.store.refused_nodes.insert(leader)),
                 _ => sim.isolate(leader),
             }
             let id = format!("job-{:06}", 10 + n);
             sim.submit(&id, &[("RuntimeS", json!(4.0)), ("Cores", json!(1.0))]);
             sim.run_until(sim.now + 5000);
-            sim.state.down = seed == 3 && (4..8).contains(&n);
+            sim.store.down = seed == 3 && (4..8).contains(&n);
             if n % 3 == 0 {
                 sim.cancel(&id);
             }
             sim.run_until(sim.now + 7000);
-            sim.state.refused_nodes.clear();
+            sim.store.refused_nodes.clear();
             sim.reconnect();
             if n == 5 && seed > 3 {
                 (0..3).for_each(|n| sim.crash(n));
@@ -440,10 +443,10 @@
                 (0..3).for_each(|n| sim.start(n));
             }
         }
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(sim.now + 120_000);
-        kept(&sim, &format!("seed {seed}"));
-        over(&sim, &[SERVICE, BATCH], &format!("seed {seed}"));
+        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_all_ended(&sim, &[SERVICE, BATCH], &format!("seed {seed}"));
         assert_eq!(sim.running(SERVICE), 2, "seed {seed}");
     }
 }
@@ -453,9 +456,9 @@
 #[test]
 fn new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() {
     for offset in (0..6000).step_by(400) {
-        let mut sim = Sim::at(support::Site { boot_ms: 1500, ..support::Site::small() }, offset);
+        let mut sim = Simulation::at(support::Site { boot_ms: 1500, ..support::Site::small() }, offset);
         sim.run_until(3000);
-        sim.late_writes = (40, offset % 800 == 0);
+        sim.faults.unanswered_writes = (40, offset % 800 == 0);
         for n in 0..4 {
             let id = format!("job-{n:06}");
             sim.submit(&id, &[("Cores", json!(4.0)), ("RuntimeS", json!(20.0)), ("Pieces", json!(3))]);
@@ -467,12 +470,12 @@
         sim.cancel("job-000002");
         sim.run_until(sim.now + 3000);
         // In half of them the state service is then out for longer than `cancel_s`.
-        sim.state.down = offset % 800 == 400;
+        sim.store.down = offset % 800 == 400;
         sim.run_until(sim.now + sim.site.cancel_ms + 10_000);
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(200_000);
-        kept(&sim, &format!("the leader n{leader} ends after {offset} ms"));
-        over(&sim, &[], &format!("{offset} ms"));
+        assert_no_rule_broken(&sim, &format!("the leader n{leader} ends after {offset} ms"));
+        assert_all_ended(&sim, &[], &format!("{offset} ms"));
     }
 }
 
@@ -480,8 +483,8 @@
 /// changes twice: each is told its end, nothing comes back, and the log stays short.
 #[test]
 fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
-    let mut sim = Sim::at(support::Site::many_small(), 5);
-    sim.close_looks = true;
+    let mut sim = Simulation::at(support::Site::many_small_machines(), 5);
+    sim.users.recheck_everywhere = true;
     sim.run_until(3000);
     for n in 0..480u64 {
         sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(6.0)), ("Cores", json!(1.0))]);
@@ -491,14 +494,14 @@
         }
         if n == 200 || n == 320 {
             let leader = sim.leader().expect("somebody leads");
-            sim.bounce(leader, 300);
+            sim.restart(leader, 300);
         }
     }
-    sim.mend();
+    sim.end_all_faults();
     sim.run_until(sim.now + 100_000);
-    kept(&sim, "four a second");
-    over(&sim, &[], "four a second");
-    let log = sim.state.keys.keys().filter(|k| k.starts_with("log/")).count();
+    assert_no_rule_broken(&sim, "four a second");
+    assert_all_ended(&sim, &[], "four a second");
+    let log = sim.store.keys.keys().filter(|k| k.starts_with("log/")).count();
     assert!(log <= 2 * sim.site.snapshot_every as usize, "{log} log entries are left");
 }
 
@@ -506,7 +509,7 @@
 #[test]
 fn arrays_bound_to_one_zone_lose_machines() {
     for seed in 0..4 {
-        let mut sim = Sim::new(seed);
+        let mut sim = Simulation::new(seed);
         for n in 0..2 {
             let bound = [("Yard", json!("a")), ("Pieces", json!(4)), ("RuntimeS", json!(25.0)), ("Cores", json!(4.0))];
             sim.submit(&format!("job-{n:06}"), &bound);
@@ -515,19 +518,19 @@
         for at in [0, 4000, 4500, 9000] {
             sim.run_until(20_000 + at);
             if let Some(machine) = (0..4).find_map(|i| sim.machine_of(&format!("job-{:06}/{i}", at % 2))) {
-                if seed % 2 == 0 { sim.die(machine) } else { sim.cut(machine) }
+                if seed % 2 == 0 { sim.kill_machine(machine) } else { sim.cut_machine(machine) }
             }
             if at == 4500 {
                 let leader = sim.leader().expect("somebody leads");
-                sim.bounce(leader, 300);
+                sim.restart(leader, 300);
             }
         }
         sim.run_until(80_000);
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(260_000);
-        kept(&sim, &format!("seed {seed}"));
+        assert_no_rule_broken(&sim, &format!("seed {seed}"));
         for (id, job) in &sim.jobs {
-            assert_eq!(job.told, "done", "seed {seed}: {id}");
+            assert_eq!(job.last_status, "done", "seed {seed}: {id}");
         }
     }
 }
@@ -536,7 +539,7 @@
 /// runs, and a cancellation of what is done, are answered with the state, under whichever leader.
 #[test]
 fn odd_requests_are_answered_the_same_each_time() {
-    let mut sim = running(3);
+    let mut sim = service_and_batch(3);
     sim.submit("job-000020", &[("RuntimeS", json!(2.0)), ("Pieces", json!(1)), ("Cores", json!(1.0))]);
     let odd: [(&str, &str, serde_json::Value, u16); 8] = [
         ("job-000021", "Reel", json!(null), 400),
@@ -552,20 +555,20 @@
         for (id, field, value, status) in &odd {
             match turn {
                 0 => sim.submit(id, &[(*field, value.clone())]),
-                _ => sim.repeat(id),
+                _ => sim.resubmit(id),
             }
             sim.run_until(sim.now + 1500);
             assert_eq!(sim.jobs[*id].submit_status, *status, "{id}, turn {turn}");
             assert!(!sim.jobs[*id].accepted, "{id}");
         }
-        sim.repeat(SERVICE);
+        sim.resubmit(SERVICE);
         sim.cancel("job-000020");
         let leader = sim.leader().expect("somebody leads");
-        sim.bounce(leader, 300);
+        sim.restart(leader, 300);
         sim.run_until(sim.now + 8000);
         assert_eq!(sim.jobs[SERVICE].submit_status, 200);
-        assert_eq!((sim.jobs["job-000020"].cancel_status, sim.jobs["job-000020"].told.as_str()), (200, "done"));
-        kept(&sim, "odd requests");
+        assert_eq!((sim.jobs["job-000020"].cancel_status, sim.jobs["job-000020"].last_status.as_str()), (200, "done"));
+        assert_no_rule_broken(&sim, "odd requests");
     }
 }
 
@@ -573,14 +576,14 @@
 #[test]
 fn a_leader_is_elected_while_the_state_service_is_slow() {
     for slow in [100, 200, 300] {
-        let mut sim = running(slow);
-        sim.state_slow = slow;
+        let mut sim = service_and_batch(slow);
+        sim.faults.store_delay_ms = slow;
         let leader = sim.leader().expect("somebody leads");
         sim.crash(leader);
         sim.cancel(SERVICE);
         assert!(until_cancelled(&mut sim, SERVICE, 25_000), "{} ms for an answer: refused for too long", 2 * slow);
         sim.run_until(sim.now + sim.site.cancel_ms);
-        kept(&sim, &format!("{slow} ms each way"));
+        assert_no_rule_broken(&sim, &format!("{slow} ms each way"));
     }
 }
 
@@ -588,48 +591,40 @@
 /// must be planned anew. One waited for ever with nothing rented in the other zone (found by 1,000 cases of random faults).
 #[test]
 fn a_replica_whose_zone_has_filled_up_is_planned_elsewhere() {
-    let mut sim = Sim::new(108);
-    let service = [
-        ("Shape", json!("standing")),
-        ("Rank", json!("prod")),
-        ("RuntimeS", json!(0)),
-        ("Pieces", json!(3)),
-        ("Spread", json!(true)),
-        ("Cores", json!(1.0)),
-    ];
+    let mut sim = Simulation::new(108);
     let short = [("Pieces", json!(3)), ("RuntimeS", json!(6.0)), ("Crew", json!("small"))];
-    let nth = |sim: &Sim, n: usize| *sim.workers.keys().nth(n % sim.workers.len()).expect("a machine");
-    sim.submit("job-000001", &service);
+    let nth = |sim: &Simulation, n: usize| *sim.workers.keys().nth(n % sim.workers.len()).expect("a machine");
+    sim.submit("job-000001", &three_spread_replicas());
     sim.run_until(8000);
-    sim.bounce(0, 50);
+    sim.restart(0, 50);
     sim.submit("job-000000", &short);
     sim.run_until(10_186);
     (0..3).for_each(|node| sim.crash(node));
     sim.run_until(11_979);
     let machine = nth(&sim, 0);
-    sim.notice(machine, 8);
+    sim.send_reclaim_notice(machine, 8);
     sim.run_until(12_134);
-    sim.bounce(0, 78);
+    sim.restart(0, 78);
     sim.run_until(15_414);
     let machine = nth(&sim, 1);
-    sim.inbound_lost.insert(machine);
+    sim.faults.inbound_lost.insert(machine);
     sim.run_until(21_068);
     let machine = nth(&sim, 2);
-    sim.notice(machine, 8);
+    sim.send_reclaim_notice(machine, 8);
     sim.run_until(22_916);
     let machine = nth(&sim, 4);
-    sim.cut(machine);
+    sim.cut_machine(machine);
     sim.run_until(24_458);
     sim.submit("job-000006", &short);
     sim.run_until(24_665);
     let machine = nth(&sim, 1);
-    sim.die(machine);
+    sim.kill_machine(machine);
     sim.run_until(28_571);
     let machine = nth(&sim, 1);
-    sim.notice(machine, 8);
+    sim.send_reclaim_notice(machine, 8);
     sim.run_until(30_512);
-    sim.mend();
+    sim.end_all_faults();
     sim.run_until(120_000);
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     assert_eq!(sim.running("job-000001"), 3, "replicas");
 }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{Sim, Site};
+use support::{Simulation, Site};
 
 /// Two replicas of `web` may be out at once.
 const TWO: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 2\n";
@@ -24,8 +24,8 @@
 }
 
 /// Services of twelve replicas in all on a fleet that has settled.
-fn serving(seed: u64, operators: &'static str) -> Sim {
-    let mut sim = Sim::at(Site { operators, ..Site::small() }, seed);
+fn serving(seed: u64, operators: &'static str) -> Simulation {
+    let mut sim = Simulation::at(Site { operators, ..Site::small() }, seed);
     sim.disruption.limits.insert("web".into(), 2);
     for n in 0..4 {
         sim.submit(&format!("job-{n:06}"), &service(3));
@@ -35,8 +35,8 @@
     sim
 }
 
-fn all_run(sim: &Sim) {
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+fn all_run(sim: &Simulation) {
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     for n in 0..4 {
         assert_eq!(sim.running(&format!("job-{n:06}")), 3, "replicas of job {n}");
     }
@@ -57,7 +57,7 @@
 }
 
 /// Machines that hold replicas of services now.
-fn with_replicas(sim: &Sim) -> Vec<u64> {
+fn with_replicas(sim: &Simulation) -> Vec<u64> {
     let replicas = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
     let mut machines: Vec<u64> = replicas.filter_map(|task| sim.machine_of(&task)).collect();
     machines.sort_unstable();
@@ -65,11 +65,11 @@
     machines
 }
 
-fn waits_for(sim: &Sim, name: &str) -> String {
+fn waits_for(sim: &Simulation, name: &str) -> String {
     sim.drain_status(name).map(|status| status["waits_for"].to_string()).unwrap_or_default()
 }
 
-fn refusal(sim: &Sim, name: &str) -> String {
+fn refusal(sim: &Simulation, name: &str) -> String {
     let status = sim.drain_status(name).unwrap_or_default();
     assert_eq!(status["phase"], "refused", "{status}");
     status["refusal"].as_str().unwrap_or_default().to_string()
@@ -85,7 +85,7 @@
         for round in 0..4 {
             sim.run_until(sim.now + 7000 + offset + round * 40);
             let leader = sim.leader();
-            leader.into_iter().for_each(|node| sim.bounce(node, 300));
+            leader.into_iter().for_each(|node| sim.restart(node, 300));
         }
         assert!(sim.run_until_drain("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
@@ -100,12 +100,12 @@
         let mut sim = serving(3, TWO);
         sim.drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000 + offset);
-        sim.state.down = true;
+        sim.store.down = true;
         sim.run_until(sim.now + 4000);
         let leader = sim.leader();
-        leader.into_iter().for_each(|node| sim.bounce(node, 500));
+        leader.into_iter().for_each(|node| sim.restart(node, 500));
         sim.run_until(sim.now + 20_000);
-        sim.state.down = false;
+        sim.store.down = false;
         assert!(sim.run_until_drain("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         all_run(&sim);
@@ -117,14 +117,14 @@
 fn transactions_are_carried_out_late_and_answers_are_lost() {
     for (seed, at_once) in (10..22).zip([false, true].into_iter().cycle()) {
         let mut sim = serving(seed, TWO);
-        sim.late_writes = (30, at_once);
+        sim.faults.unanswered_writes = (30, at_once);
         sim.drain("all", json!({}), "replace");
         for _ in 0..5 {
             sim.run_until(sim.now + 11_000);
             let leader = sim.leader();
-            leader.into_iter().for_each(|node| sim.bounce(node, 400));
+            leader.into_iter().for_each(|node| sim.restart(node, 400));
         }
-        sim.late_writes = (0, false);
+        sim.faults.unanswered_writes = (0, false);
         assert!(sim.run_until_drain("all", "done", 500_000), "seed {seed}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         all_run(&sim);
@@ -139,7 +139,7 @@
     sim.drain("all", json!({}), "replace");
     sim.run_until(sim.now + 9000);
     let silent = *held.last().expect("a machine");
-    sim.cut(silent);
+    sim.cut_machine(silent);
     let leader = sim.leader().expect("somebody leads");
     sim.crash(leader);
     while sim.leader().is_none() {
@@ -148,11 +148,11 @@
     // What was told to stop before is stopped by now, or never will be.
     sim.run_until(sim.now + 1500);
     let before = sim.disruption.evictions.get("web").copied().unwrap_or(0);
-    while !sim.open() {
+    while !sim.all_machines_fenced() {
         assert_eq!(sim.disruption.evictions.get("web").copied().unwrap_or(0), before, "evicted with a machine missing");
         sim.run_until(sim.now + 50);
     }
-    sim.heal(silent);
+    sim.heal_machine(silent);
     sim.start(leader);
     assert!(sim.run_until_drain("all", "done", 400_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
@@ -223,7 +223,7 @@
     let others: Vec<u64> = with_replicas(&sim).into_iter().filter(|machine| *machine != slow).take(2).collect();
     sim.drain_machines("slow", &[slow]);
     sim.run_until(sim.now + 20_000);
-    assert_eq!(sim.emptying(), [slow]);
+    assert_eq!(sim.machines_being_emptied(), [slow]);
     sim.drain_machines("others", &others);
     assert!(sim.run_until_drain("others", "done", sim.now + 90_000), "{:?}", sim.drain_status("others"));
     assert_eq!(sim.drain_phase("slow"), "running");
@@ -236,15 +236,15 @@
 #[test]
 fn batch_work_is_left_to_end_where_its_class_says_so() {
     const NEVER: &str = "[drains]\nenabled = yes\n[budget crew/render]\nbatch_wait_s = 5\nevict_batch = never\n";
-    let mut sim = Sim::at(Site { operators: NEVER, ..Site::small() }, 7);
+    let mut sim = Simulation::at(Site { operators: NEVER, ..Site::small() }, 7);
     sim.submit("job-000050", &batch(4, 120.0));
     sim.run_until(20_000);
     sim.drain("all", json!({}), "remove");
     assert!(sim.run_until_drain("all", "done", 300_000), "{:?}", sim.drain_status("all"));
-    assert_eq!(sim.jobs["job-000050"].told, "done");
-    let starts: usize = (0..4).map(|n| sim.starts[&format!("job-000050/{n}")].len()).sum();
+    assert_eq!(sim.jobs["job-000050"].last_status, "done");
+    let starts: usize = (0..4).map(|n| sim.tasks.starts[&format!("job-000050/{n}")].len()).sum();
     assert_eq!(starts, 4, "nothing was started twice");
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
 }
 
 /// Two drains, overlapping or not, in either order: one budget for both, neither starves, and the end is the same.
@@ -289,7 +289,7 @@
     assert!(sim.run_until_drain("all", "cancelled", sim.now + 10_000));
     sim.run_until(sim.now + 20_000);
     let (moved, left) = (sim.disruption.evictions["web"], with_replicas(&sim));
-    assert!(sim.emptying().is_empty(), "{:?}", sim.emptying());
+    assert!(sim.machines_being_emptied().is_empty(), "{:?}", sim.machines_being_emptied());
     all_run(&sim);
     // They take work again: nothing is rented for a service that fits.
     sim.submit("job-000060", &[service(2), vec![("Lane", json!("other"))]].concat());
@@ -306,15 +306,15 @@
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
     }
-    sim.state.keys.remove("drain/request/all");
+    sim.store.keys.remove("drain/request/all");
     sim.run_until(sim.now + 8000);
     assert_eq!(sim.drain_phase("all"), "cancelled");
     let leader = sim.leader().expect("somebody leads");
-    sim.bounce(leader, 300);
+    sim.restart(leader, 300);
     sim.run_until(sim.now + 10_000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 20_000);
-    assert_eq!((sim.disruption.evictions["web"], sim.emptying()), (before, Vec::new()));
+    assert_eq!((sim.disruption.evictions["web"], sim.machines_being_emptied()), (before, Vec::new()));
     assert!(sim.drain_status("all").is_none(), "its status is kept without its request");
     all_run(&sim);
 }
@@ -364,7 +364,7 @@
     let mut sim = serving(13, TWO);
     // More machines per zone, so that a silent zone is told from a silent machine.
     for zone in ["a", "b"] {
-        sim.capacity.insert((zone.into(), false), 20);
+        sim.cloud.capacity.insert((zone.into(), false), 20);
     }
     for n in 70..78 {
         sim.submit(
@@ -393,18 +393,18 @@
         let mut sim = serving(14, TWO);
         sim.drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000);
-        let emptying = sim.emptying();
+        let emptying = sim.machines_being_emptied();
         let machine = *emptying.first().or(with_replicas(&sim).first()).expect("a machine");
         match trouble {
-            0 => drop(sim.inbound_lost.insert(machine)),
-            1 => sim.die(machine),
-            2 => sim.copies = (60, 30_000),
-            3 => drop(sim.outbound_lost.insert(machine)),
-            _ => sim.hang(machine, 12_000),
+            0 => drop(sim.faults.inbound_lost.insert(machine)),
+            1 => sim.kill_machine(machine),
+            2 => sim.faults.duplicate_heartbeats = (60, 30_000),
+            3 => drop(sim.faults.outbound_lost.insert(machine)),
+            _ => sim.hang_machine(machine, 12_000),
         }
         sim.run_until(sim.now + 40_000);
-        sim.copies = (0, 0);
-        sim.heal(machine);
+        sim.faults.duplicate_heartbeats = (0, 0);
+        sim.heal_machine(machine);
         assert!(sim.run_until_drain("all", "done", 500_000), "trouble {trouble}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 20_000);
         all_run(&sim);
@@ -415,14 +415,14 @@
 #[test]
 fn replacements_that_are_not_to_be_had() {
     let mut sim = serving(15, TWO);
-    sim.capacity.clear();
+    sim.cloud.capacity.clear();
     sim.drain("all", json!({}), "replace");
     sim.run_until(sim.now + 40_000);
     assert_eq!(sim.disruption.evictions.get("web"), None, "evicted without a replacement");
     assert!(waits_for(&sim, "all").contains("the cloud has no small in zone"), "{}", waits_for(&sim, "all"));
     for zone in ["a", "b"] {
-        sim.capacity.insert((zone.into(), false), 8);
-        sim.capacity.insert((zone.into(), true), 8);
+        sim.cloud.capacity.insert((zone.into(), false), 8);
+        sim.cloud.capacity.insert((zone.into(), true), 8);
     }
     assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
@@ -438,17 +438,17 @@
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 1 {
         sim.run_until(sim.now + 20);
         for (id, worker) in &mut sim.workers {
-            worker.sick |= !machines.contains(id);
+            worker.tasks_fail |= !machines.contains(id);
         }
     }
     for _ in 0..30 {
         sim.run_until(sim.now + 1000);
-        sim.workers.values_mut().for_each(|worker| worker.sick = true);
+        sim.workers.values_mut().for_each(|worker| worker.tasks_fail = true);
     }
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     let evicted = sim.disruption.evictions["web"];
     assert!(evicted <= 6, "{evicted} were stopped although none of them comes up again");
-    sim.workers.values_mut().for_each(|worker| worker.sick = false);
+    sim.workers.values_mut().for_each(|worker| worker.tasks_fail = false);
     assert!(sim.run_until_drain("all", "done", 600_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 70_000);
     all_run(&sim);
@@ -472,15 +472,15 @@
 /// The version in production leads for a while: the drain rests, and is taken up again whole.
 #[test]
 fn an_old_version_leads_for_a_while() {
-    let mut sim = Sim::at(Site { operators: TWO, ..Site::small() }, 18);
+    let mut sim = Simulation::at(Site { operators: TWO, ..Site::small() }, 18);
     sim.disruption.limits.insert("web".into(), 2);
     sim.run_until(5000);
     if let Some(2) = sim.leader() {
-        sim.bounce(2, 60_000);
+        sim.restart(2, 60_000);
     }
     sim.crash(2);
     sim.run_until(8000);
-    sim.start_old(2);
+    sim.start_production_version(2);
     for n in 0..4 {
         sim.submit(&format!("job-{n:06}"), &service(3));
     }
@@ -496,7 +496,7 @@
     }
     sim.run_until(sim.now + 8000);
     assert_eq!(sim.disruption.evictions["web"], before, "the old version knows no drains");
-    sim.upgrade(2, 500);
+    sim.upgrade_controller(2, 500);
     for node in [0, 1] {
         sim.start(node);
     }
@@ -510,7 +510,7 @@
 fn gangs_count_whole() {
     const GANGS: &str = "[drains]\nenabled = yes\nmax_machines = 100%\n[budget crew/sync]\nmax_unavailable = 4\nbatch_wait_s = 10\n\
         evict_batch = checkpointed\n";
-    let mut sim = Sim::at(Site { operators: GANGS, ..Site::small() }, 19);
+    let mut sim = Simulation::at(Site { operators: GANGS, ..Site::small() }, 19);
     let gang = |tasks: u64| {
         vec![
             ("Lane", json!("sync")),
@@ -527,7 +527,7 @@
         sim.submit(&format!("job-{:06}", 80 + n), &gang(3));
     }
     sim.run_until(40_000);
-    let running = |sim: &Sim| (80..83).map(|n| sim.running(&format!("job-{n:06}"))).collect::<Vec<_>>();
+    let running = |sim: &Simulation| (80..83).map(|n| sim.running(&format!("job-{n:06}"))).collect::<Vec<_>>();
     assert_eq!(running(&sim), [3, 3, 3]);
     sim.drain("all", json!({}), "replace");
     let begun = sim.now;
@@ -542,7 +542,7 @@
     }
     assert_eq!(sim.drain_phase("all"), "done", "{:?}", sim.drain_status("all"));
     assert!(fewest < 9, "none was stopped");
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
 }
 
 /// Consolidation is a voluntary stop like others: it passes the same gate.
@@ -550,7 +550,7 @@
 fn consolidation_stays_within_the_budget() {
     const NONE: &str = "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0\n";
     let evictions = |operators: &'static str| {
-        let mut sim = Sim::at(Site { operators, ..Site::small() }, 20);
+        let mut sim = Simulation::at(Site { operators, ..Site::small() }, 20);
         sim.disruption.limits.insert("web".into(), 2);
         for n in 0..12 {
             sim.submit(&format!("job-{n:06}"), &service(2));
@@ -560,7 +560,7 @@
             sim.cancel(&format!("job-{n:06}"));
         }
         sim.run_until(400_000);
-        assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
         sim.disruption.evictions.get("web").copied().unwrap_or(0)
     };
     assert!(evictions(TWO) > 0, "nothing is consolidated");
@@ -573,22 +573,22 @@
 fn a_machine_that_has_not_answered_the_new_leader_is_not_returned_as_empty() {
     let mut sim = serving(21, TWO);
     sim.drain("all", json!({}), "replace");
-    let replicas = |sim: &Sim, machine: u64| {
+    let replicas = |sim: &Simulation, machine: u64| {
         let tasks = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
         tasks.filter(|task| sim.machine_of(task) == Some(machine)).count()
     };
     let emptying = loop {
         sim.run_until(sim.now + 20);
         assert!(sim.now < 90_000, "no machine with replicas is being emptied");
-        if let Some(machine) = sim.emptying().into_iter().find(|machine| replicas(&sim, *machine) > 0) {
+        if let Some(machine) = sim.machines_being_emptied().into_iter().find(|machine| replicas(&sim, *machine) > 0) {
             break machine;
         }
     };
-    sim.cut(emptying);
+    sim.cut_machine(emptying);
     let leader = sim.leader().expect("somebody leads");
     sim.crash(leader);
-    let loaded = |sim: &Sim| {
-        let term = |node: usize| sim.nodes[node].as_ref().and_then(|node| node.leader());
+    let loaded = |sim: &Simulation| {
+        let term = |node: usize| sim.controllers.processes[node].as_ref().and_then(|node| node.leader());
         sim.leader().and_then(term).is_some_and(|term| term.is_loaded())
     };
     while !loaded(&sim) {
@@ -596,7 +596,7 @@
     }
     sim.run_until(sim.now + 1500);
     assert!(sim.workers.contains_key(&emptying), "returned with replicas on it");
-    sim.heal(emptying);
+    sim.heal_machine(emptying);
     sim.start(leader);
     assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
@@ -610,13 +610,14 @@
     // Its room is for tasks that fail.
     sim.cancel("job-000003");
     sim.run_until(sim.now + 5000);
-    sim.workers.values_mut().for_each(|worker| worker.sick = true);
+    sim.workers.values_mut().for_each(|worker| worker.tasks_fail = true);
     for n in 90..94 {
         sim.submit(&format!("job-{n:06}"), &batch(4, 5.0));
     }
     let held = with_replicas(&sim);
-    let out_of_order = |sim: &Sim| {
-        let term = sim.leader().and_then(|node| sim.nodes[node].as_ref()).and_then(|node| node.leader());
+    let out_of_order = |sim: &Simulation| {
+        let term =
+            sim.leader().and_then(|node| sim.controllers.processes[node].as_ref()).and_then(|node| node.leader());
         let failing = |m: &&caperstile::workers::Machine| {
             m.draining == Some(caperstile::workers::DrainReason::FailingTasks) && held.contains(&m.id().0)
         };
@@ -629,13 +630,13 @@
             break machine;
         }
     };
-    sim.workers.values_mut().for_each(|worker| worker.sick = false);
+    sim.workers.values_mut().for_each(|worker| worker.tasks_fail = false);
     sim.run_until(sim.now + 60_000);
     assert!(sim.workers.contains_key(&sick), "its services go on");
     sim.drain_machines("sick", &[sick]);
     assert!(sim.run_until_drain("sick", "done", 300_000), "{:?}", sim.drain_status("sick"));
     assert!(!sim.workers.contains_key(&sick));
     sim.run_until(sim.now + 15_000);
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     (0..3).for_each(|n| assert_eq!(sim.running(&format!("job-{n:06}")), 3, "replicas of job {n}"));
 }
--- a/tests/effects_digest.rs
+++ b/tests/effects_digest.rs
@@ -9,15 +9,15 @@
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use support::effect_log::EffectLog;
-use support::{Sim, Site};
+use support::{Simulation, Site};
 
 /// Names a directory into which the effects of each day are written as text.
 const TEXT_DIR_VARIABLE: &str = "EFFECTS_TEXT_DIR";
 
 type Fields = Vec<(&'static str, Value)>;
 
-fn simulation(site: Site, seed: u64) -> Sim {
-    let mut sim = Sim::at(site, seed);
+fn simulation(site: Site, seed: u64) -> Simulation {
+    let mut sim = Simulation::at(site, seed);
     sim.effect_log = Some(EffectLog::new(std::env::var_os(TEXT_DIR_VARIABLE).is_some()));
     sim
 }
@@ -29,19 +29,19 @@
 }
 
 /// In none of the days a rule was broken, and the effects are those of the fixture.
-fn assert_effects(days: &[(&str, Sim)]) {
+fn assert_effects(days: &[(&str, Simulation)]) {
     let mismatches: Vec<String> = days.iter().filter_map(|(day, sim)| mismatch(day, sim)).collect();
     assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
 }
 
 /// How the effects of a day differ from the fixture, if they do.
-fn mismatch(day: &str, sim: &Sim) -> Option<String> {
+fn mismatch(day: &str, sim: &Simulation) -> Option<String> {
     let log = sim.effect_log.as_ref().expect("effects were recorded");
     let (expected, found) = (expected(day), log.summary());
     if let (Some(directory), Some(text)) = (std::env::var_os(TEXT_DIR_VARIABLE), log.text()) {
         std::fs::write(PathBuf::from(directory).join(format!("{day}.txt")), text).expect("the text is written");
     }
-    assert!(sim.broken.is_empty(), "{day}: {:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{day}: {:?}", sim.broken_rules);
     (expected != found).then(|| {
         let differences = EffectLog::differences(&expected, &found);
         format!(
@@ -87,18 +87,18 @@
 }
 
 /// The n-th of the machines that are rented at this moment.
-fn nth_machine(sim: &Sim, n: usize) -> u64 {
+fn nth_machine(sim: &Simulation, n: usize) -> u64 {
     *sim.workers.keys().nth(n % sim.workers.len()).expect("machines are rented")
 }
 
-fn bounce_leader(sim: &mut Sim, after_ms: u64) {
+fn bounce_leader(sim: &mut Simulation, after_ms: u64) {
     if let Some(node) = sim.leader() {
-        sim.bounce(node, after_ms);
+        sim.restart(node, after_ms);
     }
 }
 
 /// Plays up to a second of the day, and calls `happen` at the beginning of each second.
-fn play(sim: &mut Sim, seconds: std::ops::Range<u64>, mut happen: impl FnMut(&mut Sim, u64)) {
+fn play(sim: &mut Simulation, seconds: std::ops::Range<u64>, mut happen: impl FnMut(&mut Simulation, u64)) {
     for second in seconds {
         sim.run_until(1000 + second * 1000);
         happen(sim, second);
@@ -106,7 +106,7 @@
 }
 
 /// Jobs of all kinds come in turn, and every fifth of them is cancelled some seconds later.
-fn submit_in_turn(sim: &mut Sim, second: u64) {
+fn submit_in_turn(sim: &mut Simulation, second: u64) {
     if second.is_multiple_of(3) {
         let fields = match second / 3 % 6 {
             0 => with(batch(3, 1.0, 6.0), &[("Crew", json!("small"))]),
@@ -123,7 +123,7 @@
     }
 }
 
-fn mixed_work_and_faults(seed: u64) -> Sim {
+fn mixed_work_and_faults(seed: u64) -> Simulation {
     let mut sim = simulation(Site::small(), seed);
     sim.submit(&job(1), &service(3));
     sim.submit(&job(2), &batch(6, 2.0, 120.0));
@@ -136,46 +136,46 @@
             20 => bounce_leader(sim, 3000),
             30 => {
                 let machine = nth_machine(sim, 1);
-                sim.notice(machine, 8);
+                sim.send_reclaim_notice(machine, 8);
             }
-            34 => sim.probe(1),
-            36 => sim.state.down = true,
+            34 => sim.check_health(1),
+            36 => sim.store.down = true,
             37 => sim.cancel(&job(3)),
-            42 => sim.state.down = false,
+            42 => sim.store.down = false,
             46 => {
                 let machine = nth_machine(sim, 3);
-                sim.die(machine);
+                sim.kill_machine(machine);
             }
             52 => sim.cut_zone("b"),
-            56 => (0..3).for_each(|node| sim.bounce(node, 500 + 900 * node as u64)),
+            56 => (0..3).for_each(|node| sim.restart(node, 500 + 900 * node as u64)),
             76 => sim.heal_zone("b"),
-            86 => sim.late_writes = (50, false),
+            86 => sim.faults.unanswered_writes = (50, false),
             88 => {
                 let leader = sim.leader().unwrap_or(0);
                 sim.isolate(leader);
             }
             96 => {
-                sim.late_writes = (0, false);
+                sim.faults.unanswered_writes = (0, false);
                 sim.reconnect();
             }
-            100 => (sim.copies, sim.repeats) = ((30, 3000), (30, 3000)),
+            100 => (sim.faults.duplicate_heartbeats, sim.faults.duplicate_requests) = ((30, 3000), (30, 3000)),
             104 => {
                 let (held, deaf, hanging) = (nth_machine(sim, 0), nth_machine(sim, 2), nth_machine(sim, 5));
-                sim.hold_commands.insert(held);
-                sim.inbound_lost.insert(deaf);
-                sim.hang(hanging, 6000);
+                sim.faults.commands_held.insert(held);
+                sim.faults.inbound_lost.insert(deaf);
+                sim.hang_machine(hanging, 6000);
             }
             108 => {
                 let leader = sim.leader().unwrap_or(0);
-                sim.state.refused_nodes.insert(leader);
+                sim.store.refused_nodes.insert(leader);
             }
             112 => {
                 let machine = nth_machine(sim, 4);
-                sim.workers.get_mut(&machine).expect("it is rented").sick = true;
+                sim.workers.get_mut(&machine).expect("it is rented").tasks_fail = true;
             }
-            116 => sim.cloud_down = true,
-            120 => sim.state.lost_answers = 5,
-            130 => sim.mend(),
+            116 => sim.cloud.unavailable = true,
+            120 => sim.store.lost_answers = 5,
+            130 => sim.end_all_faults(),
             _ => {}
         }
     });
@@ -196,7 +196,7 @@
 const ONE_OUT: &str = "[drains]\nenabled = yes\nmax_machines = 3\n[budget crew/web]\nmax_unavailable = 1\nmin_interval_s = 2\n\
     [budget crew/render]\nbatch_wait_s = 20\nevict_batch = never\n";
 
-fn drains(seed: u64) -> Sim {
+fn drains(seed: u64) -> Simulation {
     let mut sim = simulation(Site { operators: TWO_OUT, ..Site::small() }, seed);
     for n in 0..4 {
         sim.submit(&job(n), &service(3));
@@ -211,9 +211,9 @@
         60 => sim.set_operators(ONE_OUT),
         65 => sim.change_drain("all", "run"),
         72 => sim.drain("zone", json!({"zone": "a"}), "remove"),
-        80 => sim.state.down = true,
+        80 => sim.store.down = true,
         84 => bounce_leader(sim, 500),
-        90 => sim.state.down = false,
+        90 => sim.store.down = false,
         100 => sim.submit(&job(13), &batch(5, 1.0, 20.0)),
         110 => {
             let leader = sim.leader().unwrap_or(0);
@@ -227,7 +227,7 @@
             sim.drain_machines("some", &machines);
         }
         160 => sim.submit(&job(14), &batch(2, 1.0, 10.0)),
-        180 => sim.mend(),
+        180 => sim.end_all_faults(),
         _ => {}
     });
     sim
@@ -242,9 +242,9 @@
 const BACKLOG_NEVER: &str = "[admission]\nbound_backlog = never\n";
 
 /// One team floods while another submits a small job every ten seconds.
-fn flood(site: Site, seed: u64, jobs_per_second: u64, overloaded: bool) -> Sim {
+fn flood(site: Site, seed: u64, jobs_per_second: u64, overloaded: bool) -> Simulation {
     let mut sim = simulation(site, seed);
-    sim.overloaded = overloaded;
+    sim.controllers.overloaded = overloaded;
     play(&mut sim, 0..150, |sim, second| {
         if second < 110 {
             for n in 0..jobs_per_second {
@@ -268,8 +268,8 @@
             }
             88 => sim.reconnect(),
             110 => {
-                sim.mend();
-                sim.overloaded = false;
+                sim.end_all_faults();
+                sim.controllers.overloaded = false;
             }
             _ => {}
         }
@@ -287,8 +287,8 @@
     ]);
 }
 
-fn hundred_machines(seed: u64) -> Sim {
-    let mut sim = simulation(Site { machines: 20, ..Site::grown() }, seed);
+fn hundred_machines(seed: u64) -> Simulation {
+    let mut sim = simulation(Site { machines: 20, ..Site::thousand_machines() }, seed);
     for n in 0..100 {
         let fields = with(service([2, 2, 4, 16][n as usize % 4]), &[("Cores", json!(4.0))]);
         sim.submit(&job(n), &fields);
@@ -306,16 +306,16 @@
         58 => {
             for n in [7, 20, 33] {
                 let machine = nth_machine(sim, n);
-                sim.notice(machine, 20);
+                sim.send_reclaim_notice(machine, 20);
             }
             let machine = nth_machine(sim, 40);
-            sim.die(machine);
+            sim.kill_machine(machine);
         }
         64 => (100..104).for_each(|n| sim.cancel(&job(n))),
         70 => sim.cut_zone("c"),
         100 => sim.heal_zone("c"),
-        110 => (0..5).for_each(|node| sim.bounce(node, 300 + 400 * node as u64)),
-        125 => sim.mend(),
+        110 => (0..5).for_each(|node| sim.restart(node, 300 + 400 * node as u64)),
+        125 => sim.end_all_faults(),
         _ => {}
     });
     sim
@@ -327,18 +327,18 @@
 }
 
 /// The third controller is of the version in production, leads for a while, and becomes one of this version.
-fn rolling_upgrade(seed: u64) -> Sim {
+fn rolling_upgrade(seed: u64) -> Simulation {
     let mut sim = simulation(Site::small(), seed);
     sim.crash(2);
-    sim.start_old(2);
+    sim.start_production_version(2);
     play(&mut sim, 0..90, |sim, second| {
         if second.is_multiple_of(2) && second < 40 {
             sim.submit(&job(10 + second), &batch(2, 2.0, 2.0));
         }
         match second {
             1 | 30 => sim.submit(&job(100 + second), &gang(3)),
-            20 => (0..2).for_each(|node| sim.bounce(node, 6000)),
-            34 => sim.upgrade(2, 1000),
+            20 => (0..2).for_each(|node| sim.restart(node, 6000)),
+            34 => sim.upgrade_controller(2, 1000),
             _ => {}
         }
     });
@@ -351,21 +351,21 @@
 }
 
 /// Submissions and cancellations of many jobs wait for a commit when the state service goes away, and when the leader is cut off.
-fn many_requests_wait_for_a_commit(seed: u64) -> Sim {
+fn many_requests_wait_for_a_commit(seed: u64) -> Simulation {
     let mut sim = simulation(Site::small(), seed);
     for n in 0..24 {
         sim.submit(&job(n), &batch(1, 1.0, 60.0));
     }
-    let ask_for_many = |sim: &mut Sim, round: u64| {
+    let ask_for_many = |sim: &mut Simulation, round: u64| {
         (0..12).for_each(|n| sim.submit(&job(100 + 12 * round + n), &batch(1, 1.0, 5.0)));
         (0..8).for_each(|n| sim.cancel(&job(8 * round + n)));
     };
     play(&mut sim, 0..60, |sim, second| match second {
         10 => {
-            sim.state.down = true;
+            sim.store.down = true;
             ask_for_many(sim, 0);
         }
-        16 => sim.state.down = false,
+        16 => sim.store.down = false,
         25 => {
             let leader = sim.leader().unwrap_or(0);
             sim.isolate(leader);
@@ -373,10 +373,10 @@
         }
         33 => sim.reconnect(),
         40 => {
-            sim.late_writes = (100, true);
+            sim.faults.unanswered_writes = (100, true);
             ask_for_many(sim, 2);
         }
-        44 => sim.mend(),
+        44 => sim.end_all_faults(),
         _ => {}
     });
     sim
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::Sim;
+use support::Simulation;
 
 const GANG: &str = "job-000001";
 
@@ -42,14 +42,14 @@
 }
 
 /// A world whose controllers take gangs.
-fn ready(seed: u64) -> Sim {
-    let mut sim = Sim::new(seed);
+fn ready(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(seed);
     sim.run_until(8000);
     sim
 }
 
 /// Plays until a condition holds, for so long at most; whether it did.
-fn until(sim: &mut Sim, ms: u64, holds: impl Fn(&Sim) -> bool) -> bool {
+fn until(sim: &mut Simulation, ms: u64, holds: impl Fn(&Simulation) -> bool) -> bool {
     let end = sim.now + ms;
     while sim.now < end && !holds(sim) {
         sim.run_until(sim.now + 5);
@@ -57,16 +57,16 @@
     holds(sim)
 }
 
-fn gathers(sim: &Sim) -> bool {
-    !sim.gathering(GANG).is_empty() && sim.running(GANG) == 0
+fn gathers(sim: &Simulation) -> bool {
+    !sim.machines_awaiting_gang(GANG).is_empty() && sim.running(GANG) == 0
 }
 
-fn runs(sim: &Sim) -> bool {
+fn runs(sim: &Simulation) -> bool {
     sim.running(GANG) == 3
 }
 
-fn kept(sim: &Sim, story: &str) {
-    assert!(sim.broken.is_empty(), "{story}: {:?}", sim.broken);
+fn kept(sim: &Simulation, story: &str) {
+    assert!(sim.broken_rules.is_empty(), "{story}: {:?}", sim.broken_rules);
 }
 
 /// A state of a gang in which a trouble meets it.
@@ -84,25 +84,25 @@
 const EACH: [When; 4] = [When::Ordered, When::Gathering, When::Running, When::Stopping];
 
 /// A world whose gang is in this state, with a machine that holds one of its tasks.
-fn world(seed: u64, when: When) -> (Sim, u64) {
+fn world(seed: u64, when: When) -> (Simulation, u64) {
     let mut sim = ready(seed);
     // Tasks have their image at different moments.
-    sim.fetch_spread = 2000;
+    sim.tasks.fetch_jitter_ms = 2000;
     sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("Loaners", json!(when == When::Stopping))]));
     let reached = match when {
-        When::Ordered => until(&mut sim, 60_000, |s| s.on_machines(GANG) > 0),
+        When::Ordered => until(&mut sim, 60_000, |s| s.tasks_on_machines(GANG) > 0),
         When::Gathering => until(&mut sim, 60_000, gathers),
         When::Running => until(&mut sim, 60_000, runs),
         When::Stopping => {
             assert!(until(&mut sim, 60_000, runs), "seed {seed}: it runs");
             sim.run_until(sim.now + 3000);
             let machine = sim.machine_of("job-000001/0").expect("it runs");
-            sim.notice(machine, 4);
-            until(&mut sim, 8000, |s| s.saving(GANG) > 0)
+            sim.send_reclaim_notice(machine, 4);
+            until(&mut sim, 8000, |s| s.checkpointing_tasks(GANG) > 0)
         }
     };
     assert!(reached, "seed {seed} {when:?}");
-    let machine = sim.holder(GANG).expect("a machine holds a task of it");
+    let machine = sim.machine_holding(GANG).expect("a machine holds a task of it");
     (sim, machine)
 }
 
@@ -111,14 +111,14 @@
     let mut sim = ready(1);
     sim.submit(GANG, &gang(&[]));
     let mut told_running = false;
-    while sim.now < 80_000 && sim.jobs[GANG].told != "done" {
+    while sim.now < 80_000 && sim.jobs[GANG].last_status != "done" {
         sim.run_until(sim.now + 20);
         assert!(matches!(sim.running(GANG), 0 | 3), "some run and some do not");
-        told_running |= sim.jobs[GANG].told == "running";
+        told_running |= sim.jobs[GANG].last_status == "running";
     }
     kept(&sim, "a quiet day");
-    assert_eq!((sim.jobs[GANG].told.as_str(), told_running), ("done", true));
-    assert_eq!(sim.attempts(GANG), 1, "one attempt was enough");
+    assert_eq!((sim.jobs[GANG].last_status.as_str(), told_running), ("done", true));
+    assert_eq!(sim.gang_attempts(GANG), 1, "one attempt was enough");
 }
 
 #[test]
@@ -132,7 +132,7 @@
     let status = |id: &str| sim.jobs[id].submit_status;
     assert_eq!(status("job-000002"), 422, "three times two cores are more than the team's four");
     assert_eq!((status("job-000004"), status("job-000005")), (422, 422));
-    assert_eq!(sim.jobs["job-000003"].told, "done");
+    assert_eq!(sim.jobs["job-000003"].last_status, "done");
     kept(&sim, "limits");
 }
 
@@ -147,12 +147,12 @@
             if let Some(ms) = leader_ends {
                 sim.run_until(sim.now + ms);
                 let leader = sim.leader().expect("somebody leads");
-                sim.bounce(leader, 3000);
+                sim.restart(leader, 3000);
             }
             sim.run_until(sim.now + 60_000);
             kept(&sim, &story);
-            assert_eq!(sim.jobs[GANG].told, "aborted", "{story}");
-            assert_eq!(sim.on_machines(GANG), 0, "{story}");
+            assert_eq!(sim.jobs[GANG].last_status, "aborted", "{story}");
+            assert_eq!(sim.tasks_on_machines(GANG), 0, "{story}");
         }
     }
 }
@@ -181,25 +181,25 @@
             let story = format!("{when:?} {trouble:?}");
             let (mut sim, machine) = world((10 * n + m) as u64, when);
             match trouble {
-                Lost => sim.die(machine),
-                Hangs => sim.hang(machine, 11_000),
-                HearsNothing => drop(sim.inbound_lost.insert(machine)),
-                Unheard => drop(sim.outbound_lost.insert(machine)),
-                CutOff => sim.cut(machine),
-                ForgetsForAMoment => sim.blink(machine, 400),
+                Lost => sim.kill_machine(machine),
+                Hangs => sim.hang_machine(machine, 11_000),
+                HearsNothing => drop(sim.faults.inbound_lost.insert(machine)),
+                Unheard => drop(sim.faults.outbound_lost.insert(machine)),
+                CutOff => sim.cut_machine(machine),
+                ForgetsForAMoment => sim.cut_machine_for(machine, 400),
                 LeaderEnds => {
                     let leader = sim.leader().expect("somebody leads");
-                    sim.bounce(leader, 5000);
+                    sim.restart(leader, 5000);
                 }
-                AllEnd => (0..3).for_each(|node| sim.bounce(node, 4000)),
+                AllEnd => (0..3).for_each(|node| sim.restart(node, 4000)),
             }
             sim.run_until(sim.now + 30_000);
-            sim.mend();
+            sim.end_all_faults();
             sim.run_until(sim.now + 120_000);
             kept(&sim, &story);
-            assert_eq!(sim.jobs[GANG].told, "done", "{story}");
+            assert_eq!(sim.jobs[GANG].last_status, "done", "{story}");
             assert_eq!(
-                sim.incomplete, 0,
+                sim.gangs.incomplete_tasks, 0,
                 "{story}: a gang that cannot be complete is stopped before its workers give up"
             );
         }
@@ -212,7 +212,7 @@
     let mut replaced = 0;
     for seed in 0..6 {
         let mut sim = ready(seed);
-        sim.fetch_spread = 2000;
+        sim.tasks.fetch_jitter_ms = 2000;
         // Machines with and without the image, some of them idle.
         sim.submit(
             "job-000009",
@@ -222,15 +222,17 @@
         sim.submit("job-000008", &[("Pieces", json!(1)), ("RuntimeS", json!(1.0)), ("Cores", json!(4.0))]);
         sim.run_until(24_000);
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("Together", json!(false))]));
-        let partly = |sim: &Sim| gathers(sim) && sim.on_machines(GANG) == 3 && sim.gathering(GANG).len() < 3;
+        let partly = |sim: &Simulation| {
+            gathers(sim) && sim.tasks_on_machines(GANG) == 3 && sim.machines_awaiting_gang(GANG).len() < 3
+        };
         assert!(until(&mut sim, 40_000, partly), "seed {seed}");
-        let waits = sim.gathering(GANG);
-        let machine = sim.holder_but(GANG, &waits).expect("another machine still fetches");
-        sim.die(machine);
+        let waits = sim.machines_awaiting_gang(GANG);
+        let machine = sim.machine_holding_except(GANG, &waits).expect("another machine still fetches");
+        sim.kill_machine(machine);
         sim.run_until(sim.now + 120_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!(sim.jobs[GANG].told, "done", "seed {seed}");
-        replaced += u64::from(sim.attempts(GANG) == 1);
+        assert_eq!(sim.jobs[GANG].last_status, "done", "seed {seed}");
+        replaced += u64::from(sim.gang_attempts(GANG) == 1);
     }
     assert!(replaced >= 4, "{replaced} of 6 gangs were completed by a replacement");
 }
@@ -244,14 +246,14 @@
         assert!(until(&mut sim, 60_000, runs), "seed {seed}");
         sim.run_until(sim.now + 7100);
         let machine = sim.machine_of("job-000001/1").expect("it runs");
-        sim.notice(machine, 6);
+        sim.send_reclaim_notice(machine, 6);
         sim.run_until(sim.now + 8000);
-        let saved = sim.progress.get(GANG).copied().unwrap_or(0);
+        let saved = sim.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
         assert!(saved > 7000, "seed {seed}: {saved} ms of more than 7,000 were saved");
-        sim.die(machine);
+        sim.kill_machine(machine);
         sim.run_until(sim.now + 100_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!((sim.jobs[GANG].told.as_str(), sim.cut_saves), ("done", 0), "seed {seed}");
+        assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
     }
 }
 
@@ -261,10 +263,10 @@
     for seed in 0..5 {
         let (mut sim, _) = world(seed, When::Stopping);
         let leader = sim.leader().expect("somebody leads");
-        sim.bounce(leader, 4000);
+        sim.restart(leader, 4000);
         sim.run_until(sim.now + 100_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!((sim.jobs[GANG].told.as_str(), sim.cut_saves), ("done", 0), "seed {seed}");
+        assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
     }
 }
 
@@ -281,19 +283,19 @@
         sim.run_until(sim.now + 8000);
         let noticed = sim.machine_of("job-000001/0").expect("it runs");
         let inbound_lost = sim.machine_of("job-000001/2").expect("it runs");
-        sim.inbound_lost.insert(inbound_lost);
-        sim.notice(noticed, 14);
-        assert!(until(&mut sim, 14_000, |s| s.saving(GANG) == 2), "seed {seed}");
+        sim.faults.inbound_lost.insert(inbound_lost);
+        sim.send_reclaim_notice(noticed, 14);
+        assert!(until(&mut sim, 14_000, |s| s.checkpointing_tasks(GANG) == 2), "seed {seed}");
         let leader = sim.leader().expect("somebody leads");
-        sim.bounce(leader, 6000);
-        sim.inbound_lost.remove(&inbound_lost);
+        sim.restart(leader, 6000);
+        sim.faults.inbound_lost.remove(&inbound_lost);
         sim.run_until(sim.now + 9000);
-        let saved = sim.progress.get(GANG).copied().unwrap_or(0);
+        let saved = sim.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
         assert!(saved > 8000, "seed {seed}: {saved} ms of more than 8,000 were saved");
-        sim.die(noticed);
+        sim.kill_machine(noticed);
         sim.run_until(sim.now + 150_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!((sim.jobs[GANG].told.as_str(), sim.cut_saves), ("done", 0), "seed {seed}");
+        assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
     }
 }
 
@@ -306,12 +308,12 @@
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("RuntimeS", json!(30.0))]));
         assert!(until(&mut sim, 60_000, runs), "seed {seed}");
         let leader = sim.leader().expect("somebody leads");
-        sim.bounce(leader, 8000);
+        sim.restart(leader, 8000);
         let machine = sim.machine_of("job-000001/1").expect("it runs");
-        sim.blink(machine, 4200);
+        sim.cut_machine_for(machine, 4200);
         sim.run_until(sim.now + 60_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!((sim.jobs[GANG].told.as_str(), sim.attempts(GANG)), ("done", 1), "seed {seed}");
+        assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gang_attempts(GANG)), ("done", 1), "seed {seed}");
     }
 }
 
@@ -327,17 +329,17 @@
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("RuntimeS", json!(30.0)), ("Together", json!(false))]));
         assert!(until(&mut sim, 30_000, runs), "seed {seed}");
         sim.run_until(sim.now + 1000);
-        let machine = sim.holder(GANG).expect("it runs");
-        sim.cloud_down = true;
-        sim.hang(machine, 14_500);
+        let machine = sim.machine_holding(GANG).expect("it runs");
+        sim.cloud.unavailable = true;
+        sim.hang_machine(machine, 14_500);
         sim.run_until(sim.now + 14_400);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!(sim.attempts(GANG), 1, "seed {seed}");
+        assert_eq!(sim.gang_attempts(GANG), 1, "seed {seed}");
         sim.run_until(sim.now + 20_000);
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(sim.now + 120_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!(sim.jobs[GANG].told, "done", "seed {seed}");
+        assert_eq!(sim.jobs[GANG].last_status, "done", "seed {seed}");
     }
 }
 
@@ -346,20 +348,20 @@
 fn copies_and_repeats_of_an_earlier_attempt() {
     for seed in 0..6 {
         let mut sim = ready(seed);
-        (sim.copies, sim.repeats) = ((60, 30_000), (60, 30_000));
+        (sim.faults.duplicate_heartbeats, sim.faults.duplicate_requests) = ((60, 30_000), (60, 30_000));
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("RuntimeS", json!(30.0))]));
         for _ in 0..3 {
             assert!(until(&mut sim, 90_000, runs), "seed {seed}");
             sim.run_until(sim.now + 2500);
-            let machine = sim.holder(GANG).expect("it runs");
-            sim.hold_commands.insert(machine);
-            sim.blink(machine, 18_000);
+            let machine = sim.machine_holding(GANG).expect("it runs");
+            sim.faults.commands_held.insert(machine);
+            sim.cut_machine_for(machine, 18_000);
             sim.run_until(sim.now + 9000);
         }
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(sim.now + 150_000);
         kept(&sim, &format!("seed {seed}"));
-        assert_eq!(sim.jobs[GANG].told, "done", "seed {seed}");
+        assert_eq!(sim.jobs[GANG].last_status, "done", "seed {seed}");
     }
 }
 
@@ -373,17 +375,17 @@
         sim.submit(GANG, &gang(&limited));
         sim.submit("job-000002", &[("Crew", json!("small")), ("Cores", json!(1.0)), ("RuntimeS", json!(3.0))]);
         assert!(until(&mut sim, 60_000, |s| s.running(GANG) == 4), "seed {seed}");
-        let zone = sim.zone_of_machine(sim.holder(GANG).expect("it runs"));
+        let zone = sim.zone_of_machine(sim.machine_holding(GANG).expect("it runs"));
         let leader = sim.leader().expect("somebody leads");
-        sim.cut_off(&zone, leader);
+        sim.isolate_zone(&zone, leader);
         sim.run_until(sim.now + 40_000);
         kept(&sim, &format!("seed {seed}"));
         sim.heal_zone(&zone);
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(sim.now + 200_000);
         kept(&sim, &format!("seed {seed}"));
         for id in [GANG, "job-000002"] {
-            assert_eq!(sim.jobs[id].told, "done", "seed {seed}: {id}");
+            assert_eq!(sim.jobs[id].last_status, "done", "seed {seed}: {id}");
         }
     }
 }
@@ -393,7 +395,7 @@
 #[test]
 fn large_gangs_are_not_starved_and_do_not_block_each_other() {
     let mut sim = ready(3);
-    sim.capacity.values_mut().for_each(|left| *left = 4);
+    sim.cloud.capacity.values_mut().for_each(|left| *left = 4);
     let whole_zone = [("Cores", json!(4.0)), ("Pieces", json!(4)), ("RuntimeS", json!(5.0))];
     for n in 0..150 {
         if n == 20 {
@@ -409,12 +411,12 @@
     sim.run_until(sim.now + 100_000);
     kept(&sim, "crowded");
     for (id, job) in &sim.jobs {
-        assert_eq!(job.told, "done", "{id}");
+        assert_eq!(job.last_status, "done", "{id}");
     }
     for id in [GANG, "job-000002"] {
         let waited = sim.jobs[id].begun.expect("it began") - sim.jobs[id].accepted_at;
         assert!(waited < 150_000, "{id} waited {waited} ms");
-        assert_eq!(sim.attempts(id), 1, "{id} began before all of it had room");
+        assert_eq!(sim.gang_attempts(id), 1, "{id} began before all of it had room");
     }
 }
 
@@ -422,7 +424,7 @@
 #[test]
 fn a_gang_that_always_fails_does_not_wear_out_the_machines() {
     let mut sim = ready(4);
-    sim.failing.insert(GANG.into());
+    sim.tasks.failing_jobs.insert(GANG.into());
     sim.submit(GANG, &gang(&[]));
     for n in 0..40 {
         sim.submit(&format!("job-{:06}", 100 + n), &[("Pieces", json!(2)), ("RuntimeS", json!(3.0))]);
@@ -430,7 +432,7 @@
     }
     sim.run_until(sim.now + 30_000);
     kept(&sim, "a faulty gang");
-    let done = sim.jobs.values().filter(|j| j.told == "done").count();
+    let done = sim.jobs.values().filter(|j| j.last_status == "done").count();
     assert_eq!(done, 40, "all others");
-    assert!((2..16).contains(&sim.attempts(GANG)), "{} attempts in 150 s", sim.attempts(GANG));
+    assert!((2..16).contains(&sim.gang_attempts(GANG)), "{} attempts in 150 s", sim.gang_attempts(GANG));
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -13,7 +13,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{State, state_call};
+use support::{StoreStandIn, store_request};
 use warp::Filter;
 use warp::http::{Method, Response, StatusCode};
 
@@ -49,7 +49,7 @@
 
 #[derive(Default)]
 struct StandIns {
-    state: State,
+    store: StoreStandIn,
     /// Attempt -> task and state of the one worker.
     tasks: BTreeMap<u64, (String, &'static str)>,
     token: u64,
@@ -110,7 +110,7 @@
     body: &[u8],
 ) -> (u16, Value) {
     assert!(matches!(method, &Method::GET | &Method::POST));
-    stand_ins.state.handle(now, 0, &state_call(path, query, body))
+    stand_ins.store.handle(now, 0, &store_request(path, query, body))
 }
 
 fn serve_stand_ins(stand_ins: &Arc<Mutex<StandIns>>) -> Vec<SocketAddr> {
@@ -281,9 +281,9 @@
 
     // The leader is killed: the service stays as it was, and another node answers for it.
     // All three are of this version, so the leader key has moved, and what is left under its old name is no holder.
-    until("a moved key", || stand_ins.lock().unwrap().state.keys.contains_key("leader-2").then_some(()));
-    assert_eq!(stand_ins.lock().unwrap().state.keys["leader"].0, json!({"moved_to": "leader-2"}));
-    let key = stand_ins.lock().unwrap().state.keys["leader-2"].0["node"].as_str().unwrap().to_string();
+    until("a moved key", || stand_ins.lock().unwrap().store.keys.contains_key("leader-2").then_some(()));
+    assert_eq!(stand_ins.lock().unwrap().store.keys["leader"].0, json!({"moved_to": "leader-2"}));
+    let key = stand_ins.lock().unwrap().store.keys["leader-2"].0["node"].as_str().unwrap().to_string();
     let leader: usize = key.strip_prefix("kraal-").unwrap().parse().unwrap();
     let mut child = nodes.0[leader].take().unwrap();
     child.kill().unwrap();
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -3,11 +3,11 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{Sim, Site};
+use support::{Simulation, Site};
 
 /// One team floods while another submits a small job every ten seconds.
 struct Flood {
-    sim: Sim,
+    sim: Simulation,
     /// Jobs of the flood per second.
     per_second: u64,
     flood_jobs: u64,
@@ -26,13 +26,13 @@
 
 impl Flood {
     fn at(site: Site, seed: u64, per_second: u64) -> Flood {
-        Flood { sim: Sim::at(site, seed), per_second, flood_jobs: 0, quiet_jobs: 0, second: 0 }
+        Flood { sim: Simulation::at(site, seed), per_second, flood_jobs: 0, quiet_jobs: 0, second: 0 }
     }
 
     /// Controllers that are overloaded, with machines for everything that they admit.
     fn of_controllers(seed: u64) -> Flood {
         let mut flood = Flood::at(Site { snapshot_every: 50, value_kb: 8.0, ..Site::small() }, seed, 6);
-        flood.sim.overloaded = true;
+        flood.sim.controllers.overloaded = true;
         flood
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Floods for so many seconds; `trouble` is called at the beginning of each.
-    fn play(&mut self, seconds: u64, mut trouble: impl FnMut(&mut Sim, u64)) {
+    fn play(&mut self, seconds: u64, mut trouble: impl FnMut(&mut Simulation, u64)) {
         for _ in 0..seconds {
             let second = self.second;
             trouble(&mut self.sim, second);
@@ -81,7 +81,7 @@
     fn cancel_one(&mut self) {
         let open = |id: &&String| {
             let job = &self.sim.jobs[*id];
-            job.accepted && job.cancel_asked_at.is_none() && !matches!(job.told.as_str(), "done" | "aborted")
+            job.accepted && job.cancel_asked_at.is_none() && !matches!(job.last_status.as_str(), "done" | "aborted")
         };
         let newest = self.sim.jobs.keys().rev().filter(|id| id.as_str() < "job-900000").find(open).cloned();
         newest.into_iter().for_each(|id| self.sim.cancel(&id));
@@ -93,11 +93,11 @@
 
     /// What must hold after any flood, whatever else went wrong for `trouble_ms`.
     fn check(&mut self, trouble_ms: u64) {
-        self.sim.mend();
-        self.sim.overloaded = false;
+        self.sim.end_all_faults();
+        self.sim.controllers.overloaded = false;
         self.sim.run_until(self.sim.now + 120_000);
         let sim = &self.sim;
-        assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
         assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
         let refused = self.count(|job| job.refused > 0);
         assert!(refused > 30, "{refused} of {} jobs were refused", self.flood_jobs);
@@ -107,13 +107,16 @@
             assert!(job.accepted, "{id} of the quiet team was never accepted");
             let waited = job.accepted_at - job.submitted_at;
             assert!(waited <= BOUND_MS + trouble_ms, "{id} of the quiet team was accepted after {waited} ms");
-            assert_eq!(job.told, "done", "{id} of the quiet team");
+            assert_eq!(job.last_status, "done", "{id} of the quiet team");
         }
         for (id, job) in &sim.jobs {
             if let Some(asked) = job.cancel_asked_at {
                 assert_eq!(job.cancel_status, 200, "{id} was to be cancelled at {asked}");
             }
-            assert!(!job.accepted || matches!(job.told.as_str(), "done" | "aborted" | "queued" | "running"), "{id}");
+            assert!(
+                !job.accepted || matches!(job.last_status.as_str(), "done" | "aborted" | "queued" | "running"),
+                "{id}"
+            );
         }
     }
 
@@ -122,7 +125,7 @@
     }
 }
 
-fn leader(sim: &Sim) -> usize {
+fn leader(sim: &Simulation) -> usize {
     sim.leader().expect("somebody leads")
 }
 
@@ -132,14 +135,17 @@
         let mut token = 0;
         flood.play(180, |sim, second| {
             if second == 10 {
-                token = sim.nodes[leader(sim)].as_ref().and_then(|node| node.leader()).map_or(0, |term| term.token().0);
+                token = sim.controllers.processes[leader(sim)]
+                    .as_ref()
+                    .and_then(|node| node.leader())
+                    .map_or(0, |term| term.token().0);
             }
         });
         assert_eq!(flood.refusing_nodes(), 3, "{:?}", flood.sim.decisions.refused_by);
         let now = flood
             .sim
             .leader()
-            .and_then(|node| flood.sim.nodes[node].as_ref()?.leader())
+            .and_then(|node| flood.sim.controllers.processes[node].as_ref()?.leader())
             .map_or(0, |term| term.token().0);
         assert_eq!(now, token, "the leader kept its lease");
         flood.check(0);
@@ -168,7 +174,7 @@
         flood.play(150, |sim, second| {
             if second == 60 || second == 100 {
                 let node = leader(sim);
-                sim.bounce(node, 5_000);
+                sim.restart(node, 5_000);
             }
         });
         flood.check(10_000);
@@ -180,7 +186,7 @@
     for mut flood in [Flood::of_controllers(3), Flood::of_machines(3)] {
         flood.play(150, |sim, second| {
             if second == 60 {
-                (0..3).for_each(|node| sim.bounce(node, 3_000));
+                (0..3).for_each(|node| sim.restart(node, 3_000));
             }
         });
         flood.check(15_000);
@@ -192,7 +198,7 @@
     let mut flood = Flood::of_controllers(4);
     flood.play(150, |sim, second| {
         if second % 20 == 15 {
-            sim.bounce((second / 20 % 3) as usize, 300);
+            sim.restart((second / 20 % 3) as usize, 300);
         }
     });
     flood.check(20_000);
@@ -219,11 +225,11 @@
     flood.play(150, |sim, second| match second {
         50 => {
             let node = leader(sim);
-            sim.state.refused_nodes.insert(node);
+            sim.store.refused_nodes.insert(node);
         }
-        65 => sim.state.refused_nodes.clear(),
-        90 => sim.state.down = true,
-        100 => sim.state.down = false,
+        65 => sim.store.refused_nodes.clear(),
+        90 => sim.store.down = true,
+        100 => sim.store.down = false,
         _ => {}
     });
     flood.check(30_000);
@@ -240,7 +246,7 @@
         }
         62 => {
             let node = leader(sim);
-            sim.bounce(node, 2_000);
+            sim.restart(node, 2_000);
         }
         66 => sim.reconnect(),
         _ => {}
@@ -255,9 +261,9 @@
     flood.sim.crash(2);
     flood.play(150, |sim, second| match second {
         // It comes as a follower, and leads while the others are down.
-        20 => sim.start_old(2),
-        50 => (0..2).for_each(|node| sim.bounce(node, 6_000)),
-        80 => sim.upgrade(2, 1_000),
+        20 => sim.start_production_version(2),
+        50 => (0..2).for_each(|node| sim.restart(node, 6_000)),
+        80 => sim.upgrade_controller(2, 1_000),
         _ => {}
     });
     flood.check(50_000);
@@ -269,7 +275,7 @@
     flood.play(180, |sim, second| {
         if second == 60 {
             let machines: Vec<u64> = sim.workers.keys().copied().collect();
-            machines.iter().take(machines.len() * 2 / 3).for_each(|machine| sim.die(*machine));
+            machines.iter().take(machines.len() * 2 / 3).for_each(|machine| sim.kill_machine(*machine));
         }
     });
     flood.check(30_000);
@@ -284,11 +290,11 @@
             sim.submit("job-800000", &small_array(3));
         }
         for _ in 0..25 {
-            sim.repeat("job-800000");
+            sim.resubmit("job-800000");
         }
     });
     flood.check(0);
-    assert!(flood.sim.starts.keys().filter(|task| task.starts_with("job-800000/")).count() <= 4);
+    assert!(flood.sim.tasks.starts.keys().filter(|task| task.starts_with("job-800000/")).count() <= 4);
 }
 
 /// A large job and a gang of a quiet team among small ones of another.
@@ -325,7 +331,7 @@
     flood.play(120, |sim, second| {
         if second == 70 {
             let node = leader(sim);
-            sim.bounce(node, 5_000);
+            sim.restart(node, 5_000);
         }
     });
     let accepted = |from: u64, until: u64| flood.count(|job| (from * 1000..until * 1000).contains(&job.accepted_at));
--- a/tests/production_compatibility.rs
+++ b/tests/production_compatibility.rs
@@ -9,7 +9,7 @@
 use caperstile::api::{ApiResponse, UserRequest};
 use caperstile::peers::{Frame, HEADER_BYTES};
 use serde_json::{Value, json};
-use support::{Sim, Site};
+use support::{Simulation, Site};
 
 const FIXTURES: [&str; 2] = ["production", "production-1b55767"];
 
@@ -27,14 +27,14 @@
 }
 
 fn read_back(fixture: &Value) {
-    let mut sim = Sim::new(1);
+    let mut sim = Simulation::new(1);
     let keys = fixture["keys"].as_array().expect("keys");
-    sim.state.restore(keys.iter().map(|k| {
+    sim.store.restore(keys.iter().map(|k| {
         (k["K"].as_str().expect("a key").to_string(), k["V"].clone(), k["Stamp"].as_u64().expect("a revision"))
     }));
     sim.run_until(8000);
     let leader = sim.leader().expect("somebody leads");
-    let term = sim.nodes[leader].as_ref().and_then(|c| c.leader()).expect("a term");
+    let term = sim.controllers.processes[leader].as_ref().and_then(|c| c.leader()).expect("a term");
     assert!(term.is_loaded());
     for told in fixture["told"].as_array().expect("pairs") {
         let (id, status) = (told[0].as_str().expect("an id"), told[1].as_str().expect("a status"));
@@ -80,10 +80,10 @@
 fn the_state_service_lowers_its_limits() {
     for seed in 0..4 {
         let before = Site { value_kb: 8.0, page: 1000, snapshot_every: 30, ..Site::small() };
-        let mut sim = Sim::at(before.clone(), seed);
+        let mut sim = Simulation::at(before.clone(), seed);
         // Users that come while the leader key moves are sent away and come back one by one: no large value would be written.
         sim.run_until(6000);
-        let submit = |sim: &mut Sim, from: u64, every: u64| {
+        let submit = |sim: &mut Simulation, from: u64, every: u64| {
             for n in from..from + 60 {
                 let id = format!("job-{n:06}");
                 sim.submit(&id, &[("Pieces", json!(1)), ("RuntimeS", json!(1.0)), ("Cores", json!(1.0))]);
@@ -91,26 +91,26 @@
             }
         };
         submit(&mut sim, 0, 5);
-        let large = sim.state.keys.values().filter(|v| v.0.to_string().len() > 1024).count();
+        let large = sim.store.keys.values().filter(|v| v.0.to_string().len() > 1024).count();
         assert!(large > 0, "seed {seed}: something large is stored");
         // The nodes are replaced by ones that know what is to come.
         sim.site = Site { next: Some((1.0, 4, 15.0)), ..before };
         for node in 0..3 {
-            sim.bounce(node, 300);
+            sim.restart(node, 300);
             sim.run_until(sim.now + 4000);
         }
         submit(&mut sim, 100, 5);
-        (sim.state.value_bytes, sim.state.txn_ops) = (1024, 4);
+        (sim.store.value_bytes, sim.store.txn_ops) = (1024, 4);
         let leader = sim.leader().expect("somebody leads");
-        sim.bounce(leader, 300);
+        sim.restart(leader, 300);
         submit(&mut sim, 200, 150);
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(sim.now + 60_000);
-        assert!(sim.broken.is_empty(), "seed {seed}: {:?}", sim.broken);
+        assert!(sim.broken_rules.is_empty(), "seed {seed}: {:?}", sim.broken_rules);
         for (id, job) in &sim.jobs {
-            assert_eq!(job.told, "done", "seed {seed}: {id}");
+            assert_eq!(job.last_status, "done", "seed {seed}: {id}");
         }
-        let large = sim.state.keys.values().filter(|v| v.0.to_string().len() > 1024).count();
+        let large = sim.store.keys.values().filter(|v| v.0.to_string().len() > 1024).count();
         assert_eq!(large, 0, "seed {seed}: all is rewritten in a form that fits");
     }
 }
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -5,7 +5,8 @@
 
 use proptest::prelude::*;
 use serde_json::json;
-use support::{Sim, Site};
+use support::jobs::three_spread_replicas;
+use support::{Simulation, Site};
 
 #[derive(Debug, Clone)]
 enum Fault {
@@ -117,70 +118,71 @@
 }
 
 /// The n-th machine that is rented at this moment.
-fn nth(sim: &Sim, n: u64) -> Option<u64> {
+fn nth_machine(sim: &Simulation, n: u64) -> Option<u64> {
     sim.workers.keys().nth(n as usize % sim.workers.len().max(1)).copied()
 }
 
-fn inject(sim: &mut Sim, fault: &Fault) {
+fn inject(sim: &mut Simulation, fault: &Fault) {
     let name = |n: u8| format!("job-{:06}", n % 12);
     match fault {
         Fault::Crash(n) => sim.crash(*n),
         Fault::CrashAll => (0..3).for_each(|n| sim.crash(n)),
         Fault::Start(n) => sim.start(*n),
-        Fault::StateDown(down) => sim.state.down = *down,
+        Fault::StateDown(down) => sim.store.down = *down,
         Fault::RefuseNode(n, true) => {
-            sim.state.refused_nodes.insert(*n);
+            sim.store.refused_nodes.insert(*n);
         }
         Fault::RefuseNode(n, false) => {
-            sim.state.refused_nodes.remove(n);
+            sim.store.refused_nodes.remove(n);
         }
-        Fault::LoseAnswers(n) => sim.state.lost_answers = *n,
-        Fault::Cut(n) => nth(sim, *n).into_iter().for_each(|m| sim.cut(m)),
+        Fault::LoseAnswers(n) => sim.store.lost_answers = *n,
+        Fault::Cut(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.cut_machine(m)),
         Fault::Heal(n) => {
-            if let Some(m) = nth(sim, *n) {
-                sim.heal(m);
+            if let Some(m) = nth_machine(sim, *n) {
+                sim.heal_machine(m);
             }
         }
-        Fault::HoldCommands(n) => sim.hold_commands.extend(nth(sim, *n)),
-        Fault::Die(n) => nth(sim, *n).into_iter().for_each(|m| sim.die(m)),
+        Fault::HoldCommands(n) => sim.faults.commands_held.extend(nth_machine(sim, *n)),
+        Fault::Die(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.kill_machine(m)),
         Fault::Sick(n) => {
-            let id = nth(sim, *n);
+            let id = nth_machine(sim, *n);
             if let Some(w) = id.and_then(|m| sim.workers.get_mut(&m)) {
-                w.sick = true;
+                w.tasks_fail = true;
             }
         }
-        Fault::Notice(n) => nth(sim, *n).into_iter().for_each(|m| sim.notice(m, 8)),
-        Fault::LoseInbound(n) => sim.inbound_lost.extend(nth(sim, *n)),
-        Fault::Copies(share, late) => sim.copies = (*share, *late),
-        Fault::Repeats(share, late) => sim.repeats = (*share, *late),
-        Fault::Apart(n) => drop(sim.apart.insert(*n)),
-        Fault::Island(n) => sim.cut_off(support::zone_of(&sim.site.clone(), *n), *n),
-        Fault::Together => sim.apart.clear(),
+        Fault::Notice(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.send_reclaim_notice(m, 8)),
+        Fault::LoseInbound(n) => sim.faults.inbound_lost.extend(nth_machine(sim, *n)),
+        Fault::Copies(share, late) => sim.faults.duplicate_heartbeats = (*share, *late),
+        Fault::Repeats(share, late) => sim.faults.duplicate_requests = (*share, *late),
+        Fault::Apart(n) => drop(sim.faults.cut_from_workers.insert(*n)),
+        Fault::Island(n) => sim.isolate_zone(support::zone_of(&sim.site.clone(), *n), *n),
+        Fault::Together => sim.faults.cut_from_workers.clear(),
         Fault::Isolate(n) => sim.isolate(*n),
         Fault::Reconnect => sim.reconnect(),
-        Fault::Bounce(n, ms) => sim.bounce(*n, *ms),
+        Fault::Bounce(n, ms) => sim.restart(*n, *ms),
         Fault::Blink(n, ms) => {
-            if let Some(m) = nth(sim, *n) {
-                sim.blink(m, *ms);
+            if let Some(m) = nth_machine(sim, *n) {
+                sim.cut_machine_for(m, *ms);
             }
         }
-        Fault::LoseOutbound(n) => sim.outbound_lost.extend(nth(sim, *n)),
-        Fault::Hang(n, ms) => nth(sim, *n).into_iter().for_each(|m| sim.hang(m, *ms)),
-        Fault::LateWrites(share, at_once) => sim.late_writes = (*share, *at_once),
-        Fault::KeptForNext(share) => sim.kept_for_next = *share,
-        Fault::CloseLooks(on) => sim.close_looks = *on,
-        Fault::CloudDown(down) => sim.cloud_down = *down,
+        Fault::LoseOutbound(n) => sim.faults.outbound_lost.extend(nth_machine(sim, *n)),
+        Fault::Hang(n, ms) => nth_machine(sim, *n).into_iter().for_each(|m| sim.hang_machine(m, *ms)),
+        Fault::LateWrites(share, at_once) => sim.faults.unanswered_writes = (*share, *at_once),
+        Fault::KeptForNext(share) => sim.faults.heartbeats_kept_percent = *share,
+        Fault::CloseLooks(on) => sim.users.recheck_everywhere = *on,
+        Fault::CloudDown(down) => sim.cloud.unavailable = *down,
         Fault::RefuseOneThenAll(ms) => {
-            sim.state.refused_nodes.extend(sim.leader());
+            sim.store.refused_nodes.extend(sim.leader());
             let until = sim.now + ms;
             sim.run_until(until);
-            sim.state.down = true;
+            sim.store.down = true;
         }
         Fault::CancelNow(ms) => {
-            let open = |j: &&String| sim.jobs[*j].accepted && !matches!(sim.jobs[*j].told.as_str(), "done" | "aborted");
+            let open =
+                |j: &&String| sim.jobs[*j].accepted && !matches!(sim.jobs[*j].last_status.as_str(), "done" | "aborted");
             let jobs: Vec<String> = sim.jobs.keys().filter(open).take(3).cloned().collect();
             for id in &jobs {
-                nth(sim, *ms).filter(|_| *ms > 1000).into_iter().for_each(|m| sim.hang(m, *ms));
+                nth_machine(sim, *ms).filter(|_| *ms > 1000).into_iter().for_each(|m| sim.hang_machine(m, *ms));
                 sim.cancel(id);
             }
         }
@@ -194,24 +196,14 @@
             ];
             match n % 6 {
                 0 => sim.submit(&id, &[("Pieces", json!(3)), ("RuntimeS", json!(6.0)), ("Crew", json!("small"))]),
-                1 => sim.submit(
-                    &id,
-                    &[
-                        ("Shape", json!("standing")),
-                        ("Rank", json!("prod")),
-                        ("RuntimeS", json!(0)),
-                        ("Pieces", json!(3)),
-                        ("Spread", json!(true)),
-                        ("Cores", json!(1.0)),
-                    ],
-                ),
+                1 => sim.submit(&id, &three_spread_replicas()),
                 2 => sim.submit(&id, &[("Loaners", json!(true)), ("RuntimeS", json!(15.0)), ("DueS", json!(60.0))]),
                 3 => sim.submit(&id, &[("Pieces", json!(5)), ("Rank", json!("low")), ("Cores", json!(4.0))]),
                 4 => sim.submit(&id, &[&gang[..], &[("Together", json!(true)), ("Crew", json!("small"))]].concat()),
                 _ => sim.submit(&id, &[&gang[..], &[("Pieces", json!(4)), ("Loaners", json!(true))]].concat()),
             }
         }
-        Fault::Submit(n) => sim.repeat(&name(*n)),
+        Fault::Submit(n) => sim.resubmit(&name(*n)),
         Fault::Drain(n, what) => {
             let filter = [json!({}), json!({"zone": "a"}), json!({"zone": "b"}), json!({"count": 2})];
             let mode = if what & 4 == 0 { "replace" } else { "remove" };
@@ -222,7 +214,7 @@
         Fault::ChangeDrain(n, what) => {
             let name = format!("drain-{n}");
             let wanted = ["run", "pause", "run", "cancel"][(what % 4) as usize];
-            let before = sim.state.keys.get(&format!("drain/request/{name}")).cloned();
+            let before = sim.store.keys.get(&format!("drain/request/{name}")).cloned();
             if let Some((mut request, revision, _)) = before.filter(|(request, ..)| request["wanted"] != "cancel") {
                 request["wanted"] = json!(wanted);
                 sim.write_request(&name, &request, revision);
@@ -238,7 +230,7 @@
                 );
             }
         }
-        Fault::Overload(on) => sim.overloaded = *on,
+        Fault::Overload(on) => sim.controllers.overloaded = *on,
         Fault::Budgets(first) => sim.set_operators(if *first { ONE } else { HALF }),
         Fault::Cancel(n) => {
             if sim.jobs.contains_key(&name(*n)) {
@@ -248,35 +240,23 @@
     }
 }
 
-/// A service of three replicas, two in a zone at the most.
-fn spread_service() -> [(&'static str, serde_json::Value); 6] {
-    [
-        ("Shape", json!("standing")),
-        ("Rank", json!("prod")),
-        ("RuntimeS", json!(0)),
-        ("Pieces", json!(3)),
-        ("Spread", json!(true)),
-        ("Cores", json!(1.0)),
-    ]
-}
-
 /// Injects faults, each so long after the one before; when the last one was. No rule may be broken on the way.
-fn play(sim: &mut Sim, begin: u64, faults: &[(u64, Fault)]) -> Result<u64, TestCaseError> {
+fn inject_in_turn(sim: &mut Simulation, begin: u64, faults: &[(u64, Fault)]) -> Result<u64, TestCaseError> {
     let mut at = begin;
     for (gap, fault) in faults {
         at = at.max(sim.now) + gap;
         sim.run_until(at);
         inject(sim, fault);
-        prop_assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     }
     Ok(at)
 }
 
 /// What was accepted has come to its end, or runs in full.
-fn all_ended(sim: &Sim) -> Result<(), TestCaseError> {
+fn check_all_ended(sim: &Simulation) -> Result<(), TestCaseError> {
     for (id, job) in sim.jobs.iter().filter(|(_, j)| j.accepted) {
-        let over = matches!(job.told.as_str(), "done" | "aborted");
-        prop_assert!(over || sim.running(id) == 3, "{id} is {} with {} running", job.told, sim.running(id));
+        let over = matches!(job.last_status.as_str(), "done" | "aborted");
+        prop_assert!(over || sim.running(id) == 3, "{id} is {} with {} running", job.last_status, sim.running(id));
     }
     Ok(())
 }
@@ -294,14 +274,14 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, fault()), 10..40),
     ) {
-        let mut sim = Sim::new(seed);
-        sim.submit("job-000001", &spread_service());
-        let at = play(&mut sim, 8000, &faults)?;
+        let mut sim = Simulation::new(seed);
+        sim.submit("job-000001", &three_spread_replicas());
+        let at = inject_in_turn(&mut sim, 8000, &faults)?;
         // All is mended: what was accepted must end.
-        sim.mend();
+        sim.end_all_faults();
         sim.run_until(at + 300_000);
-        prop_assert!(sim.broken.is_empty(), "{:?}", sim.broken);
-        all_ended(&sim)?;
+        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        check_all_ended(&sim)?;
     }
 
     /// The checker knows nothing of the leader's charges: it counts, on the stand-in workers, replicas that were stopped by command
@@ -311,22 +291,22 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![4 => fault(), 1 => operation()]), 15..50),
     ) {
-        let mut sim = Sim::at(Site { operators: ONE, ..Site::small() }, seed);
+        let mut sim = Simulation::at(Site { operators: ONE, ..Site::small() }, seed);
         sim.disruption.limits.insert("render".into(), 1);
         for id in ["job-000001", "job-000007"] {
-            sim.submit(id, &spread_service());
+            sim.submit(id, &three_spread_replicas());
         }
         sim.run_until(20_000);
         inject(&mut sim, &Fault::Drain(0, 0));
-        let at = play(&mut sim, 20_000, &faults)?;
-        sim.mend();
+        let at = inject_in_turn(&mut sim, 20_000, &faults)?;
+        sim.end_all_faults();
         for n in 0..4 {
             inject(&mut sim, &Fault::ChangeDrain(n, 0));
         }
         sim.run_until(at + 500_000);
-        prop_assert!(sim.broken.is_empty(), "{:?}", sim.broken);
-        all_ended(&sim)?;
-        for name in (0..4).map(|n| format!("drain-{n}")).filter(|name| sim.state.keys.contains_key(&format!("drain/request/{name}"))) {
+        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        check_all_ended(&sim)?;
+        for name in (0..4).map(|n| format!("drain-{n}")).filter(|name| sim.store.keys.contains_key(&format!("drain/request/{name}"))) {
             let ended = matches!(sim.drain_phase(&name).as_str(), "done" | "cancelled" | "refused");
             prop_assert!(ended, "{name}: {:?}", sim.drain_status(&name));
         }
@@ -347,18 +327,18 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![2 => fault(), 1 => overload()]), 15..45),
     ) {
-        let mut sim = Sim::at(Site { operators: "[admission]\nbound_backlog = always\n", ..Site::small() }, seed);
-        sim.submit("job-000001", &spread_service());
-        sim.overloaded = true;
-        let at = play(&mut sim, 8000, &faults)?;
-        sim.mend();
-        sim.overloaded = false;
+        let mut sim = Simulation::at(Site { operators: "[admission]\nbound_backlog = always\n", ..Site::small() }, seed);
+        sim.submit("job-000001", &three_spread_replicas());
+        sim.controllers.overloaded = true;
+        let at = inject_in_turn(&mut sim, 8000, &faults)?;
+        sim.end_all_faults();
+        sim.controllers.overloaded = false;
         sim.run_until(at + 300_000);
-        prop_assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
         prop_assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
-        all_ended(&sim)?;
+        check_all_ended(&sim)?;
         for (id, job) in &sim.jobs {
-            prop_assert!(job.accepted || job.given_up || job.cancel_asked_at.is_some(), "{id} was lost: {}", job.told);
+            prop_assert!(job.accepted || job.given_up || job.cancel_asked_at.is_some(), "{id} was lost: {}", job.last_status);
         }
     }
 }
--- a/tests/rolling_upgrade.rs
+++ b/tests/rolling_upgrade.rs
@@ -3,76 +3,76 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{Sim, old_node};
+use support::{Simulation, old_node};
 
 const GANG: &str = "job-000001";
 
-fn submit_gang(sim: &mut Sim, id: &str) {
+fn submit_gang(sim: &mut Simulation, id: &str) {
     let fields: [(&str, Value); 3] = [("Shape", json!("group")), ("Pieces", json!(3)), ("RuntimeS", json!(6.0))];
     sim.submit(id, &fields);
 }
 
 /// A world whose third controller is of the version in production.
-fn mixed(seed: u64) -> Sim {
-    let mut sim = Sim::new(seed);
+fn one_production_controller(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(seed);
     sim.crash(2);
-    sim.start_old(2);
+    sim.start_production_version(2);
     sim
 }
 
-fn moved(sim: &Sim) -> bool {
-    sim.state.keys.contains_key("leader-2")
+fn leader_key_moved(sim: &Simulation) -> bool {
+    sim.store.keys.contains_key("leader-2")
 }
 
 /// Nothing that the version in production would lose or misread is stored.
-fn readable(sim: &Sim, story: &str) {
-    for (key, value) in &sim.state.keys {
-        assert_eq!(old_node::misread(key, &value.0), None, "{story}");
+fn assert_readable_by_production(sim: &Simulation, case: &str) {
+    for (key, value) in &sim.store.keys {
+        assert_eq!(old_node::misread(key, &value.0), None, "{case}");
     }
 }
 
-fn kept(sim: &Sim, story: &str) {
-    assert!(sim.broken.is_empty(), "{story}: {:?}", sim.broken);
+fn assert_no_rule_broken(sim: &Simulation, case: &str) {
+    assert!(sim.broken_rules.is_empty(), "{case}: {:?}", sim.broken_rules);
 }
 
 /// The leader is new, old and new again, both write the log, and gangs are sent away until the last node is new.
 #[test]
 fn leadership_goes_back_to_the_old_version_and_gangs_wait_for_the_last_node() {
     for seed in 0..6 {
-        let story = format!("seed {seed}");
-        let mut sim = mixed(seed);
+        let case = format!("seed {seed}");
+        let mut sim = one_production_controller(seed);
         submit_gang(&mut sim, GANG);
         for n in 10..22 {
             sim.submit(&format!("job-{n:06}"), &[("RuntimeS", json!(2.0))]);
             sim.run_until(sim.now + 1500);
         }
-        assert_eq!((sim.jobs[GANG].submit_status, moved(&sim)), (503, false), "{story}");
+        assert_eq!((sim.jobs[GANG].submit_status, leader_key_moved(&sim)), (503, false), "{case}");
         // Both new nodes end for a while: the old one leads, reads the log and goes on with it.
         for node in [0, 1] {
-            sim.bounce(node, 6000);
+            sim.restart(node, 6000);
         }
         sim.run_until(sim.now + 5000);
-        assert_eq!(sim.old[&2].elections, 1, "{story}: the old node leads");
-        assert_eq!(sim.old[&2].misread, Vec::<String>::new(), "{story}");
-        readable(&sim, &story);
+        assert_eq!(sim.controllers.production_version[&2].elections, 1, "{case}: the old node leads");
+        assert_eq!(sim.controllers.production_version[&2].misread, Vec::<String>::new(), "{case}");
+        assert_readable_by_production(&sim, &case);
         sim.run_until(sim.now + 4000);
-        assert!(!moved(&sim), "{story}");
-        sim.upgrade(2, 1000);
+        assert!(!leader_key_moved(&sim), "{case}");
+        sim.upgrade_controller(2, 1000);
         let back = sim.now + 1000;
-        while !moved(&sim) && sim.now < back + 20_000 {
+        while !leader_key_moved(&sim) && sim.now < back + 20_000 {
             sim.run_until(sim.now + 50);
-            if !moved(&sim) {
-                readable(&sim, &story);
+            if !leader_key_moved(&sim) {
+                assert_readable_by_production(&sim, &case);
             }
         }
-        assert!(moved(&sim) && sim.now < back + 6000, "{story}: moved after {} ms", sim.now - back);
+        assert!(leader_key_moved(&sim) && sim.now < back + 6000, "{case}: moved after {} ms", sim.now - back);
         sim.run_until(sim.now + 60_000);
-        kept(&sim, &story);
+        assert_no_rule_broken(&sim, &case);
         for (id, job) in &sim.jobs {
-            assert_eq!(job.told, "done", "{story}: {id}");
+            assert_eq!(job.last_status, "done", "{case}: {id}");
         }
         let from_old = sim.jobs.keys().filter(|id| id.as_str() >= "job-900000").count();
-        assert!(from_old >= 4, "{story}: what the old leader accepted has run as well");
+        assert!(from_old >= 4, "{case}: what the old leader accepted has run as well");
     }
 }
 
@@ -80,27 +80,27 @@
 #[test]
 fn an_old_process_that_comes_after_the_switch_never_leads() {
     for seed in 0..4 {
-        let story = format!("seed {seed}");
-        let mut sim = Sim::new(seed);
+        let case = format!("seed {seed}");
+        let mut sim = Simulation::new(seed);
         sim.run_until(8000);
-        assert!(moved(&sim), "{story}");
+        assert!(leader_key_moved(&sim), "{case}");
         submit_gang(&mut sim, GANG);
         sim.run_until(12_000);
         sim.crash(2);
-        sim.start_old(2);
-        let tombstone = sim.state.keys["leader"].clone();
+        sim.start_production_version(2);
+        let tombstone = sim.store.keys["leader"].clone();
         for _ in 0..4 {
             for node in [0, 1] {
-                sim.bounce(node, 4000);
+                sim.restart(node, 4000);
             }
             sim.run_until(sim.now + 10_000);
-            let old = &sim.old[&2];
-            assert_eq!((old.elections, old.puzzled), (0, true), "{story}");
-            assert_eq!(sim.state.keys["leader"], tombstone, "{story}");
+            let old = &sim.controllers.production_version[&2];
+            assert_eq!((old.elections, old.puzzled), (0, true), "{case}");
+            assert_eq!(sim.store.keys["leader"], tombstone, "{case}");
         }
         sim.run_until(sim.now + 60_000);
-        kept(&sim, &story);
-        assert_eq!(sim.jobs[GANG].told, "done", "{story}");
+        assert_no_rule_broken(&sim, &case);
+        assert_eq!(sim.jobs[GANG].last_status, "done", "{case}");
     }
 }
 
@@ -108,37 +108,37 @@
 /// leader afterwards, and gangs run.
 #[test]
 fn the_switch_meets_each_trouble_of_the_state_service() {
-    type Trouble = (&'static str, fn(&mut Sim));
+    type Trouble = (&'static str, fn(&mut Simulation));
     let troubles: [Trouble; 7] = [
-        ("answers lost", |sim| sim.late_writes = (100, true)),
-        ("late writes", |sim| sim.late_writes = (60, false)),
-        ("repeats", |sim| sim.repeats = (100, 20_000)),
-        ("slow", |sim| sim.state_slow = 300),
-        ("refused", |sim| sim.state.refused_nodes.extend(sim.leader())),
-        ("outage", |sim| sim.state.down = true),
+        ("answers lost", |sim| sim.faults.unanswered_writes = (100, true)),
+        ("late writes", |sim| sim.faults.unanswered_writes = (60, false)),
+        ("repeats", |sim| sim.faults.duplicate_requests = (100, 20_000)),
+        ("slow", |sim| sim.faults.store_delay_ms = 300),
+        ("refused", |sim| sim.store.refused_nodes.extend(sim.leader())),
+        ("outage", |sim| sim.store.down = true),
         ("ends", |sim| {
             let leader = sim.leader().unwrap_or(0);
-            sim.bounce(leader, 500);
+            sim.restart(leader, 500);
         }),
     ];
     for (name, begin) in troubles {
         for offset in [0, 40, 120, 260, 500, 1000, 1800, 2400] {
-            let story = format!("{name} {offset} ms after the last node's start");
-            let mut sim = mixed(offset);
+            let case = format!("{name} {offset} ms after the last node's start");
+            let mut sim = one_production_controller(offset);
             sim.run_until(6000);
-            sim.upgrade(2, 0);
+            sim.upgrade_controller(2, 0);
             sim.run_until(sim.now + offset);
             begin(&mut sim);
             sim.run_until(sim.now + 6000);
-            sim.mend();
+            sim.end_all_faults();
             sim.run_until(sim.now + 8000);
             submit_gang(&mut sim, GANG);
             sim.run_until(sim.now + 50_000);
-            kept(&sim, &story);
-            assert!(moved(&sim), "{story}");
-            assert_eq!(sim.jobs[GANG].told, "done", "{story}");
-            let leaders = sim.nodes.iter().flatten().filter(|c| c.leader().is_some()).count();
-            assert_eq!(leaders, 1, "{story}");
+            assert_no_rule_broken(&sim, &case);
+            assert!(leader_key_moved(&sim), "{case}");
+            assert_eq!(sim.jobs[GANG].last_status, "done", "{case}");
+            let leaders = sim.controllers.processes.iter().flatten().filter(|c| c.leader().is_some()).count();
+            assert_eq!(leaders, 1, "{case}");
         }
     }
 }
@@ -146,16 +146,16 @@
 /// A node that never comes up keeps the switch from being made: gangs wait, everything else goes on.
 #[test]
 fn a_node_that_never_comes_up_keeps_gangs_waiting() {
-    let mut sim = Sim::new(5);
+    let mut sim = Simulation::new(5);
     sim.crash(2);
-    sim.state.keys.remove("version/n2");
+    sim.store.keys.remove("version/n2");
     submit_gang(&mut sim, GANG);
     sim.submit("job-000002", &[("RuntimeS", json!(2.0))]);
     sim.run_until(60_000);
-    kept(&sim, "one node is away");
-    assert_eq!((sim.jobs[GANG].submit_status, moved(&sim)), (503, false));
-    assert_eq!(sim.jobs["job-000002"].told, "done");
+    assert_no_rule_broken(&sim, "one node is away");
+    assert_eq!((sim.jobs[GANG].submit_status, leader_key_moved(&sim)), (503, false));
+    assert_eq!(sim.jobs["job-000002"].last_status, "done");
     sim.start(2);
     sim.run_until(90_000);
-    assert_eq!(sim.jobs[GANG].told, "done");
+    assert_eq!(sim.jobs[GANG].last_status, "done");
 }
--- a/tests/scale_measurements.rs
+++ b/tests/scale_measurements.rs
@@ -4,43 +4,30 @@
 
 mod support;
 
-use serde_json::{Value, json};
+use serde_json::json;
 use std::time::Duration;
-use support::{Sim, Site};
+use support::jobs::{spot_array, spread_service};
+use support::{Simulation, Site};
 
 const BUDGETS: &str = "[drains]\nenabled = yes\n[budget crew/live]\nmax_unavailable = 5%\n[budget crew/render]\n\
     max_unavailable = 5%\nbatch_wait_s = 60\nevict_batch = always\n";
 
-fn service(pieces: u64, image: u64) -> Vec<(&'static str, Value)> {
-    vec![
-        ("Lane", json!("live")),
-        ("Shape", json!("standing")),
-        ("Rank", json!("prod")),
-        ("RuntimeS", json!(0)),
-        ("Pieces", json!(pieces)),
-        ("Spread", json!(true)),
-        ("Cores", json!(4.0)),
-        ("Reel", json!(format!("live-{image}"))),
-    ]
-}
-
-fn array(pieces: u64, run_s: f64) -> Vec<(&'static str, Value)> {
-    vec![("Pieces", json!(pieces)), ("Cores", json!(2.0)), ("RuntimeS", json!(run_s)), ("Loaners", json!(true))]
-}
-
 /// Services that fill nine tenths of the ordinary machines, and long arrays on the spot machines.
-fn fill(sim: &mut Sim) {
+fn fill_nine_tenths(sim: &mut Simulation) {
     let each = u64::from(sim.site.machines) * sim.site.zones.len() as u64;
     for n in 0..each * 90 / 100 {
-        sim.submit(&format!("job-{n:06}"), &service([4, 4, 8, 16][n as usize % 4], n % 6));
+        sim.submit(&format!("job-{n:06}"), &spread_service([4, 4, 8, 16][n as usize % 4], 4.0, n % 6));
     }
     for n in 0..each * 32 / 284 + 1 {
-        sim.submit(&format!("job-{:06}", 100_000 + n), &array([30, 70, 70, 400][n as usize % 4], 300.0));
+        sim.submit(
+            &format!("job-{:06}", 100_000 + n),
+            &spot_array([30, 70, 70, 400][n as usize % 4], 2.0, 300.0, "standard"),
+        );
     }
 }
 
 /// Replicas that run, and those that are wanted.
-fn replicas(sim: &Sim) -> (usize, usize) {
+fn replicas(sim: &Simulation) -> (usize, usize) {
     let services = sim.jobs.iter().filter(|(id, _)| id.as_str() < "job-100000");
     services.fold((0, 0), |(up, wanted), (id, job)| (up + sim.running(id), wanted + job.pieces() as usize))
 }
@@ -48,18 +35,18 @@
 #[test]
 #[ignore = "takes minutes"]
 fn four_thousand_machines_lose_their_leader_and_the_state_service() {
-    let mut sim = Sim::at(Site::large(), 41);
-    fill(&mut sim);
+    let mut sim = Simulation::at(Site::four_thousand_machines(), 41);
+    fill_nine_tenths(&mut sim);
     sim.run_until(140_000);
     println!("machines after 140 s: {}, replicas up and wanted {:?}", sim.workers.len(), replicas(&sim));
     assert!(sim.workers.len() >= 4000, "{} machines", sim.workers.len());
     let leader = sim.leader().expect("somebody leads");
-    sim.bounce(leader, 5000);
+    sim.restart(leader, 5000);
     let lost_at = sim.now;
-    while sim.open() || sim.now < lost_at + 500 {
+    while sim.all_machines_fenced() || sim.now < lost_at + 500 {
         sim.run_until(sim.now + 50);
     }
-    while !sim.open() {
+    while !sim.all_machines_fenced() {
         sim.run_until(sim.now + 50);
         assert!(sim.now < lost_at + 120_000, "older jobs are held back");
     }
@@ -67,11 +54,11 @@
     sim.run_until(sim.now + 20_000);
     let (before, _) = replicas(&sim);
     println!("before the outage: {before} replicas up");
-    sim.state.down = true;
+    sim.store.down = true;
     sim.run_until(sim.now + 120_000);
-    sim.state.down = false;
+    sim.store.down = false;
     let back_at = sim.now;
-    while !sim.open() {
+    while !sim.all_machines_fenced() {
         sim.run_until(sim.now + 50);
         assert!(sim.now < back_at + 120_000, "older jobs are held back");
     }
@@ -79,9 +66,9 @@
     sim.run_until(sim.now + 40_000);
     let (up, wanted) = replicas(&sim);
     println!("after it: replicas up and wanted {:?}", (up, wanted));
-    assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     assert!(up >= before, "{up} of {wanted} replicas are up, {before} before the outage");
-    println!("longest input of a node: {:?}", sim.spent.1);
+    println!("longest input of a node: {:?}", sim.controllers.processing_time.1);
 }
 
 /// Fails since it was written (docs/ROADMAP.md, "Open"): spread services fill some zones before others, and what is left in one zone is
@@ -89,27 +76,27 @@
 #[test]
 #[ignore = "takes minutes"]
 fn services_for_nine_tenths_of_the_room_find_a_place() {
-    let mut sim = Sim::at(Site::large(), 41);
-    fill(&mut sim);
+    let mut sim = Simulation::at(Site::four_thousand_machines(), 41);
+    fill_nine_tenths(&mut sim);
     sim.run_until(140_000);
     let (up, wanted) = replicas(&sim);
     assert!(up * 100 >= wanted * 99, "{up} of {wanted} replicas are up");
 }
 
 /// Processor time of the nodes' state machines over the same 40 s, with and without a drain.
-fn pair(site: Site, seed: u64) -> (Duration, Duration, u64, usize) {
+fn drain_cost(site: Site, seed: u64) -> (Duration, Duration, u64, usize) {
     let run = |drain: bool| {
-        let mut sim = Sim::at(Site { operators: BUDGETS, ..site.clone() }, seed);
-        fill(&mut sim);
+        let mut sim = Simulation::at(Site { operators: BUDGETS, ..site.clone() }, seed);
+        fill_nine_tenths(&mut sim);
         sim.run_until(110_000);
-        sim.spent = Default::default();
+        sim.controllers.processing_time = Default::default();
         if drain {
             sim.drain("all", json!({"zone": "a"}), "remove");
         }
         sim.run_until(150_000);
-        assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
         let emptied = sim.drain_status("all").map_or(0, |status| status["emptied"].as_u64().unwrap_or(0));
-        (sim.spent.0, emptied, sim.workers.len())
+        (sim.controllers.processing_time.0, emptied, sim.workers.len())
     };
     let (with, emptied, _) = run(true);
     let (without, _, machines) = run(false);
@@ -119,9 +106,9 @@
 #[test]
 #[ignore = "takes minutes"]
 fn what_a_drain_costs_a_leader() {
-    for (site, seeds) in [(Site::grown(), 1..4), (Site::large(), 1..2)] {
+    for (site, seeds) in [(Site::thousand_machines(), 1..4), (Site::four_thousand_machines(), 1..2)] {
         for seed in seeds {
-            let (with, without, emptied, machines) = pair(site.clone(), seed);
+            let (with, without, emptied, machines) = drain_cost(site.clone(), seed);
             println!(
                 "{machines} machines, seed {seed}: {:.2} s with, {:.2} s without a drain in 40 s, ratio {:.2}; {emptied} emptied",
                 with.as_secs_f64(),
--- a/tests/scenario_replay.rs
+++ b/tests/scenario_replay.rs
@@ -9,7 +9,7 @@
 use caperstile::api::UserRequest;
 use serde_json::{Value, json};
 use std::collections::HashMap;
-use support::Sim;
+use support::Simulation;
 
 fn node(name: &str) -> usize {
     name.strip_prefix('n').and_then(|n| n.parse().ok()).unwrap_or_else(|| panic!("no node {name}"))
@@ -18,7 +18,7 @@
 fn play(name: &str) {
     let path = format!("{}/tests/traces/{name}.trace", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).expect("a trace");
-    let mut sim = Sim::new(7);
+    let mut sim = Simulation::new(7);
     let mut names: HashMap<String, u64> = HashMap::new();
     let (mut steps, mut expectations) = (0, 0);
     for (number, line) in text.lines().enumerate() {
@@ -30,8 +30,8 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         let time: f64 = words[0].parse().unwrap_or_else(|_| panic!("{at}: no time"));
         sim.run_until(1000 + (time * 1000.0) as u64);
-        assert!(sim.broken.is_empty(), "{at}: {:?}", sim.broken);
-        let machine = |sim: &Sim, names: &mut HashMap<String, u64>, word: &str| -> u64 {
+        assert!(sim.broken_rules.is_empty(), "{at}: {:?}", sim.broken_rules);
+        let machine = |sim: &Simulation, names: &mut HashMap<String, u64>, word: &str| -> u64 {
             if let Some(task) = word.strip_prefix("of:") {
                 let id = sim.machine_of(task).unwrap_or_else(|| panic!("{at}: {task} runs nowhere"));
                 names.insert("it".into(), id);
@@ -51,7 +51,7 @@
                     .collect();
                 sim.submit(id, &change);
             }
-            ("repeat", [id]) => sim.repeat(id),
+            ("repeat", [id]) => sim.resubmit(id),
             ("cancel", [id]) => sim.cancel(id),
             ("crash", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
@@ -63,39 +63,39 @@
             ("start", ["all"]) => (0..3).for_each(|n| sim.start(n)),
             ("start", ["crashed"]) => sim.start(names["crashed"] as usize),
             ("start", [n]) => sim.start(node(n)),
-            ("state", ["down"]) => sim.state.down = true,
-            ("state", ["up"]) => sim.state.down = false,
+            ("state", ["down"]) => sim.store.down = true,
+            ("state", ["up"]) => sim.store.down = false,
             ("state", ["refuses", "leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.state.refused_nodes.insert(leader);
+                sim.store.refused_nodes.insert(leader);
             }
-            ("state", ["serves", "all"]) => sim.state.refused_nodes.clear(),
-            ("state", ["loses", n]) => sim.state.lost_answers = n.parse().expect("a count"),
-            ("state", ["writes", n]) => sim.state.writes_left = n.parse().ok(),
+            ("state", ["serves", "all"]) => sim.store.refused_nodes.clear(),
+            ("state", ["loses", n]) => sim.store.lost_answers = n.parse().expect("a count"),
+            ("state", ["writes", n]) => sim.store.writes_left = n.parse().ok(),
             ("cut", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.cut(m);
+                sim.cut_machine(m);
             }
             ("heal", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.heal(m);
+                sim.heal_machine(m);
             }
             ("inbound_lost", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.inbound_lost.insert(m);
+                sim.faults.inbound_lost.insert(m);
             }
             ("copies", [percent, seconds]) => {
                 let late: u64 = seconds.parse().expect("seconds");
-                sim.watch_enrolments = true;
-                sim.copies = (percent.parse().expect("a share"), late * 1000);
+                sim.rules.check_registrations = true;
+                sim.faults.duplicate_heartbeats = (percent.parse().expect("a share"), late * 1000);
             }
             ("repeats", [percent, seconds]) => {
                 let late: u64 = seconds.parse().expect("seconds");
-                sim.repeats = (percent.parse().expect("a share"), late * 1000);
+                sim.faults.duplicate_requests = (percent.parse().expect("a share"), late * 1000);
             }
             ("lose-workers", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.apart.insert(leader);
+                sim.faults.cut_from_workers.insert(leader);
                 names.insert("crashed".into(), leader as u64);
             }
             ("isolate", ["leader"]) => {
@@ -112,48 +112,48 @@
             ("cut-off-zone", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
                 let zone = support::zone_of(&sim.site, leader);
-                sim.cut_off(zone, leader);
+                sim.isolate_zone(zone, leader);
                 names.insert("isolated".into(), leader as u64);
                 names.insert("crashed".into(), leader as u64);
             }
             ("reconnect", []) => sim.reconnect(),
             ("bounce", ["leader", ms]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.bounce(leader, ms.parse().expect("milliseconds"));
+                sim.restart(leader, ms.parse().expect("milliseconds"));
             }
-            ("bounce", [n, ms]) if n.starts_with('n') => sim.bounce(node(n), ms.parse().expect("milliseconds")),
-            ("bounce", ["all", ms]) => (0..3).for_each(|n| sim.bounce(n, ms.parse().expect("milliseconds"))),
+            ("bounce", [n, ms]) if n.starts_with('n') => sim.restart(node(n), ms.parse().expect("milliseconds")),
+            ("bounce", ["all", ms]) => (0..3).for_each(|n| sim.restart(n, ms.parse().expect("milliseconds"))),
             ("blink", [m, ms]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.blink(m, ms.parse().expect("milliseconds"));
+                sim.cut_machine_for(m, ms.parse().expect("milliseconds"));
             }
-            ("probe", ["isolated"]) => sim.probe(names["isolated"] as usize),
+            ("probe", ["isolated"]) => sim.check_health(names["isolated"] as usize),
             ("ask", ["isolated", id]) => {
-                sim.slowest = 0;
-                sim.ask_at(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
+                sim.users.slowest_answer_ms = 0;
+                sim.ask_controller(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
             }
-            ("mend", []) => sim.mend(),
+            ("mend", []) => sim.end_all_faults(),
             ("hold-commands", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.hold_commands.insert(m);
+                sim.faults.commands_held.insert(m);
             }
             ("die", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.die(m);
+                sim.kill_machine(m);
             }
             ("sick", [m]) => {
                 let m = machine(&sim, &mut names, m);
                 if let Some(w) = sim.workers.get_mut(&m) {
-                    w.sick = true;
+                    w.tasks_fail = true;
                 }
             }
-            ("sick-all", []) => sim.workers.values_mut().for_each(|w| w.sick = true),
+            ("sick-all", []) => sim.workers.values_mut().for_each(|w| w.tasks_fail = true),
             ("notice", [m, seconds]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.notice(m, seconds.parse().expect("seconds"));
+                sim.send_reclaim_notice(m, seconds.parse().expect("seconds"));
             }
             ("capacity", [zone, count]) => {
-                sim.capacity.insert((zone.to_string(), false), count.parse().expect("a count"));
+                sim.cloud.capacity.insert((zone.to_string(), false), count.parse().expect("a count"));
             }
             ("expect", rest) => {
                 expectations += 1;
@@ -165,7 +165,7 @@
     assert!(steps > 3 && expectations > 1, "{name} says too little");
 }
 
-fn expect(sim: &Sim, names: &HashMap<String, u64>, at: &str, words: &[&str]) {
+fn expect(sim: &Simulation, names: &HashMap<String, u64>, at: &str, words: &[&str]) {
     match words {
         ["leader"] => assert!(sim.leader().is_some(), "{at}: nobody leads"),
         ["no", "leader"] => assert!(sim.leader().is_none(), "{at}: somebody leads"),
@@ -174,30 +174,34 @@
             assert_ne!(leader as u64, names["crashed"], "{at}");
         }
         ["leaders", n] => {
-            let leaders = sim.nodes.iter().flatten().filter(|c| c.leader().is_some()).count();
+            let leaders = sim.controllers.processes.iter().flatten().filter(|c| c.leader().is_some()).count();
             assert_eq!(leaders.to_string(), **n, "{at}");
         }
-        ["told", id, status] => assert_eq!(sim.jobs[*id].told, *status, "{at}"),
+        ["told", id, status] => assert_eq!(sim.jobs[*id].last_status, *status, "{at}"),
         ["running", id, n] => assert_eq!(sim.running(id).to_string(), **n, "{at}"),
         ["submit", id, status] => assert_eq!(sim.jobs[*id].submit_status.to_string(), **status, "{at}"),
         ["cancel", id, status] => assert_eq!(sim.jobs[*id].cancel_status.to_string(), **status, "{at}"),
-        ["starts", task, n] => assert_eq!(sim.starts.get(*task).map_or(0, Vec::len).to_string(), **n, "{at}"),
+        ["starts", task, n] => assert_eq!(sim.tasks.starts.get(*task).map_or(0, Vec::len).to_string(), **n, "{at}"),
         ["machines", n] => assert_eq!(sim.workers.len().to_string(), **n, "{at}"),
         ["gone", m] => assert!(!sim.workers.contains_key(&names[*m]), "{at}: {m} is still rented"),
         ["kept", m] => assert!(sim.workers.contains_key(&names[*m]), "{at}: {m} was returned"),
         ["moved", task] => assert_ne!(sim.machine_of(task), names.get("it").copied(), "{at}"),
         ["answers", "within", ms] => {
-            assert!(sim.slowest <= ms.parse().expect("milliseconds"), "{at}: an answer took {} ms", sim.slowest);
+            assert!(
+                sim.users.slowest_answer_ms <= ms.parse().expect("milliseconds"),
+                "{at}: an answer took {} ms",
+                sim.users.slowest_answer_ms
+            );
         }
         ["answered", id, "within", ms] => {
             let ago = sim.now - sim.jobs[*id].answered_at;
             assert!(ago <= ms.parse().expect("milliseconds"), "{at}: {id} was answered for {ago} ms ago");
         }
         ["healthy", "isolated", yes] => {
-            assert_eq!(sim.healthy[&(names["isolated"] as usize)], *yes == "yes", "{at}");
+            assert_eq!(sim.users.health_checks[&(names["isolated"] as usize)], *yes == "yes", "{at}");
         }
         ["keys", prefix, "below", n] => {
-            let keys = sim.state.keys.keys().filter(|k| k.starts_with(*prefix)).count();
+            let keys = sim.store.keys.keys().filter(|k| k.starts_with(*prefix)).count();
             assert!(keys < n.parse().expect("a count"), "{at}: {keys} keys");
         }
         _ => panic!("{at}: unknown expectation {words:?}"),
@@ -254,23 +258,23 @@
 #[test]
 fn snapshot_cut_off_at_each_step() {
     for writes in 0..24 {
-        let mut sim = Sim::new(writes);
+        let mut sim = Simulation::new(writes);
         for n in 0..12 {
             sim.run_until(1000 + n * 600);
             sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(2.0))]);
         }
         sim.run_until(12_000 + writes * 150);
-        sim.state.writes_left = Some(writes as u32);
+        sim.store.writes_left = Some(writes as u32);
         sim.run_until(22_000);
         (0..3).for_each(|n| sim.crash(n));
-        sim.state.writes_left = None;
+        sim.store.writes_left = None;
         (0..3).for_each(|n| sim.start(n));
         sim.run_until(100_000);
-        assert!(sim.broken.is_empty(), "after {writes} writes: {:?}", sim.broken);
+        assert!(sim.broken_rules.is_empty(), "after {writes} writes: {:?}", sim.broken_rules);
         for (id, job) in &sim.jobs {
-            assert_eq!(job.told, "done", "{id} after {writes} writes");
+            assert_eq!(job.last_status, "done", "{id} after {writes} writes");
         }
-        let log = sim.state.keys.keys().filter(|k| k.starts_with("log/")).count();
+        let log = sim.store.keys.keys().filter(|k| k.starts_with("log/")).count();
         assert!(log < 40, "{log} log entries are left");
     }
 }
@@ -280,18 +284,18 @@
 #[test]
 fn a_snapshot_is_not_replaced_by_a_late_repeat_of_an_earlier_one() {
     for seed in 0..6 {
-        let mut sim = Sim::new(seed);
-        sim.repeats = (100, 25_000);
+        let mut sim = Simulation::new(seed);
+        sim.faults.duplicate_requests = (100, 25_000);
         for n in 0..50 {
             sim.run_until(1000 + n * 600);
             sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(2.0))]);
         }
         sim.run_until(42_000 + seed * 500);
-        (0..3).for_each(|n| sim.bounce(n, 300));
+        (0..3).for_each(|n| sim.restart(n, 300));
         sim.run_until(90_000);
-        assert!(sim.broken.is_empty(), "{:?}", sim.broken);
+        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
         for (id, job) in &sim.jobs {
-            assert_eq!(job.told, "done", "{id}");
+            assert_eq!(job.last_status, "done", "{id}");
         }
     }
 }
@@ -300,14 +304,14 @@
 /// their order was lost, and deadlines came and patience ended too late.
 #[test]
 fn jobs_are_as_old_as_they_are_after_all_processes_were_lost() {
-    let mut sim = Sim::new(3);
-    sim.capacity.values_mut().for_each(|machines| *machines = 0);
+    let mut sim = Simulation::new(3);
+    sim.cloud.capacity.values_mut().for_each(|machines| *machines = 0);
     sim.submit("job-000001", &[]);
     sim.run_until(60_000);
-    (0..3).for_each(|n| sim.bounce(n, 500));
+    (0..3).for_each(|n| sim.restart(n, 500));
     sim.run_until(66_000);
     let leader = sim.leader().expect("somebody leads");
-    let book = sim.nodes[leader].as_ref().and_then(|c| c.leader()).expect("a term").jobs();
+    let book = sim.controllers.processes[leader].as_ref().and_then(|c| c.leader()).expect("a term").jobs();
     let age = sim.clock(leader).since(book.get("job-000001".parse().unwrap()).expect("known").submitted_at);
     assert!((63.0..66.0).contains(&age.as_secs_f64()), "{} s", age.as_secs_f64());
 }
--- a/tests/support/admission.rs
+++ b/tests/support/admission.rs
@@ -56,12 +56,12 @@
     }
 }
 
-impl Sim {
+impl Simulation {
     /// Tells a node how busy it is, once a second, while the controllers are overloaded.
-    pub(super) fn tell_load(&mut self, node: usize) {
-        if self.overloaded && self.now % 1000 < 50 {
-            self.feed(node, Input::InputDelay(QUEUEING));
-            self.feed(node, Input::Utilization(Utilization(1.0)));
+    pub(super) fn report_load(&mut self, node: usize) {
+        if self.controllers.overloaded && self.now % 1000 < 50 {
+            self.handle_input(node, Input::InputDelay(QUEUEING));
+            self.handle_input(node, Input::Utilization(Utilization(1.0)));
         }
     }
 
@@ -70,7 +70,7 @@
         self.site.operators = operators;
         for node in 0..self.site.nodes {
             let policy = settings(&self.site, node).admission;
-            self.input(node, Input::AdmissionPolicyChanged(Box::new(policy)), 1);
+            self.send_input(node, Input::AdmissionPolicyChanged(Box::new(policy)), 1);
         }
     }
 
@@ -80,12 +80,12 @@
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else { return };
         if retry_after > 30_000 {
-            self.broken.push(format!("{now} {id} is to come back after {retry_after_s} s"));
+            self.broken_rules.push(format!("{now} {id} is to come back after {retry_after_s} s"));
         }
         job.refused += 1;
         job.given_up = now + retry_after > job.submitted_at + GIVE_UP_MS;
         if !job.given_up {
-            self.after(retry_after, Event::User(id.to_string(), call));
+            self.schedule(retry_after, Event::UserRequest(id.to_string(), call));
         }
     }
 }
--- a/tests/support/drains.rs
+++ b/tests/support/drains.rs
@@ -20,13 +20,13 @@
     pub least_gap: BTreeMap<String, u64>,
 }
 
-impl Sim {
+impl Simulation {
     /// An operator writes a request on condition that it has this revision; the answer's status.
     pub fn write_request(&mut self, name: &str, request: &Value, revision: u64) -> u16 {
         let key = format!("drain/request/{name}");
         let put = StoreWrite::Put { key: key.clone(), value: request.clone(), lease: None };
         let txn = CompareAndSwap { conditions: vec![condition(&key, Revision(revision))], writes: vec![put] };
-        self.state.handle(self.now, usize::MAX, &StoreRequest::CompareAndSwap(txn)).0
+        self.store.handle(self.now, usize::MAX, &StoreRequest::CompareAndSwap(txn)).0
     }
 
     /// An operator asks for a drain of all machines that match.
@@ -43,14 +43,14 @@
 
     /// An operator lets a drain rest, go on or end.
     pub fn change_drain(&mut self, name: &str, wanted: &str) {
-        let (mut request, revision, _) = self.state.keys[&format!("drain/request/{name}")].clone();
+        let (mut request, revision, _) = self.store.keys[&format!("drain/request/{name}")].clone();
         request["wanted"] = json!(wanted);
         assert_eq!(self.write_request(name, &request, revision), 200, "{wanted} {name}");
     }
 
     /// What the leader says of a drain.
     pub fn drain_status(&self, name: &str) -> Option<Value> {
-        self.state.keys.get(&format!("drain/status/{name}")).map(|(value, ..)| value.clone())
+        self.store.keys.get(&format!("drain/status/{name}")).map(|(value, ..)| value.clone())
     }
 
     /// How far a drain is.
@@ -68,8 +68,8 @@
     }
 
     /// Machines that the leader empties, as its records say.
-    pub fn emptying(&self) -> Vec<u64> {
-        let keys = self.state.keys.keys().filter_map(|key| key.strip_prefix("drain/machine/"));
+    pub fn machines_being_emptied(&self) -> Vec<u64> {
+        let keys = self.store.keys.keys().filter_map(|key| key.strip_prefix("drain/machine/"));
         keys.filter_map(|id| id.parse::<MachineId>().ok()).map(|id| id.0).collect()
     }
 
@@ -78,7 +78,7 @@
         self.site.operators = operators;
         for node in 0..self.site.nodes {
             let policy = settings(&self.site, node).policy;
-            self.input(node, Input::DisruptionPolicyChanged(Box::new(policy)), 1);
+            self.send_input(node, Input::DisruptionPolicyChanged(Box::new(policy)), 1);
         }
     }
 
@@ -90,14 +90,14 @@
         };
         let leads = txn.conditions.iter().any(|c| c.key.starts_with("leader") && c.revision > 0);
         if txn.writes.iter().any(of_drains) && !leads {
-            self.broken.push(format!("{} a write of drains without the leader key: {txn:?}", self.now));
+            self.broken_rules.push(format!("{} a write of drains without the leader key: {txn:?}", self.now));
         }
     }
 
     /// A replica that runs is about to be stopped by command.
     pub(super) fn note_eviction(&mut self, machine: u64, task: &str) {
         let Some(job) = self.jobs.get(job_of(task)) else { return };
-        let noticed = self.workers.get(&machine).is_some_and(|w| w.notice_until.is_some());
+        let noticed = self.workers.get(&machine).is_some_and(|w| w.reclaim_at.is_some());
         if job.spec["Shape"] != "standing" || job.cancelling || noticed {
             return;
         }
@@ -114,7 +114,7 @@
         let highest = disruption.highest.entry(class.clone()).or_default();
         *highest = (*highest).max(out);
         if disruption.limits.get(&class).is_some_and(|limit| out > *limit) {
-            self.broken.push(format!("{now} disruption: {out} of {class} are out, {task} the last"));
+            self.broken_rules.push(format!("{now} disruption: {out} of {class} are out, {task} the last"));
         }
     }
 
@@ -123,14 +123,18 @@
     pub(super) fn note_return_of_machine(&mut self, machine: u64) {
         const SILENT_MS: u64 = 2500;
         // The verdict may come just as it is back.
-        let heard = |w: &&Worker| w.alive && self.now < w.renewed + SILENT_MS && self.now > w.gap_at + SILENT_MS;
+        let heard = |w: &&Worker| {
+            w.is_alive && self.now < w.lease_renewed_at + SILENT_MS && self.now > w.last_gap_at + SILENT_MS
+        };
         let Some(w) = self.workers.get(&machine).filter(heard) else { return };
-        if w.token < self.led && self.now > self.led_at + SILENT_MS {
+        if w.fencing_token < self.controllers.highest_token
+            && self.now > self.controllers.highest_token_since + SILENT_MS
+        {
             return;
         }
         let tasks: Vec<String> =
             w.tasks.values().filter(|t| t.state == TaskState::Running).map(|t| t.task.clone()).collect();
-        if self.emptying().contains(&machine) {
+        if self.machines_being_emptied().contains(&machine) {
             tasks.iter().for_each(|task| self.note_eviction(machine, task));
         }
     }
--- a/tests/support/gangs.rs
+++ b/tests/support/gangs.rs
@@ -1,7 +1,23 @@
 //! Gangs on the stand-in workers, by the operators' table of phases: tasks of one attempt wait for each other, start, save, fail and
 //! complete together.
 
-use super::{AttemptKey, Event, Sim, TaskState, job_of};
+use super::{AttemptKey, Event, Simulation, TaskState, Worker, WorkerTask, job_of};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What gangs did.
+#[derive(Debug, Default)]
+pub struct GangHistory {
+    /// Attempts at gangs, by job and number.
+    attempts: BTreeMap<(String, u64), GangAttempt>,
+    /// Saved progress of gangs in milliseconds.
+    pub saved_progress_ms: BTreeMap<String, u64>,
+    /// Attempts at gangs of which a task had its image.
+    gathered: BTreeSet<(String, u64)>,
+    /// Tasks that gave up waiting for the rest of their gang.
+    pub incomplete_tasks: u64,
+    /// Tasks of gangs that were ended while they saved.
+    pub aborted_checkpoints: u64,
+}
 
 /// One attempt at a gang.
 #[derive(Debug, Default)]
@@ -28,7 +44,7 @@
     }
 }
 
-impl Sim {
+impl Simulation {
     /// Whether a job, or a task's job, is a gang.
     pub(super) fn is_gang(&self, name: &str) -> bool {
         self.jobs.get(job_of(name)).is_some_and(|j| j.spec["Shape"] == "group")
@@ -40,7 +56,7 @@
 
     /// Machines that execute a task of an attempt in this state.
     fn members(&self, job: &str, attempt: u64, state: TaskState) -> Vec<(u64, AttemptKey)> {
-        let workers = self.workers.iter().filter(|(_, w)| w.alive && !w.hung);
+        let workers = self.workers.iter().filter(|(_, w)| w.is_alive && !w.is_hung);
         let of = |key: &AttemptKey| key.0 == attempt && job_of(&key.1) == job;
         let tasks = workers.flat_map(|(id, w)| w.tasks.iter().map(move |(key, task)| (id, key, task)));
         tasks.filter(|(_, key, t)| t.state == state && of(key)).map(|(id, key, _)| (*id, key.clone())).collect()
@@ -50,42 +66,41 @@
         let task = self.workers.get_mut(&machine).and_then(|w| w.tasks.get_mut(key));
         if let Some(t) = task.filter(|t| t.state != TaskState::Exited) {
             (t.state, t.cause, t.saved) = (TaskState::Exited, Some(cause), saved);
-            self.report_soon(machine);
+            self.send_heartbeat_soon(machine);
         }
     }
 
     /// How many attempts at a gang had a task with its image.
-    pub fn attempts(&self, job: &str) -> usize {
-        self.gathered.iter().filter(|(id, _)| id == job).count()
+    pub fn gang_attempts(&self, job: &str) -> usize {
+        self.gangs.gathered.iter().filter(|(id, _)| id == job).count()
     }
 
     /// Machines on which tasks of a gang wait for the others.
-    pub fn gathering(&self, job: &str) -> Vec<u64> {
-        let waits =
-            |(key, t): (&AttemptKey, &super::OnWorker)| t.state == TaskState::AwaitingGang && job_of(&key.1) == job;
+    pub fn machines_awaiting_gang(&self, job: &str) -> Vec<u64> {
+        let waits = |(key, t): (&AttemptKey, &WorkerTask)| t.state == TaskState::AwaitingGang && job_of(&key.1) == job;
         self.workers.iter().filter(|(_, w)| w.tasks.iter().any(waits)).map(|(id, _)| *id).collect()
     }
 
     /// How many tasks of a job save.
-    pub fn saving(&self, job: &str) -> usize {
+    pub fn checkpointing_tasks(&self, job: &str) -> usize {
         let tasks = self.workers.values().flat_map(|w| &w.tasks);
         tasks.filter(|(key, t)| t.state == TaskState::Checkpointing && job_of(&key.1) == job).count()
     }
 
     /// How many tasks of a job are on machines, those included that fetch their image.
-    pub fn on_machines(&self, job: &str) -> usize {
+    pub fn tasks_on_machines(&self, job: &str) -> usize {
         let tasks = self.workers.values().flat_map(|w| &w.tasks);
         tasks.filter(|(key, t)| t.state != TaskState::Exited && job_of(&key.1) == job).count()
     }
 
     /// A machine that holds a task of a job.
-    pub fn holder(&self, job: &str) -> Option<u64> {
-        self.holder_but(job, &[])
+    pub fn machine_holding(&self, job: &str) -> Option<u64> {
+        self.machine_holding_except(job, &[])
     }
 
     /// A machine other than these that holds a task of a job.
-    pub fn holder_but(&self, job: &str, others: &[u64]) -> Option<u64> {
-        let holds = |(key, t): (&AttemptKey, &super::OnWorker)| t.state != TaskState::Exited && job_of(&key.1) == job;
+    pub fn machine_holding_except(&self, job: &str, others: &[u64]) -> Option<u64> {
+        let holds = |(key, t): (&AttemptKey, &WorkerTask)| t.state != TaskState::Exited && job_of(&key.1) == job;
         let mut workers = self.workers.iter().filter(|(id, _)| !others.contains(id));
         workers.find(|(_, w)| w.tasks.iter().any(holds)).map(|(id, _)| *id)
     }
@@ -97,39 +112,39 @@
 
     /// A task of a gang has its image and waits for the others.
     pub(super) fn gather(&mut self, machine: u64, session: u64, key: AttemptKey) {
-        self.after(self.site.gang_wait_ms, Event::GatherTimeout(machine, session, key.clone()));
+        self.schedule(self.site.gang_wait_ms, Event::GangWaitTimeout(machine, session, key.clone()));
         let (job, attempt) = (job_of(&key.1).to_string(), key.0);
-        self.gathered.insert((job.clone(), attempt));
+        self.gangs.gathered.insert((job.clone(), attempt));
         let members = self.members(&job, attempt, TaskState::AwaitingGang);
-        self.report_soon(machine);
+        self.send_heartbeat_soon(machine);
         if (members.len() as u64) < self.jobs[&job].pieces() {
             return;
         }
-        let gang = self.gangs.entry((job.clone(), attempt)).or_default();
+        let gang = self.gangs.attempts.entry((job.clone(), attempt)).or_default();
         gang.started = Some(self.now);
-        gang.base = self.progress.get(&job).copied().unwrap_or(0);
-        let left = (self.milliseconds(&job, "RuntimeS")).saturating_sub(self.gangs[&(job.clone(), attempt)].base);
+        gang.base = self.gangs.saved_progress_ms.get(&job).copied().unwrap_or(0);
+        let left =
+            (self.milliseconds(&job, "RuntimeS")).saturating_sub(self.gangs.attempts[&(job.clone(), attempt)].base);
         for (machine, key) in members {
             let Some(w) = self.workers.get_mut(&machine) else { continue };
-            let (session, sick) = (w.session, w.sick || self.failing.contains(&job));
+            let (session, sick) = (w.epoch, w.tasks_fail || self.tasks.failing_jobs.contains(&job));
             if let Some(t) = w.tasks.get_mut(&key) {
                 t.state = TaskState::Running;
             }
             if sick {
-                self.after(200, Event::Ran(machine, session, key));
+                self.schedule(200, Event::TaskEnded(machine, session, key));
             }
-            self.report_soon(machine);
+            self.send_heartbeat_soon(machine);
         }
-        self.after(left.max(1), Event::GangDone(job, attempt));
+        self.schedule(left.max(1), Event::GangDone(job, attempt));
     }
 
     /// A task has waited for the others as long as it may.
     pub(super) fn gather_timeout(&mut self, machine: u64, session: u64, key: &AttemptKey) {
-        let waits = |w: &super::Worker| {
-            w.session == session && w.tasks.get(key).is_some_and(|t| t.state == TaskState::AwaitingGang)
-        };
+        let waits =
+            |w: &Worker| w.epoch == session && w.tasks.get(key).is_some_and(|t| t.state == TaskState::AwaitingGang);
         if self.workers.get(&machine).is_some_and(waits) {
-            self.incomplete += 1;
+            self.gangs.incomplete_tasks += 1;
             self.exit(machine, key, "incomplete", false);
         }
     }
@@ -138,27 +153,27 @@
     pub(super) fn gang_done(&mut self, job: &str, attempt: u64) {
         let members = self.members(job, attempt, TaskState::Running);
         let pieces = self.jobs[job].pieces();
-        let gang = self.gangs.entry((job.to_string(), attempt)).or_default();
+        let gang = self.gangs.attempts.entry((job.to_string(), attempt)).or_default();
         if gang.over || gang.broken.is_some() || gang.first_kill.is_some() || (members.len() as u64) < pieces {
             return;
         }
         gang.over = true;
         for (machine, key) in members {
-            self.finished.insert(key.1.clone());
+            self.tasks.finished.insert(key.1.clone());
             if let Some(w) = self.workers.get_mut(&machine) {
-                w.done.insert(key.1.clone());
+                w.finished_tasks.insert(key.1.clone());
             }
             self.exit(machine, &key, "done", false);
         }
     }
 
     /// A task of a gang is told to stop.
-    pub(super) fn kill_gang_task(&mut self, machine: u64, key: &AttemptKey, grace_s: f64) {
+    pub(super) fn stop_gang_task(&mut self, machine: u64, key: &AttemptKey, grace_s: f64) {
         let (now, job) = (self.now, job_of(&key.1).to_string());
         let state = self.workers[&machine].tasks.get(key).map(|t| t.state);
         let (save, every) = (self.milliseconds(&job, "StashS"), self.milliseconds(&job, "BookmarkS"));
         let peer_ms = self.site.gang_peer_ms;
-        let gang = self.gangs.entry((job, key.0)).or_default();
+        let gang = self.gangs.attempts.entry((job, key.0)).or_default();
         match state {
             None | Some(TaskState::Exited) => {}
             Some(TaskState::Running) => {
@@ -167,11 +182,11 @@
                 if every > 0 && grace_s * 1000.0 >= save as f64 && in_time {
                     gang.told += 1;
                     let w = self.workers.get_mut(&machine).expect("a worker");
-                    let session = w.session;
+                    let session = w.epoch;
                     if let Some(t) = w.tasks.get_mut(key) {
                         t.state = TaskState::Checkpointing;
                     }
-                    self.after(save, Event::GangSaved(machine, session, key.clone()));
+                    self.schedule(save, Event::GangTaskSaved(machine, session, key.clone()));
                 } else {
                     gang.broken.get_or_insert((now, 0));
                     self.exit(machine, key, "halted", false);
@@ -180,7 +195,7 @@
             Some(TaskState::Checkpointing) if grace_s == 0.0 => {
                 if !gang.over {
                     gang.broken.get_or_insert((now, 0));
-                    self.cut_saves += 1;
+                    self.gangs.aborted_checkpoints += 1;
                 }
                 self.exit(machine, key, "halted", false);
             }
@@ -193,36 +208,41 @@
     pub(super) fn gang_task_saved(&mut self, machine: u64, session: u64, key: &AttemptKey) {
         let Some(w) = self.workers.get(&machine) else { return };
         let saving = w.tasks.get(key).is_some_and(|t| t.state == TaskState::Checkpointing);
-        if w.session != session || !saving {
+        if w.epoch != session || !saving {
             return;
         }
         let (now, job) = (self.now, job_of(&key.1).to_string());
         let pieces = self.jobs[&job].pieces();
-        let gang = self.gangs.entry((job.clone(), key.0)).or_default();
+        let gang = self.gangs.attempts.entry((job.clone(), key.0)).or_default();
         if gang.broken.is_some() {
             return self.exit(machine, key, "peers", false);
         }
         if gang.told == pieces {
             gang.over = true;
             let progress = gang.progress(now);
-            self.progress.insert(job, progress);
+            self.gangs.saved_progress_ms.insert(job, progress);
             return self.exit(machine, key, "halted", true);
         }
         // It waits for the others.
-        self.after(100, Event::GangSaved(machine, session, key.clone()));
+        self.schedule(100, Event::GangTaskSaved(machine, session, key.clone()));
     }
 
     /// Tasks notice within some time that another one of their gang is gone, or was not told to stop with them.
     pub(super) fn check_gangs(&mut self) {
         let now = self.now;
-        let attempts: Vec<(String, u64)> =
-            self.gangs.iter().filter(|(_, g)| g.started.is_some() && !g.over).map(|(id, _)| id.clone()).collect();
+        let attempts: Vec<(String, u64)> = self
+            .gangs
+            .attempts
+            .iter()
+            .filter(|(_, g)| g.started.is_some() && !g.over)
+            .map(|(id, _)| id.clone())
+            .collect();
         for (job, attempt) in attempts {
             let running = self.members(&job, attempt, TaskState::Running);
             let saving = self.members(&job, attempt, TaskState::Checkpointing);
-            let (pieces, delay) = (self.jobs[&job].pieces(), self.chance(self.site.gang_peer_ms));
+            let (pieces, delay) = (self.jobs[&job].pieces(), self.random_below(self.site.gang_peer_ms));
             let (every, peer_ms) = (self.milliseconds(&job, "BookmarkS"), self.site.gang_peer_ms);
-            let Some(gang) = self.gangs.get_mut(&(job.clone(), attempt)) else { continue };
+            let Some(gang) = self.gangs.attempts.get_mut(&(job.clone(), attempt)) else { continue };
             let missing = (running.len() + saving.len()) < pieces as usize;
             let untold = gang.first_kill.is_some_and(|at| now > at + peer_ms) && gang.told < pieces;
             if gang.broken.is_none() && (missing || untold) {
@@ -231,7 +251,7 @@
             let Some((at, delay)) = gang.broken else { continue };
             let progress = gang.progress(at);
             let checkpoint = progress.checked_div(every).unwrap_or(0) * every;
-            let saved = self.progress.entry(job).or_insert(0);
+            let saved = self.gangs.saved_progress_ms.entry(job).or_insert(0);
             *saved = (*saved).max(checkpoint);
             if now >= at + delay {
                 for (machine, key) in running.into_iter().chain(saving) {
--- a/tests/support/old_node.rs
+++ b/tests/support/old_node.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a controller of the version in production (fab6b36), with its real formats: how it contends for the leader key, what
 //! it writes into the log, and what it does on something that it does not know. It answers no workers and no users.
 
-use super::State;
+use super::StoreStandIn;
 use caperstile::store::StoreRequest;
 use caperstile::types::{Duration, LeaseId};
 use caperstile::wire::{CompareAndSwap, KeyPage, RevisionCondition, StoreWrite};
@@ -125,62 +125,62 @@
         }
     }
 
-    pub fn tick(&mut self, now: u64, node: usize, state: &mut State) {
+    pub fn tick(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
         if now >= self.next {
             match self.token {
-                Some(_) => self.renew(now, node, state),
-                None => self.look(now, node, state),
+                Some(_) => self.renew(now, node, store),
+                None => self.look(now, node, store),
             }
         }
         if self.token.is_some() && now >= self.next_write {
             self.next_write = now + WRITE_EVERY_MS;
-            self.accept(now, node, state);
+            self.accept(now, node, store);
         }
     }
 
-    fn look(&mut self, now: u64, node: usize, state: &mut State) {
+    fn look(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
         self.next = now + LOOK_EVERY_MS;
-        let (status, body) = state.handle(now, node, &StoreRequest::Get("leader".into()));
+        let (status, body) = store.handle(now, node, &StoreRequest::Get("leader".into()));
         self.puzzled = status == 200 && serde_json::from_value::<OldHolder>(body["V"].clone()).is_err();
         let replaces = match status {
             404 => 0,
             200 if body["V"]["node"] == self.name.as_str() => body["Stamp"].as_u64().expect("a revision"),
             _ => return,
         };
-        let (status, body) = state.handle(now, node, &StoreRequest::GrantLease(Duration::from_millis(LEASE_MS)));
+        let (status, body) = store.handle(now, node, &StoreRequest::GrantLease(Duration::from_millis(LEASE_MS)));
         let Some(lease) = body["Permit"].as_u64().filter(|_| status == 200) else { return };
         let me = json!({"node": self.name, "incarnation": self.incarnation});
         let txn = CompareAndSwap {
             conditions: vec![RevisionCondition { key: "leader".into(), revision: replaces }],
             writes: vec![StoreWrite::Put { key: "leader".into(), value: me, lease: Some(lease) }],
         };
-        let (status, body) = state.handle(now, node, &StoreRequest::CompareAndSwap(txn));
+        let (status, body) = store.handle(now, node, &StoreRequest::CompareAndSwap(txn));
         if status == 200 {
             self.lease = Some(lease);
             self.token = body["Ledger"].as_u64();
             self.elections += 1;
             self.next = now + RENEW_EVERY_MS;
             self.next_write = now + WRITE_EVERY_MS;
-            self.misread.extend(state.keys.iter().filter_map(|(key, value)| misread(key, &value.0)));
+            self.misread.extend(store.keys.iter().filter_map(|(key, value)| misread(key, &value.0)));
         }
     }
 
-    fn renew(&mut self, now: u64, node: usize, state: &mut State) {
+    fn renew(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
         self.next = now + RENEW_EVERY_MS;
         let lease = LeaseId(self.lease.unwrap_or_default());
-        let (status, _) = state.handle(now, node, &StoreRequest::RenewLease(lease));
+        let (status, _) = store.handle(now, node, &StoreRequest::RenewLease(lease));
         if status == 404 {
             (self.token, self.lease) = (None, None);
         }
     }
 
     /// Accepts a job, as a leader does: the next entry of the log, on condition that it leads.
-    fn accept(&mut self, now: u64, node: usize, state: &mut State) {
+    fn accept(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
         let Some(token) = self.token else { return };
-        let page = state.handle(now, node, &StoreRequest::Scan { prefix: "log/".into(), after: None }).1;
+        let page = store.handle(now, node, &StoreRequest::Scan { prefix: "log/".into(), after: None }).1;
         let Ok(_) = serde_json::from_value::<KeyPage>(page) else { return };
-        let numbers = state.keys.keys().filter_map(|key| key.strip_prefix("log/")?.parse::<u64>().ok());
-        let manifest = state.keys.get("snap/manifest").and_then(|m| m.0["covers"].as_u64()).unwrap_or(0);
+        let numbers = store.keys.keys().filter_map(|key| key.strip_prefix("log/")?.parse::<u64>().ok());
+        let manifest = store.keys.get("snap/manifest").and_then(|m| m.0["covers"].as_u64()).unwrap_or(0);
         let next = numbers.max().unwrap_or(0).max(manifest) + 1;
         self.jobs += 1;
         let id = 900_000 + self.incarnation % 1000 * 100 + self.jobs;
@@ -194,7 +194,7 @@
             ],
             writes: vec![StoreWrite::Put { key, value: json!([job]), lease: None }],
         };
-        let (status, _) = state.handle(now, node, &StoreRequest::CompareAndSwap(txn));
+        let (status, _) = store.handle(now, node, &StoreRequest::CompareAndSwap(txn));
         match status {
             200 => self.accepted.push(id),
             409 => (self.token, self.lease) = (None, None),
--- a/tests/support/process_harness.rs
+++ b/tests/support/process_harness.rs
@@ -1,7 +1,7 @@
 //! Real processes on loopback: controllers, and stand-ins for the state service, the cloud and the workers, which record from their
 //! side what was stopped by command and does not run again yet.
 
-use super::{State, state_call};
+use super::{StoreStandIn, store_request};
 use caperstile::wire::{CommandBatch, HeartbeatResponse, ScaleOutRequest, WorkerCommand};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -53,7 +53,7 @@
 /// What the stand-ins know and record.
 #[derive(Default)]
 pub struct StandIns {
-    state: State,
+    store: StoreStandIn,
     pub loads: BTreeMap<String, JobProfile>,
     machines: BTreeMap<u64, Machine>,
     rented: u64,
@@ -102,7 +102,7 @@
 
     /// The node that holds the leader key.
     pub fn leader(&self) -> Option<usize> {
-        let held = self.state.keys.get("leader-2").or_else(|| self.state.keys.get("leader"))?;
+        let held = self.store.keys.get("leader-2").or_else(|| self.store.keys.get("leader"))?;
         held.0["node"].as_str()?.strip_prefix("kraal-")?.parse().ok()
     }
 
@@ -314,7 +314,7 @@
             files,
             operators: operators_file,
         };
-        harness.stand_ins().state.value_bytes = 8 * 1024;
+        harness.stand_ins().store.value_bytes = 8 * 1024;
         harness.serve_state(state_listener);
         harness.serve_cloud(cloud_listener);
         for node in 0..CONTROLLERS {
@@ -367,7 +367,7 @@
             let (path, query) = path.split_once('?').unwrap_or((path, ""));
             let now = begin.elapsed().as_millis() as u64;
             let mut stand_ins = stand_ins.lock().ok()?;
-            Some(stand_ins.state.handle(now, 0, &state_call(path, query, body)))
+            Some(stand_ins.store.handle(now, 0, &store_request(path, query, body)))
         });
     }
 
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -57,7 +57,7 @@
     }
 
     /// Some 1,000 machines of 32 CPUs in four zones, five controllers.
-    pub fn grown() -> Site {
+    pub fn thousand_machines() -> Site {
         Site {
             nodes: 5,
             zones: vec!["a", "b", "c", "d"],
@@ -78,7 +78,7 @@
     }
 
     /// Some 2,000 of them: half as many again as the largest deployment that is known.
-    pub fn fleet() -> Site {
+    pub fn two_thousand_machines() -> Site {
         Site {
             report_ms: 6000,
             lease_ms: 31_000,
@@ -88,17 +88,17 @@
             machines: 260,
             write_rps: 50.0,
             fd_limit: 2129,
-            ..Site::grown()
+            ..Site::thousand_machines()
         }
     }
 
     /// Some 4,000 of them.
-    pub fn large() -> Site {
-        Site { machines: 570, fd_limit: 5100, memory_mb: 200.0, value_kb: 16.0, ..Site::fleet() }
+    pub fn four_thousand_machines() -> Site {
+        Site { machines: 570, fd_limit: 5100, memory_mb: 200.0, value_kb: 16.0, ..Site::two_thousand_machines() }
     }
 
     /// Many small machines, seven controllers.
-    pub fn many_small() -> Site {
+    pub fn many_small_machines() -> Site {
         Site {
             nodes: 7,
             machines: 60,
--- a/tests/support/state.rs
+++ b/tests/support/store.rs
@@ -1,4 +1,7 @@
-//! The state service's stand-in: keys with revisions, leases, transactions and limits.
+//! The state service's stand-in: keys with revisions, leases, compare-and-swap and limits.
+//!
+//! A write is carried out whole or not at all, under the next revision; a key that is bound to a lease goes with it. Writes above the
+//! limits that the settings announce fail the test.
 
 use caperstile::store::StoreRequest;
 use caperstile::types::{Duration, LeaseId};
@@ -6,28 +9,36 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state service's stand-in.
-pub struct State {
+/// The state service's keys and leases, and the faults that it has.
+pub struct StoreStandIn {
+    /// Value, revision and lease of each key.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    pub(super) leases: BTreeMap<u64, (u64, u64)>,
-    pub(super) ledger: u64,
+    /// Milliseconds for which each lease is granted, and when it ends.
+    leases: BTreeMap<u64, (u64, u64)>,
+    /// The revision of the last write.
+    revision: u64,
+    /// It answers nothing but 503.
     pub down: bool,
+    /// Controllers that get nothing but 503.
     pub refused_nodes: BTreeSet<usize>,
     /// Answers still to be lost although the request is carried out.
     pub lost_answers: u32,
     /// Requests after which only 503 comes: cuts a snapshot off at a step.
     pub writes_left: Option<u32>,
+    /// Keys in one page of a scan.
     pub page: usize,
+    /// The largest value that may be written.
     pub value_bytes: usize,
+    /// The most writes of one transaction.
     pub txn_ops: usize,
 }
 
-impl Default for State {
-    fn default() -> State {
-        State {
+impl Default for StoreStandIn {
+    fn default() -> StoreStandIn {
+        StoreStandIn {
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
-            ledger: 0,
+            revision: 0,
             down: false,
             refused_nodes: BTreeSet::new(),
             lost_answers: 0,
@@ -40,7 +51,7 @@
 }
 
 /// What a request over HTTP asks of the state service.
-pub fn state_call(path: &str, query: &str, body: &[u8]) -> StoreRequest {
+pub fn store_request(path: &str, query: &str, body: &[u8]) -> StoreRequest {
     if path == "/txn" {
         StoreRequest::CompareAndSwap(serde_json::from_slice(body).expect("a transaction"))
     } else if path == "/leases" {
@@ -59,7 +70,13 @@
     }
 }
 
-impl State {
+impl StoreStandIn {
+    /// An empty one with these limits: keys in a page, bytes of a value.
+    pub fn with_limits(page: usize, value_bytes: usize) -> StoreStandIn {
+        StoreStandIn { page, value_bytes, ..StoreStandIn::default() }
+    }
+
+    /// Ends the leases that are over, and removes their keys.
     fn expire(&mut self, now: u64) {
         let over: Vec<u64> = self.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(id, _)| *id).collect();
         for id in over {
@@ -67,7 +84,7 @@
             let gone: Vec<String> = self.keys.iter().filter(|(_, v)| v.2 == Some(id)).map(|(k, _)| k.clone()).collect();
             for key in gone {
                 self.keys.remove(&key);
-                self.ledger += 1;
+                self.revision += 1;
             }
         }
     }
@@ -77,30 +94,35 @@
         self.down || self.refused_nodes.contains(&node)
     }
 
-    pub fn handle(&mut self, now: u64, node: usize, call: &StoreRequest) -> (u16, Value) {
+    fn get(&self, key: &str) -> (u16, Value) {
+        match self.keys.get(key) {
+            Some((value, revision, lease)) => (200, json!({"K": key, "V": value, "Stamp": revision, "Permit": lease})),
+            None => (404, json!({"Ledger": self.revision})),
+        }
+    }
+
+    fn scan(&self, prefix: &str, after: Option<&String>) -> (u16, Value) {
+        let wanted = |key: &String| key.starts_with(prefix) && after.is_none_or(|after| key > after);
+        let found: Vec<Value> = (self.keys.iter().filter(|(key, _)| wanted(key)))
+            .map(|(key, (value, revision, _))| json!({"K": key, "V": value, "Stamp": revision}))
+            .collect();
+        let more = found.len() > self.page;
+        (200, json!({"Pairs": found[..found.len().min(self.page)], "More": more, "Ledger": self.revision}))
+    }
+
+    /// Status and body of the answer to a controller, at this time in milliseconds.
+    pub fn handle(&mut self, now: u64, node: usize, request: &StoreRequest) -> (u16, Value) {
         if self.refuses(node) {
             return (503, json!({}));
         }
         self.expire(now);
-        match call {
-            StoreRequest::Get(key) => match self.keys.get(key) {
-                Some((v, stamp, lease)) => (200, json!({"K": key, "V": v, "Stamp": stamp, "Permit": lease})),
-                None => (404, json!({"Ledger": self.ledger})),
-            },
-            StoreRequest::Scan { prefix, after } => {
-                let found: Vec<Value> = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.starts_with(prefix.as_str()) && after.as_ref().is_none_or(|a| *k > a))
-                    .map(|(k, v)| json!({"K": k, "V": v.0, "Stamp": v.1}))
-                    .collect();
-                let more = found.len() > self.page;
-                (200, json!({"Pairs": found[..found.len().min(self.page)], "More": more, "Ledger": self.ledger}))
-            }
+        match request {
+            StoreRequest::Get(key) => self.get(key),
+            StoreRequest::Scan { prefix, after } => self.scan(prefix, after.as_ref()),
             StoreRequest::GrantLease(ttl) => {
-                self.ledger += 1;
-                self.leases.insert(self.ledger, (ttl.as_millis(), now + ttl.as_millis()));
-                (200, json!({"Permit": self.ledger}))
+                self.revision += 1;
+                self.leases.insert(self.revision, (ttl.as_millis(), now + ttl.as_millis()));
+                (200, json!({"Permit": self.revision}))
             }
             StoreRequest::RenewLease(lease) => match self.leases.get_mut(&lease.0) {
                 Some((ttl, end)) => {
@@ -116,19 +138,19 @@
                 self.expire(now);
                 (200, json!({}))
             }
-            StoreRequest::CompareAndSwap(txn) => self.txn(txn),
+            StoreRequest::CompareAndSwap(txn) => self.compare_and_swap(txn),
         }
     }
 
     /// Keys with their revisions, as another run left them.
     pub fn restore(&mut self, keys: impl Iterator<Item = (String, Value, u64)>) {
-        for (key, value, stamp) in keys {
-            self.ledger = self.ledger.max(stamp);
-            self.keys.insert(key, (value, stamp, None));
+        for (key, value, revision) in keys {
+            self.revision = self.revision.max(revision);
+            self.keys.insert(key, (value, revision, None));
         }
     }
 
-    fn txn(&mut self, txn: &CompareAndSwap) -> (u16, Value) {
+    fn compare_and_swap(&mut self, txn: &CompareAndSwap) -> (u16, Value) {
         if let Some(left) = &mut self.writes_left {
             if *left == 0 {
                 return (503, json!({}));
@@ -141,26 +163,26 @@
         assert!(large <= self.value_bytes, "a value of {large} bytes is larger than the settings allow");
         assert!(txn.writes.len() <= self.txn_ops, "{} changes are more than the settings allow", txn.writes.len());
         assert!(txn.conditions.len() <= 4 * self.txn_ops, "{} conditions", txn.conditions.len());
-        let stamp = |key: &str, keys: &BTreeMap<String, (Value, u64, Option<u64>)>| keys.get(key).map_or(0, |v| v.1);
+        let revision = |key: &str, keys: &BTreeMap<String, (Value, u64, Option<u64>)>| keys.get(key).map_or(0, |v| v.1);
         let failed: Vec<&String> =
-            txn.conditions.iter().filter(|c| stamp(&c.key, &self.keys) != c.revision).map(|c| &c.key).collect();
+            txn.conditions.iter().filter(|c| revision(&c.key, &self.keys) != c.revision).map(|c| &c.key).collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "Ledger": self.ledger}));
+            return (409, json!({"failed": failed, "Ledger": self.revision}));
         }
-        self.ledger += 1;
+        self.revision += 1;
         for change in &txn.writes {
             match change {
                 StoreWrite::Put { key, value, lease } => {
                     if lease.is_some_and(|l| !self.leases.contains_key(&l)) {
                         return (400, json!({"error": "no such lease"}));
                     }
-                    self.keys.insert(key.clone(), (value.clone(), self.ledger, *lease));
+                    self.keys.insert(key.clone(), (value.clone(), self.revision, *lease));
                 }
                 StoreWrite::Delete { key } => {
                     self.keys.remove(key);
                 }
             }
         }
-        (200, json!({"Ledger": self.ledger}))
+        (200, json!({"Ledger": self.revision}))
     }
 }
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,121 +1,209 @@
 //! Users of the simulation: what they submit, ask and cancel, and what they may be told.
+//!
+//! A user asks any controller that is up, once a second while the job is accepted, and repeats what was refused. What a user was told
+//! once must hold: a job is not forgotten, a terminal state is not taken back, and nothing is done or cancelled that is not.
 
 use super::*;
 
-impl Sim {
+/// Milliseconds after which a user asks again.
+const POLL_MS: u64 = 1000;
+
+/// What users do, and how they were answered.
+#[derive(Debug, Default)]
+pub struct Users {
+    /// Users ask at all controllers, and repeat what they sent, right after they were told something new.
+    pub recheck_everywhere: bool,
+    /// Cancellations and questions that were answered with 503 or 429.
+    pub refused: (u64, u64),
+    /// Slowest answer to a user since this was set to 0.
+    pub slowest_answer_ms: u64,
+    /// What the controllers answered to the last health check.
+    pub health_checks: BTreeMap<usize, bool>,
+}
+
+/// A job as its user knows it.
+pub struct UserJob {
+    pub(super) spec: Value,
+    /// The status in the last answer: a word of PROTOCOL, or the code of a refusal.
+    pub last_status: String,
+    pub accepted: bool,
+    /// When its user was first told that it has ended.
+    pub(super) over_at: Option<u64>,
+    /// When its user was first told that it is cancelled.
+    pub(super) cancelled_at: Option<u64>,
+    /// Whether its user has asked to cancel it.
+    pub(super) cancelling: bool,
+    pub cancel_status: u16,
+    pub submit_status: u16,
+    /// When a question about it was answered last.
+    pub answered_at: u64,
+    /// When the first of its tasks started.
+    pub begun: Option<u64>,
+    pub accepted_at: u64,
+    pub submitted_at: u64,
+    /// How often its submission was refused by an admission table, and whether its user has given up.
+    pub refused: u32,
+    pub given_up: bool,
+    /// When its user first asked to cancel it.
+    pub cancel_asked_at: Option<u64>,
+}
+
+impl UserJob {
+    fn submitted(spec: Value, now: u64) -> UserJob {
+        UserJob {
+            spec,
+            last_status: String::new(),
+            accepted: false,
+            over_at: None,
+            cancelled_at: None,
+            cancelling: false,
+            cancel_status: 0,
+            submit_status: 0,
+            answered_at: 0,
+            begun: None,
+            accepted_at: 0,
+            submitted_at: now,
+            refused: 0,
+            given_up: false,
+            cancel_asked_at: None,
+        }
+    }
+
+    /// How many tasks it has.
+    pub fn pieces(&self) -> u64 {
+        self.spec["Pieces"].as_u64().expect("a count")
+    }
+
+    /// Cores of each of its tasks.
+    pub(super) fn cores(&self) -> f64 {
+        self.spec["Cores"].as_f64().expect("a number")
+    }
+
+    pub(super) fn image(&self) -> &str {
+        self.spec["Reel"].as_str().unwrap_or_default()
+    }
+
+    /// How long each of its tasks runs, in milliseconds.
+    pub(super) fn run_ms(&self) -> u64 {
+        (self.spec["RuntimeS"].as_f64().unwrap_or(0.0) * 1000.0) as u64
+    }
+
+    fn submission(&self) -> UserRequest {
+        UserRequest::Submit(self.spec.to_string().into_bytes())
+    }
+}
+
+/// What users ask.
+impl Simulation {
     /// Submits a job; `change` sets fields of a two-task batch job.
     pub fn submit(&mut self, id: &str, change: &[(&str, Value)]) {
-        let spec = self.enter(id, change);
-        self.after(0, Event::User(id.to_string(), UserRequest::Submit(spec.to_string().into_bytes())));
-        self.after(1000, Event::Poll(id.to_string()));
-        if self.close_looks {
+        self.add_job(id, change);
+        let submission = self.jobs[id].submission();
+        self.schedule(0, Event::UserRequest(id.to_string(), submission));
+        self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
+        if self.users.recheck_everywhere {
             // Some ask before they were told that it is accepted: what is told then must last as well.
             for node in 0..self.site.nodes {
-                let soon = 2 + self.chance(200);
-                self.after(soon, Event::Look(node, id.to_string(), UserRequest::Get(id.to_string())));
+                let soon = 2 + self.random_below(200);
+                self.schedule(soon, Event::UserRequestAt(node, id.to_string(), UserRequest::Get(id.to_string())));
             }
         }
     }
 
     /// A job that the stand-in of an old leader has accepted; its user asks for it from now on.
-    pub(super) fn accepted_elsewhere(&mut self, id: &str) {
-        self.enter(id, &[("Pieces", json!(1)), ("Cores", json!(1.0)), ("RuntimeS", json!(2.0))]);
+    pub(super) fn accepted_by_production_version(&mut self, id: &str) {
+        self.add_job(id, &[("Pieces", json!(1)), ("Cores", json!(1.0)), ("RuntimeS", json!(2.0))]);
         if let Some(job) = self.jobs.get_mut(id) {
             (job.accepted, job.accepted_at) = (true, self.now);
         }
-        self.after(1000, Event::Poll(id.to_string()));
+        self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
     }
 
-    /// Notes a job as its user knows it, and says how it is described.
-    pub(super) fn enter(&mut self, id: &str, change: &[(&str, Value)]) -> Value {
+    /// Notes a job as its user knows it.
+    fn add_job(&mut self, id: &str, change: &[(&str, Value)]) {
         let mut spec = json!({"Ref": id, "Lane": "render", "Crew": "crew", "Shape": "batch", "Rank": "standard", "Pieces": 2,
             "Cores": 2.0, "Cards": 0.0, "MemoryGb": 4.0, "Reel": "img-1", "ImageGb": 1.0, "Together": false,
             "Spread": false, "Loaners": false, "RuntimeS": 10.0, "BookmarkS": 0.0, "StashS": 0.0});
         for (name, value) in change {
             spec[*name] = value.clone();
         }
-        let job = UserJob {
-            spec: spec.clone(),
-            told: String::new(),
-            accepted: false,
-            over_at: None,
-            cancelled_at: None,
-            cancelling: false,
-            cancel_status: 0,
-            submit_status: 0,
-            answered_at: 0,
-            begun: None,
-            accepted_at: 0,
-            submitted_at: self.now,
-            refused: 0,
-            given_up: false,
-            cancel_asked_at: None,
-        };
-        self.jobs.insert(id.to_string(), job);
-        spec
+        self.jobs.insert(id.to_string(), UserJob::submitted(spec, self.now));
     }
 
     /// Submits a known job once more, as a late retry does.
-    pub fn repeat(&mut self, id: &str) {
-        let body = self.jobs[id].spec.to_string().into_bytes();
-        self.after(0, Event::User(id.to_string(), UserRequest::Submit(body)));
+    pub fn resubmit(&mut self, id: &str) {
+        let submission = self.jobs[id].submission();
+        self.schedule(0, Event::UserRequest(id.to_string(), submission));
     }
 
+    /// Asks to cancel a job.
     pub fn cancel(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelling = true;
             job.cancel_asked_at.get_or_insert(self.now);
         }
         self.note_cancelled(id);
-        self.after(0, Event::User(id.to_string(), UserRequest::Cancel(id.to_string())));
+        self.schedule(0, Event::UserRequest(id.to_string(), UserRequest::Cancel(id.to_string())));
     }
 
-    pub(super) fn ask(&mut self, job: String, call: UserRequest) {
-        let up: Vec<usize> = (0..self.site.nodes).filter(|n| self.nodes[*n].is_some()).collect();
+    /// A user asks for the state of a job once a second, until the submission was given up.
+    pub(super) fn poll(&mut self, id: &str) {
+        let job = &self.jobs[id];
+        if job.given_up && !job.accepted {
+            return;
+        }
+        self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
+        self.check_answered(id);
+        if self.jobs[id].accepted {
+            self.ask_any_controller(id.to_string(), UserRequest::Get(id.to_string()));
+        }
+    }
+
+    /// Asks a controller that is up, or again a second later if there is none.
+    pub(super) fn ask_any_controller(&mut self, job: String, call: UserRequest) {
+        let up: Vec<usize> = (0..self.site.nodes).filter(|n| self.controllers.processes[*n].is_some()).collect();
         if up.is_empty() {
-            return self.after(1000, Event::User(job, call));
+            return self.schedule(1000, Event::UserRequest(job, call));
         }
-        let node = up[self.chance(up.len() as u64) as usize];
-        self.ask_at(node, job, call);
+        let node = up[self.random_below(up.len() as u64) as usize];
+        self.ask_controller(node, job, call);
     }
 
-    /// Asks this node.
-    pub fn ask_at(&mut self, node: usize, job: String, call: UserRequest) {
-        self.requests += 1;
-        let id = self.requests * self.count() + node as u64;
+    /// Asks this controller.
+    pub fn ask_controller(&mut self, node: usize, job: String, call: UserRequest) {
+        let id = self.next_request(node as u64);
         let asked = self.now;
-        self.askers.insert(id, Asker::User { job, call: call.clone(), asked });
-        self.input(node, Input::User(RequestOrigin::Http(id), call), 2);
+        self.requests.pending.insert(id, Requester::User { job, call: call.clone(), asked });
+        self.send_input(node, Input::User(RequestOrigin::Http(id), call), 2);
     }
 
-    pub(super) fn failed(&mut self, asker: Asker) {
-        match asker {
-            Asker::User { call: UserRequest::Get(_), .. } => {}
-            Asker::User { job, call, .. } => self.after(1000, Event::User(job, call)),
-            Asker::Worker { machine, number, .. } => self.worker_failed(machine, number),
-            Asker::Probe { node } => {
-                self.healthy.insert(node, false);
+    /// Users ask at all controllers within milliseconds, again and again, and repeat the submission; some cancel at once.
+    fn recheck_at_every_controller(&mut self, id: &str) {
+        let submission = self.jobs[id].submission();
+        for node in 0..self.site.nodes {
+            for gap in [1, 4, 15, 60] {
+                let soon = gap + self.random_below(gap);
+                self.schedule(soon, Event::UserRequestAt(node, id.to_string(), UserRequest::Get(id.to_string())));
             }
+            let soon = 1 + self.random_below(30);
+            self.schedule(soon, Event::UserRequestAt(node, id.to_string(), submission.clone()));
+        }
+        if self.jobs[id].over_at.is_none() && self.random_below(4) == 0 {
+            self.cancel(id);
         }
     }
 
-    pub(super) fn answered(&mut self, asker: Asker, answer: ApiResponse, delay: u64) {
-        match asker {
-            Asker::Worker { machine, number, session, sent } => {
-                let answer = Box::new(answer);
-                self.after(delay, Event::WorkerAnswer { machine, number, session, sent, answer });
-            }
-            Asker::User { job, call, asked } => self.user_told(&job, call, asked, &answer),
-            Asker::Probe { node } => {
-                self.healthy.insert(node, answer.status == 200);
-            }
-        }
+    fn all_finished(&self, id: &str) -> bool {
+        let tasks = self.jobs.get(id).map_or(0, |j| j.spec["Pieces"].as_u64().unwrap_or(0));
+        (0..tasks).all(|i| self.tasks.finished.contains(&format!("{id}/{i}")))
     }
+}
 
-    pub(super) fn user_told(&mut self, id: &str, call: UserRequest, asked: u64, answer: &ApiResponse) {
+/// What users are told.
+impl Simulation {
+    pub(super) fn user_answered(&mut self, id: &str, call: UserRequest, asked: u64, answer: &ApiResponse) {
         let now = self.now;
-        self.slowest = self.slowest.max(now - asked);
-        let finished = self.all_finished(id);
+        self.users.slowest_answer_ms = self.users.slowest_answer_ms.max(now - asked);
         let Some(job) = self.jobs.get_mut(id) else { return };
         if matches!(call, UserRequest::Get(_)) && matches!(answer.status, 200 | 404) {
             job.answered_at = now;
@@ -125,34 +213,52 @@
             UserRequest::Cancel(_) => job.cancel_status = answer.status,
             UserRequest::Get(_) => {}
         }
-        if matches!(answer.status, 503 | 429) {
-            self.refused.0 += u64::from(matches!(call, UserRequest::Cancel(_)));
-            self.refused.1 += u64::from(matches!(call, UserRequest::Get(_)));
-            if answer.status == 429 {
-                return self.refused_by_table(id, call, answer.retry_after);
-            }
-            if !matches!(call, UserRequest::Get(_)) {
-                self.after(1000, Event::User(id.to_string(), call));
-            }
-            return;
+        match answer.status {
+            503 | 429 => self.refused(id, call, answer),
+            404 => self.told_unknown(id, asked),
+            200 | 201 => self.told_status(id, asked, answer),
+            _ => self.told_invalid(id, answer.status),
         }
-        if answer.status == 404 {
-            if job.accepted && asked <= job.accepted_at {
-                // It was under way when another node accepted the job.
-            } else if job.accepted {
-                self.broken.push(format!("{now} forgotten: {id}"));
-            } else {
-                job.told = "404".into();
-            }
-            return;
+    }
+
+    /// A request was refused for now: it is repeated, unless it was a question, which comes again anyhow.
+    fn refused(&mut self, id: &str, call: UserRequest, answer: &ApiResponse) {
+        self.users.refused.0 += u64::from(matches!(call, UserRequest::Cancel(_)));
+        self.users.refused.1 += u64::from(matches!(call, UserRequest::Get(_)));
+        if answer.status == 429 {
+            return self.refused_by_table(id, call, answer.retry_after);
         }
-        if !matches!(answer.status, 200 | 201) {
-            if job.accepted {
-                self.broken.push(format!("{now} forgotten: {id} is answered {} on a repeat", answer.status));
-            }
-            job.told = answer.status.to_string();
-            return;
+        if !matches!(call, UserRequest::Get(_)) {
+            self.schedule(1000, Event::UserRequest(id.to_string(), call));
         }
+    }
+
+    /// The controller knows no such job.
+    fn told_unknown(&mut self, id: &str, asked: u64) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if job.accepted && asked <= job.accepted_at {
+            // It was under way when another controller accepted the job.
+        } else if job.accepted {
+            self.broken_rules.push(format!("{} forgotten: {id}", self.now));
+        } else {
+            job.last_status = "404".into();
+        }
+    }
+
+    /// The submission is refused for good.
+    fn told_invalid(&mut self, id: &str, status: u16) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        if job.accepted {
+            self.broken_rules.push(format!("{} forgotten: {id} is answered {status} on a repeat", self.now));
+        }
+        job.last_status = status.to_string();
+    }
+
+    /// The job's state: no step back from what the user was told before.
+    fn told_status(&mut self, id: &str, asked: u64, answer: &ApiResponse) {
+        let now = self.now;
+        let finished = self.all_finished(id);
+        let Some(job) = self.jobs.get_mut(id) else { return };
         let mut news = !job.accepted;
         if !std::mem::replace(&mut job.accepted, true) {
             job.accepted_at = now;
@@ -163,47 +269,26 @@
         if job.over_at.is_some_and(|at| asked <= at) {
             return;
         }
-        let over = matches!(job.told.as_str(), "done" | "aborted");
-        if over && status != job.told {
-            self.broken.push(format!("{now} went_back: {id} {} then {status}", job.told));
+        let over = matches!(job.last_status.as_str(), "done" | "aborted");
+        if over && status != job.last_status {
+            self.broken_rules.push(format!("{now} went_back: {id} {} then {status}", job.last_status));
         }
         if status == "aborted" {
             if !job.cancelling {
-                self.broken.push(format!("{now} went_back: {id} was never cancelled"));
+                self.broken_rules.push(format!("{now} went_back: {id} was never cancelled"));
             }
             job.cancelled_at.get_or_insert(now);
         }
         if status == "done" && !finished {
-            self.broken.push(format!("{now} not_done: {id}"));
+            self.broken_rules.push(format!("{now} not_done: {id}"));
         }
         if matches!(status.as_str(), "done" | "aborted") {
             news |= job.over_at.is_none();
             job.over_at.get_or_insert(now);
         }
-        job.told = status;
-        if news && self.close_looks {
-            self.look_closely(id);
+        job.last_status = status;
+        if news && self.users.recheck_everywhere {
+            self.recheck_at_every_controller(id);
         }
     }
-
-    /// Users ask at all nodes within milliseconds, again and again, and repeat the submission; some cancel at once.
-    pub(super) fn look_closely(&mut self, id: &str) {
-        let submission = UserRequest::Submit(self.jobs[id].spec.to_string().into_bytes());
-        for node in 0..self.site.nodes {
-            for gap in [1, 4, 15, 60] {
-                let soon = gap + self.chance(gap);
-                self.after(soon, Event::Look(node, id.to_string(), UserRequest::Get(id.to_string())));
-            }
-            let soon = 1 + self.chance(30);
-            self.after(soon, Event::Look(node, id.to_string(), submission.clone()));
-        }
-        if self.jobs[id].over_at.is_none() && self.chance(4) == 0 {
-            self.cancel(id);
-        }
-    }
-
-    pub(super) fn all_finished(&self, id: &str) -> bool {
-        let tasks = self.jobs.get(id).map_or(0, |j| j.spec["Pieces"].as_u64().unwrap_or(0));
-        (0..tasks).all(|i| self.finished.contains(&format!("{id}/{i}")))
-    }
 }
