--- a/tests/support/fixture.rs
+++ b/tests/support/fixture.rs
@@ -28,7 +28,7 @@
 /// The example of this name in a fixture file.
 pub fn example_of(file: &str, name: &str) -> String {
     let found = examples(file).into_iter().find(|(other, _)| other == name);
-    found.map(|(_, text)| text).unwrap_or_else(|| panic!("{file} has no example {name}"))
+    found.map_or_else(|| panic!("{file} has no example {name}"), |(_, text)| text)
 }
 
 /// Asserts that a fixture file holds exactly these examples in this order.
