--- a/src/leader.rs
+++ b/src/leader.rs
@@ -6,12 +6,12 @@
 //! | [`JobStore`] | all jobs |
 //! | [`Machine`]s | what is known of each machine and the attempts on it |
 //! | [`CloudInstances`] | machines that were rented, are being released or are gone |
-//! | [`Planning`] | the plans of all machines |
-//! | [`Fencing`] | machines of earlier leaders that may still obey them |
-//! | [`ZoneHealth`], [`WorkerReachability`] | zones and workers out of reach |
-//! | [`CommandDispatch`] | direct commands to workers |
-//! | [`PendingRequests`] | users who wait for a commit |
-//! | [`AdmissionControl`], [`DrainState`] | overload admission, drains |
+//! | `Planning` | the plans of all machines |
+//! | `Fencing` | machines of earlier leaders that may still obey them |
+//! | `ZoneHealth`, `WorkerReachability` | zones and workers out of reach |
+//! | `CommandDispatch` | direct commands to workers |
+//! | `PendingRequests` | users who wait for a commit |
+//! | [`AdmissionControl`], `DrainState` | overload admission, drains |
 
 mod admission;
 mod cloud_events;
