--- a/src/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -21,67 +21,67 @@
     Requeue,
 }
 
-impl Term {
+impl Leader {
     /// Plans a gang as a whole.
     pub(super) fn plan_gang(&mut self, now: Timestamp, entry: Entry) {
         let Some(job) = self.jobs.get(entry.job) else { return };
-        let tasks = job.record.tasks;
+        let tasks = job.spec.task_count;
         // Part of it may have lost its machine since it was planned.
-        self.plans.remove_job(entry.job);
-        let mut plans = std::mem::take(&mut self.plans);
+        self.planning.plans.remove_job(entry.job);
+        let mut plans = std::mem::take(&mut self.planning.plans);
         plans.place_gang(now, entry, tasks, &self.parts());
-        self.plans = plans;
+        self.planning.plans = plans;
     }
 
     /// Takes gangs that wait out of the plan, so that they are placed anew by what is known now.
     pub(super) fn unplan_gangs(&mut self) {
         let waiting: Vec<JobId> =
-            self.jobs.gangs().filter(|j| self.plans.planned(j.record.id) > 0).map(|j| j.record.id).collect();
+            self.jobs.gangs().filter(|j| self.planning.plans.planned(j.spec.id) > 0).map(|j| j.spec.id).collect();
         for job in waiting {
-            self.plans.remove_job(job);
+            self.planning.plans.remove_job(job);
         }
     }
 
     /// Whether all tasks of a gang have room now where they are planned.
     pub(super) fn gang_may_start(&self, job: &Job, now: Timestamp, used: &HashMap<String, Resources>) -> bool {
-        let tasks = job.record.tasks;
-        if self.plans.planned(job.record.id) != tasks
+        let tasks = job.spec.task_count;
+        if self.planning.plans.planned(job.spec.id) != tasks
             || !self.startable(job, now)
             || !self.within_limit(used, job, u64::from(tasks))
         {
             return false;
         }
         let parts = self.parts();
-        self.plans.planned_at(job.record.id).into_iter().all(|(id, count)| {
-            let Some(machine) = self.machines.get(&id).filter(|m| m.usable()) else { return false };
+        self.planning.plans.planned_at(job.spec.id).into_iter().all(|(id, count)| {
+            let Some(machine) = self.machines.get(&id).filter(|m| m.accepts_tasks()) else { return false };
             parts.allowed(job, id)
-                && !machine.knows_job(job.record.id)
-                && job.record.need.copies_in(&machine.free()) >= u64::from(count)
+                && !machine.holds_job(job.spec.id)
+                && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(count)
         })
     }
 
     /// Starts all tasks of a gang where they are planned, under one attempt.
     pub(super) fn start_gang(&mut self, now: Timestamp, id: JobId, used: &mut HashMap<String, Resources>) {
-        let slots = self.plans.planned_at(id);
+        let slots = self.planning.plans.planned_at(id);
         let Some(job) = self.jobs.get(id) else { return };
         let profile = self.parts().profile_of(job);
-        let predicted = |machine: &MachineId| self.plans.server(*machine).and_then(|s| profile.predict(s));
+        let predicted = |machine: &MachineId| self.planning.plans.server(*machine).and_then(|s| profile.predict(s));
         // It runs at the speed of its slowest machine.
         let predicted = slots.iter().filter_map(|(machine, _)| predicted(machine)).max();
         let machines: Vec<MachineId> =
             slots.iter().flat_map(|(machine, count)| (0..*count).map(move |_| *machine)).collect();
         let cached = |(machine, _): &&(MachineId, u32)| {
-            self.machines.get(machine).is_some_and(|m| m.images.contains(&job.record.image))
+            self.machines.get(machine).is_some_and(|m| m.images.contains(&job.spec.image))
         };
         debug!(
             "gang starts {id} waited={}s machines={} cached={}",
-            now.since(job.submitted).as_secs_f64(),
+            now.since(job.submitted_at).as_secs_f64(),
             slots.len(),
             slots.iter().filter(cached).count()
         );
-        let (promoted, rank) = (job.promoted(), job.record.rank);
+        let (promoted, rank) = (job.is_promoted(), job.spec.priority);
         let attempt = self.next_attempt();
-        self.plans.remove_job(id);
+        self.planning.plans.remove_job(id);
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
             gang.start(now, attempt, machines.iter().copied());
         }
@@ -95,30 +95,30 @@
     }
 
     /// Stops lower tasks where a gang is planned that would have to wait for room, if that makes room for all of it.
-    pub(super) fn make_room_for_gangs(&mut self, now: Timestamp) {
+    pub(super) fn preempt_for_gangs(&mut self, now: Timestamp) {
         let mut stops = Vec::new();
         // What is left on each machine after the gangs that are ahead.
         let mut rooms: BTreeMap<MachineId, PressedMachine> = BTreeMap::new();
-        let waiting: Vec<JobId> = self.plans.waiting().map(|(_, job, _)| job).collect();
+        let waiting: Vec<JobId> = self.planning.plans.waiting().map(|(_, job, _)| job).collect();
         let gangs = waiting.into_iter().filter_map(|id| self.jobs.get(id)).filter(|job| job.gang.is_some());
         for job in gangs.filter(|job| self.startable(job, now)) {
-            let id = job.record.id;
-            if self.plans.planned(id) != job.record.tasks {
+            let id = job.spec.id;
+            if self.planning.plans.planned(id) != job.spec.task_count {
                 continue;
             }
             let mut trial = Vec::new();
             let mut complete = true;
-            for (machine, count) in self.plans.planned_at(id) {
-                let Some(m) = self.machines.get(&machine).filter(|m| m.usable()) else {
+            for (machine, count) in self.planning.plans.planned_at(id) {
+                let Some(m) = self.machines.get(&machine).filter(|m| m.accepts_tasks()) else {
                     complete = false;
                     break;
                 };
                 let mut pressed = rooms
                     .get(&machine)
                     .cloned()
-                    .unwrap_or_else(|| PressedMachine::new(m, self.victims(m, now, job.record.rank)));
-                pressed.spare(job.record.rank);
-                let stopped = pressed.make_room(&job.record.need, count);
+                    .unwrap_or_else(|| PressedMachine::new(m, self.victims(m, now, job.spec.priority)));
+                pressed.spare(job.spec.priority);
+                let stopped = pressed.make_room(&job.spec.resources, count);
                 complete &= stopped.is_some();
                 trial.push((machine, pressed, stopped.unwrap_or_default()));
             }
@@ -134,12 +134,12 @@
     }
 
     /// Does for each gang what its state asks for.
-    pub(super) fn tend_gangs(&mut self, now: Timestamp) {
+    pub(super) fn update_gangs(&mut self, now: Timestamp) {
         let gather_limit = self.settings.deployment.workers.gang_wait().mul_f64(GATHER_SHARE);
         let acts: Vec<(JobId, Act)> = self
             .jobs
             .gangs()
-            .map(|job| (job.record.id, self.gang_act(job, now, gather_limit)))
+            .map(|job| (job.spec.id, self.gang_act(job, now, gather_limit)))
             .filter(|(_, act)| *act != Act::Nothing)
             .collect();
         for (id, act) in acts {
@@ -154,30 +154,30 @@
 
     fn gang_act(&self, job: &Job, now: Timestamp, gather_limit: Duration) -> Act {
         let Some(gang) = &job.gang else { return Act::Nothing };
-        if job.cancelling || job.done.len() == job.record.tasks {
+        if job.cancelling || job.finished.len() == job.spec.task_count {
             return Act::Nothing;
         }
         // Tasks on machines of an earlier leader may still be shown.
-        let known = self.open() || job.ours;
-        let complete = job.placed.len() as u32 == job.record.tasks;
+        let known = self.all_machines_fenced() || job.accepted_by_this_leader;
+        let complete = job.placements.len() as u32 == job.spec.task_count;
         match gang.phase {
-            gang::Phase::Queued => Act::Nothing,
-            _ if job.placed.is_empty() => {
+            gang::GangPhase::Queued => Act::Nothing,
+            _ if job.placements.is_empty() => {
                 if known {
                     Act::Requeue
                 } else {
                     Act::Nothing
                 }
             }
-            gang::Phase::Stopping { .. } => Act::Stop,
-            gang::Phase::Running => {
+            gang::GangPhase::Stopping { .. } => Act::Stop,
+            gang::GangPhase::Running => {
                 if complete || !known {
                     Act::Nothing
                 } else {
                     Act::Stop
                 }
             }
-            gang::Phase::Gathering { since } => {
+            gang::GangPhase::AwaitingMembers { since } => {
                 let overdue = gang.missing_since.is_some_and(|at| now.since(at) >= REPLACE_WITHIN);
                 if now.since(since) >= gather_limit || (overdue && known) {
                     Act::Stop
@@ -204,13 +204,15 @@
         }
         let task = TaskId { job: id, index };
         let overdue = self.settings.deployment.workers.overdue();
-        let fits =
-            |m: &&Machine| m.usable() && m.in_reach(now, overdue) && !m.knows(task) && self.may_be_placed(job, m);
-        let image = &job.record.image;
-        let best = self.machines.values().filter(fits).min_by_key(|m| (!m.images.contains(image), m.free().cpus));
+        let fits = |m: &&Machine| {
+            m.accepts_tasks() && m.reached_within(now, overdue) && !m.holds_task(task) && self.may_be_placed(job, m)
+        };
+        let image = &job.spec.image;
+        let best =
+            self.machines.values().filter(fits).min_by_key(|m| (!m.images.contains(image), m.free_resources().cpus));
         let Some(machine) = best.map(Machine::id) else { return };
         info!("replacing {task} attempt={attempt} machine={machine}");
-        let predicted = Some(self.correction.predict(job.record.estimate));
+        let predicted = Some(self.planning.correction.predict(job.spec.estimated_duration));
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
             gang.former.insert(machine);
         }
@@ -222,12 +224,12 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(gang) = &mut job.gang else { return };
         gang.stop(grace);
-        let gang::Phase::Stopping { grace } = gang.phase else { return };
-        let placed: Vec<intake::Placed> = job.placed.values().copied().collect();
+        let gang::GangPhase::Stopping { grace } = gang.phase else { return };
+        let placed: Vec<jobs::Placement> = job.placements.values().copied().collect();
         for placed in placed {
-            let hold = self.machines.get(&placed.machine).and_then(|m| m.holds.get(&placed.key));
-            if hold.is_some_and(|hold| hold.stop.is_none()) {
-                self.stop(placed.machine, placed.key, grace.as_secs_f64());
+            let hold = self.machines.get(&placed.machine).and_then(|m| m.attempts.get(&placed.attempt));
+            if hold.is_some_and(|hold| hold.stop_grace_s.is_none()) {
+                self.stop(placed.machine, placed.attempt, grace.as_secs_f64());
             }
         }
     }
@@ -238,10 +240,10 @@
         if let Some(gang) = &mut job.gang {
             gang.emptied();
         }
-        let tasks = job.record.tasks;
+        let tasks = job.spec.task_count;
         for index in 0..tasks {
-            self.jobs.waits_again(TaskId { job: id, index });
+            self.jobs.return_to_pending(TaskId { job: id, index });
         }
-        self.dirty = true;
+        self.planning.replan_needed = true;
     }
 }
--- a/src/scheduling/room.rs
+++ b/src/leader/scheduling/room.rs
@@ -15,9 +15,9 @@
 
 /// Room of a machine once everything that was told to stop is gone.
 fn room_soon(machine: &Machine) -> Resources {
-    let mut free = machine.free();
-    for hold in machine.holds.values().filter(|h| h.occupies() && h.stop.is_some()) {
-        free.add(&hold.need);
+    let mut free = machine.free_resources();
+    for hold in machine.attempts.values().filter(|h| h.occupies_resources() && h.stop_grace_s.is_some()) {
+        free.add(&hold.resources);
     }
     free
 }
@@ -67,17 +67,17 @@
     }
 }
 
-impl Term {
+impl Leader {
     /// Stops tasks of lower priority where services are planned that would have to wait for room.
     ///
     /// The plan counts such room as free for services, so they are planned where it can be made; those
     /// that lose least work go first.
-    pub(super) fn make_room(&mut self, now: Timestamp) {
+    pub(super) fn preempt_for_services(&mut self, now: Timestamp) {
         let mut stops: Vec<(MachineId, AttemptId, JobId)> = Vec::new();
         let pressed: BTreeSet<MachineId> =
-            self.plans.waiting().take_while(|(order, ..)| order.rank == 0).flat_map(|(.., at)| at).collect();
-        for server in pressed.iter().filter_map(|id| self.plans.server(*id)) {
-            let Some(machine) = self.machines.get(&server.id).filter(|m| m.usable()) else { continue };
+            self.planning.plans.waiting().take_while(|(order, ..)| order.rank == 0).flat_map(|(.., at)| at).collect();
+        for server in pressed.iter().filter_map(|id| self.planning.plans.server(*id)) {
+            let Some(machine) = self.machines.get(&server.id).filter(|m| m.accepts_tasks()) else { continue };
             let mut pressed: Option<PressedMachine> = None;
             for entry in server.queue.iter().filter(|e| e.endless && e.order.rank == 0) {
                 if !self.jobs.get(entry.job).is_some_and(|job| self.startable(job, now)) {
@@ -105,14 +105,14 @@
     /// What may be stopped on this machine for a job of this rank, with the work it would lose, least first.
     pub(super) fn victims(&self, machine: &Machine, now: Timestamp, rank: u8) -> Vec<Victim> {
         let mut victims: Vec<Victim> = machine
-            .holds
+            .attempts
             .iter()
             .filter(|(_, h)| pushable(h, rank))
             .map(|(key, h)| {
                 let ran = h.running_since.map_or(Duration::ZERO, |r| now.since(r));
-                let every = self.jobs.get(h.task.job).map_or(0, |j| j.record.checkpoint.as_millis());
+                let every = self.jobs.get(h.task.job).map_or(0, |j| j.spec.checkpoint_interval.as_millis());
                 let lost = if every > 0 { Duration::from_millis(ran.as_millis() % every) } else { ran };
-                Victim { key: *key, need: h.need, rank: h.rank, lost }
+                Victim { key: *key, need: h.resources, rank: h.priority, lost }
             })
             .collect();
         victims.sort_unstable_by_key(|v| v.lost);
@@ -120,27 +120,31 @@
     }
 
     /// Saves what can be saved on machines that the cloud takes back.
-    pub(super) fn drain_noticed(&mut self, now: Timestamp) {
+    pub(super) fn drain_reclaimed_machines(&mut self, now: Timestamp) {
         let slack = Duration::from_secs_f64(self.settings.deployment.workers.report_s * 0.5 + 1.0);
         let mut stops = Vec::new();
         let mut gangs = Vec::new();
-        self.noticed.retain(|id| self.machines.contains_key(id));
-        for machine in self.noticed.iter().filter_map(|id| self.machines.get(id)) {
-            let Some(until) = machine.notice else { continue };
+        self.reclaimed_machines.retain(|id| self.machines.contains_key(id));
+        for machine in self.reclaimed_machines.iter().filter_map(|id| self.machines.get(id)) {
+            let Some(until) = machine.reclaim_at else { continue };
             let left = until.since(now);
-            for (key, hold) in machine.holds.iter().filter(|(_, h)| h.claimed && h.occupies() && h.stop.is_none()) {
+            for (key, hold) in machine
+                .attempts
+                .iter()
+                .filter(|(_, h)| h.assigned && h.occupies_resources() && h.stop_grace_s.is_none())
+            {
                 let Some(job) = self.jobs.get(hold.task.job) else { continue };
                 let ends = release(hold, now).unwrap_or(Timestamp::NEVER);
                 if ends < until {
                     continue;
                 }
-                let save = job.record.save;
-                let grace = if job.record.checkpoint.as_millis() == 0 { Duration::ZERO } else { save };
+                let save = job.spec.checkpoint_duration;
+                let grace = if job.spec.checkpoint_interval.as_millis() == 0 { Duration::ZERO } else { save };
                 if grace.as_millis() > 0 && left > save + slack + Duration::from_millis(500) {
                     continue;
                 }
                 match job.gang {
-                    Some(_) => gangs.push((job.record.id, grace)),
+                    Some(_) => gangs.push((job.spec.id, grace)),
                     None => stops.push((machine.id(), *key, grace)),
                 }
             }
@@ -155,9 +159,9 @@
 
     /// Orders an attempt to stop and sees to it that the machine is told.
     pub(crate) fn stop(&mut self, id: MachineId, key: AttemptId, grace_s: f64) {
-        if self.machines.get_mut(&id).is_some_and(|m| m.stop(key, grace_s)) {
-            self.wanting.insert(id);
-            self.changed.insert(id);
+        if self.machines.get_mut(&id).is_some_and(|m| m.request_stop(key, grace_s)) {
+            self.command_dispatch.waiting.insert(id);
+            self.planning.changed_machines.insert(id);
         }
     }
 }
--- a/src/scheduling/starts.rs
+++ b/src/leader/scheduling/starts.rs
@@ -3,7 +3,7 @@
 use super::*;
 use caperstile_admission::Pair;
 
-impl Term {
+impl Leader {
     /// Whether a task of this job may start on this machine at this moment.
     pub(super) fn may_start(
         &self,
@@ -13,7 +13,7 @@
         used: &HashMap<String, Resources>,
     ) -> bool {
         let startable = job.gang.is_none() && self.startable(job, now);
-        machine.usable()
+        machine.accepts_tasks()
             && startable
             && self.within_limit(used, job, 1)
             && self.may_be_placed(job, machine)
@@ -22,25 +22,25 @@
 
     /// Whether the machine's room without what is kept ahead is enough for a task of this job, if it must leave that.
     fn leaves_kept_room(&self, job: &Job, machine: &Machine) -> bool {
-        let Some(kept) = self.headroom.get(&machine.id()) else { return true };
-        let mut room = machine.free();
+        let Some(kept) = self.planning.headroom.get(&machine.id()) else { return true };
+        let mut room = machine.free_resources();
         room.saturating_sub(kept);
-        job.record.need.fits(&room) || takes_kept_room(job, &self.prompt_classes)
+        job.spec.resources.fits(&room) || takes_kept_room(job, &self.planning.latency_sensitive_classes)
     }
 
     /// Whether one more task of this job may be on this machine, given its room and the job's other tasks.
     pub(super) fn may_be_placed(&self, job: &Job, machine: &Machine) -> bool {
         let parts = self.parts();
-        if !parts.allowed(job, machine.id()) || !job.record.need.fits(&machine.free()) {
+        if !parts.allowed(job, machine.id()) || !job.spec.resources.fits(&machine.free_resources()) {
             return false;
         }
-        if job.record.spread || job.record.together {
-            let Some(zone) = self.names.zone(&machine.record.zone) else { return false };
+        if job.spec.spread_over_zones || job.spec.colocate_in_zone {
+            let Some(zone) = self.planning.names.zone(&machine.record.zone) else { return false };
             let zones = parts.by_zone(job);
-            if job.record.together && zones.keys().any(|z| *z != zone) {
+            if job.spec.colocate_in_zone && zones.keys().any(|z| *z != zone) {
                 return false;
             }
-            return zones.get(&zone).copied().unwrap_or(0) < job.record.zone_cap();
+            return zones.get(&zone).copied().unwrap_or(0) < job.spec.max_tasks_per_zone();
         }
         true
     }
@@ -50,26 +50,26 @@
         for id in ids.iter().copied() {
             let mut at = 0;
             let mut kept = Reservation::default();
-            while let Some(entry) = self.plans.server(id).and_then(|s| s.queue.get(at)).copied() {
+            while let Some(entry) = self.planning.plans.server(id).and_then(|s| s.queue.get(at)).copied() {
                 let (Some(machine), Some(job)) = (self.machines.get(&id), self.jobs.get(entry.job)) else { break };
-                if !machine.usable() {
+                if !machine.accepts_tasks() {
                     break;
                 }
                 if entry.gang {
                     if self.gang_may_start(job, now, used) {
                         self.start_gang(now, entry.job, used);
                     } else {
-                        kept.add(&entry, self.plans.common_start(entry.job, now));
+                        kept.add(&entry, self.planning.plans.common_start(entry.job, now));
                         at += 1;
                     }
                     continue;
                 }
-                if !kept.leaves_room(&entry, &machine.free(), now) {
+                if !kept.leaves_room(&entry, &machine.free_resources(), now) {
                     at += 1;
                 } else if self.may_start(job, machine, now, used) {
-                    self.plans.take(id, at);
+                    self.planning.plans.take(id, at);
                     self.start_task(now, id, entry, used);
-                } else if entry.need.fits(&machine.free()) || entry.endless {
+                } else if entry.need.fits(&machine.free_resources()) || entry.endless {
                     // Held back by something else than room, or behind room that endless tasks keep.
                     at += 1;
                 } else {
@@ -89,12 +89,12 @@
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.get(entry.job) else { return };
         let Some(machine) = self.machines.get(&id) else { return };
-        let known = |index: &u32| machine.knows(TaskId { job: entry.job, index: *index });
+        let known = |index: &u32| machine.holds_task(TaskId { job: entry.job, index: *index });
         let Some(index) = job.pending.iter().take(64).find(|index| !known(index)) else { return };
         let key = AttemptId { attempt, task: TaskId { job: entry.job, index } };
         self.start_attempt(now, id, key, (!entry.endless).then_some(entry.run), used);
         let Some(job) = self.jobs.get(entry.job) else { return };
-        let (promoted, rank) = (job.promoted(), job.record.rank);
+        let (promoted, rank) = (job.is_promoted(), job.spec.priority);
         if promoted {
             self.jobs.promote(entry.job, rank);
         }
@@ -112,53 +112,53 @@
         let Some(job) = self.jobs.get_mut(key.task.job) else { return };
         let Some(machine) = self.machines.get_mut(&id) else { return };
         job.pending.remove(key.task.index);
-        job.placed.insert(key.task.index, intake::Placed { machine: id, key, running: false });
+        job.placements.insert(key.task.index, jobs::Placement { machine: id, attempt: key, running: false });
         debug!("start {key} machine={id} predicted={:?}s", predicted.map(Duration::as_secs_f64));
-        self.admission.started(&Pair::new(&job.record.team, &job.record.class));
-        used.entry(job.record.team.clone()).or_default().add(&job.record.need);
+        self.admission.started(&Pair::new(&job.spec.team, &job.spec.class));
+        used.entry(job.spec.team.clone()).or_default().add(&job.spec.resources);
         machine.idle_since = None;
-        machine.holds.insert(
+        machine.attempts.insert(
             key,
-            Hold {
+            TaskAttempt {
                 task: key.task,
-                phase: Phase::Ordered,
-                seen: false,
-                doubt: Doubt::None,
-                stop: None,
+                phase: AttemptPhase::StartRequested,
+                acknowledged: false,
+                start_uncertainty: StartUncertainty::None,
+                stop_grace_s: None,
                 start_sent: false,
                 stop_sent: false,
-                direct: false,
-                ended: now,
-                reapable: false,
-                claimed: true,
-                need: job.record.need,
-                rank: job.record.rank,
-                image: job.record.image.clone(),
-                since: now,
+                started_directly: false,
+                ended_at: now,
+                forgettable: false,
+                assigned: true,
+                resources: job.spec.resources,
+                priority: job.spec.priority,
+                image: job.spec.image.clone(),
+                requested_at: now,
                 running_since: None,
-                predicted,
-                gang: job.gang.is_some(),
+                predicted_duration: predicted,
+                in_gang: job.gang.is_some(),
             },
         );
-        self.plans.set_free(id, machine.free());
-        self.wanting.insert(id);
-        self.changed.insert(id);
-        self.dirty = true;
+        self.planning.plans.set_free(id, machine.free_resources());
+        self.command_dispatch.waiting.insert(id);
+        self.planning.changed_machines.insert(id);
+        self.planning.replan_needed = true;
     }
 
     /// Machines with nothing planned take the highest-priority fitting task from other plans.
     pub(super) fn steal(&mut self, now: Timestamp, ids: &[MachineId], used: &mut HashMap<String, Resources>) {
         for id in ids.iter().copied() {
             for _ in 0..64 {
-                if self.plans.waiting().next().is_none() {
+                if self.planning.plans.waiting().next().is_none() {
                     return;
                 }
-                let Some(machine) = self.machines.get(&id).filter(|m| m.usable()) else { break };
-                let free = machine.free();
-                if free.cpus == 0 || self.plans.server(id).is_none_or(|s| !s.queue.is_empty()) {
+                let Some(machine) = self.machines.get(&id).filter(|m| m.accepts_tasks()) else { break };
+                let free = machine.free_resources();
+                if free.cpus == 0 || self.planning.plans.server(id).is_none_or(|s| !s.queue.is_empty()) {
                     break;
                 }
-                let mut plans = std::mem::take(&mut self.plans);
+                let mut plans = std::mem::take(&mut self.planning.plans);
                 plans.set_free(id, free);
                 let parts = self.parts();
                 let taken = plans.steal(id, &|entry, me| {
@@ -168,9 +168,9 @@
                     }
                     parts.profile_of(job).predict(me)
                 });
-                self.plans = plans;
+                self.planning.plans = plans;
                 let Some(entry) = taken else { break };
-                self.plans.clear_queue(id);
+                self.planning.plans.clear_queue(id);
                 self.start_task(now, id, entry, used);
             }
         }
--- a/src/scheduling/view.rs
+++ b/src/leader/scheduling/view.rs
@@ -4,9 +4,9 @@
 
 /// The parts of a term that planning reads, borrowed beside the plan itself.
 pub(crate) struct View<'a> {
-    pub(super) jobs: &'a intake::JobStore,
+    pub(super) jobs: &'a jobs::JobStore,
     pub(super) machines: &'a BTreeMap<MachineId, Machine>,
-    pub(super) inventory: &'a inventory::Inventory,
+    pub(super) inventory: &'a cloud::CloudInstances,
     pub(super) correction: crate::plan::Correction,
     pub(super) names: &'a Names,
 }
@@ -15,13 +15,13 @@
     /// Whether the job's description allows its tasks on this machine.
     pub(crate) fn allowed(&self, job: &Job, id: MachineId) -> bool {
         let Some(m) = self.machines.get(&id) else { return false };
-        job.record.allows(&m.record.kind, &m.record.zone, m.record.spot) && !job.failed_on.contains(&id)
+        job.spec.allows(&m.record.machine_type, &m.record.zone, m.record.spot) && !job.failed_on.contains(&id)
     }
 
     /// How many of a job's tasks are, or may be, in each zone.
     pub(crate) fn by_zone(&self, job: &Job) -> BTreeMap<usize, u32> {
         let mut zones = BTreeMap::new();
-        for placed in job.placed.values() {
+        for placed in job.placements.values() {
             if let Some(zone) = self.machines.get(&placed.machine).and_then(|m| self.names.zone(&m.record.zone)) {
                 *zones.entry(zone).or_insert(0) += 1;
             }
@@ -33,18 +33,18 @@
     pub(crate) fn profile_of(&self, job: &Job) -> Profile {
         let mut avoid = job.failed_on.clone();
         if let Some(gang) = &job.gang {
-            let knows = |id: &&MachineId| self.machines.get(id).is_some_and(|m| m.knows_job(job.record.id));
+            let knows = |id: &&MachineId| self.machines.get(id).is_some_and(|m| m.holds_job(job.spec.id));
             avoid.extend(gang.former.iter().filter(knows));
         }
-        self.profile_for(&job.record, avoid)
+        self.profile_for(&job.spec, avoid)
     }
 
     /// The same for any job like this one.
-    pub(crate) fn profile_for(&self, record: &intake::JobRecord, avoid: Vec<MachineId>) -> Profile {
+    pub(crate) fn profile_for(&self, record: &jobs::JobSpec, avoid: Vec<MachineId>) -> Profile {
         let kinds = self.names.kinds.iter().map(|kind| {
-            let flavor = self.inventory.flavor(kind)?;
-            let named = record.types.as_ref().is_none_or(|types| types.contains(kind));
-            if !named || !record.need.fits(&intake::capacity(flavor)) {
+            let flavor = self.inventory.machine_type(kind)?;
+            let named = record.machine_types.as_ref().is_none_or(|types| types.contains(kind));
+            if !named || !record.resources.fits(&jobs::capacity(flavor)) {
                 return None;
             }
             let fetch = if flavor.fetch_gb_per_s > 0.0 {
@@ -52,13 +52,13 @@
             } else {
                 Duration::ZERO
             };
-            let estimate = record.estimate;
+            let estimate = record.estimated_duration;
             Some((self.correction.predict(estimate), self.correction.predict(estimate + fetch)))
         });
         Profile {
             kinds: kinds.collect(),
             zone: record.zone.as_ref().map(|z| self.names.zone(z).unwrap_or(usize::MAX)),
-            spot: record.spot,
+            spot: record.allows_spot,
             avoid,
             image: self.names.image(&record.image),
         }
@@ -76,12 +76,12 @@
         for (zone, n) in planned {
             *taken.entry(*zone).or_insert(0) += n;
         }
-        let together = job.record.together;
+        let together = job.spec.colocate_in_zone;
         let left = (0..self.names.zones.len()).map(|zone| {
             if together && taken.keys().any(|z| *z != zone) {
                 return 0;
             }
-            job.record.zone_cap().saturating_sub(taken.get(&zone).copied().unwrap_or(0))
+            job.spec.max_tasks_per_zone().saturating_sub(taken.get(&zone).copied().unwrap_or(0))
         });
         Zones { left: left.collect(), together }
     }
--- a/src/term/tests.rs
+++ b/src/leader/tests.rs
@@ -5,28 +5,28 @@
 /// enrolled, or given back, is no machine on its way.
 #[test]
 fn a_rental_that_is_read_late_changes_nothing() {
-    let mut term = Term::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
+    let mut term = Leader::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
     let (kind, zone, endpoint) = ("big".to_string(), "a".to_string(), String::new());
     let machine = |n| MachineRecord {
         id: MachineId(n),
         endpoint: endpoint.clone(),
-        kind: kind.clone(),
+        machine_type: kind.clone(),
         zone: zone.clone(),
         spot: false,
-        at: WallClock::from_millis(0),
+        rented_at: WallClock::default(),
     };
     let facts = [
-        Record::Enrolled(machine(1)),
-        Record::Enrolled(machine(2)),
-        Record::Gone(MachineId(2)),
-        Record::Rented(machine(1)),
-        Record::Rented(machine(2)),
-        Record::Rented(machine(3)),
+        LogRecord::MachineRegistered(machine(1)),
+        LogRecord::MachineRegistered(machine(2)),
+        LogRecord::MachineGone(MachineId(2)),
+        LogRecord::MachineRented(machine(1)),
+        LogRecord::MachineRented(machine(2)),
+        LogRecord::MachineRented(machine(3)),
     ];
     for fact in &facts {
-        term.restore(Timestamp::START, WallClock::from_millis(0), fact);
+        term.restore_record(Timestamp::START, WallClock::default(), fact);
     }
-    let booting: Vec<MachineId> = term.inventory.booting().map(|(id, _)| *id).collect();
+    let booting: Vec<MachineId> = term.cloud.pending().map(|(id, _)| *id).collect();
     assert_eq!(booting, [MachineId(3)]);
     assert_eq!(term.machines.keys().collect::<Vec<_>>(), [&MachineId(1)]);
 }
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -4,17 +4,17 @@
 //! value names the node and a random incarnation: a node whose election got no answer settles it
 //! by reading the key, and a restarted node replaces its own dead predecessor's key at once.
 
-use crate::store::{Reply, StateCall, condition};
+use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::{Duration, FencingToken, LeaseId, Revision, Timestamp};
 use crate::upgrade::Format;
-use crate::wire::{Change, KeyValue, LeaseAnswer, Txn, TxnAnswer};
+use crate::wire::{CompareAndSwap, CompareAndSwapResponse, GrantLeaseResponse, KeyValue, StoreWrite};
 use log::info;
 use rand::{Rng, rngs::SmallRng};
 use serde::{Deserialize, Serialize};
 
 /// What the leader's key says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holder {
+pub struct LeaderRecord {
     /// Node.
     pub node: String,
     /// One run of that node's process.
@@ -22,28 +22,28 @@
 }
 
 /// What stands under a leader key that has moved. It has no lease, so that it stays for ever; a version that does not know it cannot
-/// read it as a `Holder`, looks again and again, and never campaigns while it is there.
+/// read it as a `LeaderRecord`, looks again and again, and never campaigns while it is there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Moved {
+struct RelocatedKey {
     /// The key that leaders hold from now on.
     moved_to: String,
 }
 
 /// What the slice wants done or made known.
 #[derive(Debug, PartialEq)]
-pub enum Event {
+pub enum LeadershipEvent {
     /// Ask the state service; the number comes back with the reply.
-    Call(u64, StateCall),
+    Request(u64, StoreRequest),
     /// This node leads from now on, holding the key of this format.
     Elected(FencingToken, Format),
     /// This node no longer leads.
     SteppedDown(&'static str),
     /// Another node leads, as far as is known; `None`: nobody.
-    Leader(Option<String>),
+    LeaderChanged(Option<String>),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Look,
     Grant,
     Campaign,
@@ -55,38 +55,38 @@
 #[derive(Debug, Clone, Copy)]
 struct InFlight {
     id: u64,
-    kind: Kind,
+    kind: RequestKind,
     sent: Timestamp,
 }
 
 /// State of the slice.
 #[derive(Debug)]
 pub struct Leadership {
-    me: Holder,
+    identity: LeaderRecord,
     ttl: Duration,
     rng: SmallRng,
-    calls: u64,
+    request_counter: u64,
     in_flight: Option<InFlight>,
-    next: Timestamp,
+    next_action_at: Timestamp,
     lease: Option<(LeaseId, Timestamp)>,
     /// Whose key leaders hold, as far as is known.
     format: Format,
     /// The key is to be moved after the next renewal.
-    moves: bool,
+    relocation_pending: bool,
     /// The key's version to replace when campaigning; 0: the key must not exist.
-    replace: u64,
+    replaced_revision: u64,
     /// Set while an election without answer is settled: the key names us at this revision.
-    claimed: Option<Revision>,
+    unconfirmed_revision: Option<Revision>,
     token: Option<FencingToken>,
     valid_until: Timestamp,
-    known: Option<String>,
+    known_leader: Option<String>,
     /// The highest token of another node that was heard of.
-    heard: FencingToken,
+    highest_observed_token: FencingToken,
     eager_until: Timestamp,
     /// Until then the key is left to the other nodes.
-    abstains_until: Timestamp,
+    abstain_until: Timestamp,
     /// When the state service answered last.
-    pub answered: Option<Timestamp>,
+    pub last_store_answer_at: Option<Timestamp>,
 }
 
 /// Clocks differ by 0.05 %, and a process may be late; this much of the lease is not relied on.
@@ -101,24 +101,24 @@
     /// A node that has just started.
     pub fn new(node: &str, incarnation: u64, ttl: Duration, rng: SmallRng) -> Self {
         Leadership {
-            me: Holder { node: node.to_string(), incarnation },
+            identity: LeaderRecord { node: node.to_string(), incarnation },
             ttl,
             rng,
-            calls: 0,
+            request_counter: 0,
             in_flight: None,
-            next: Timestamp::ZERO,
+            next_action_at: Timestamp::ZERO,
             lease: None,
             format: Format::One,
-            moves: false,
-            replace: 0,
-            claimed: None,
+            relocation_pending: false,
+            replaced_revision: 0,
+            unconfirmed_revision: None,
             token: None,
             valid_until: Timestamp::ZERO,
-            known: None,
-            heard: FencingToken(0),
+            known_leader: None,
+            highest_observed_token: FencingToken(0),
             eager_until: Timestamp::ZERO,
-            abstains_until: Timestamp::ZERO,
-            answered: None,
+            abstain_until: Timestamp::ZERO,
+            last_store_answer_at: None,
         }
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Whether no other node can have been elected yet, by this node's own clock.
-    pub fn certain(&self, now: Timestamp) -> bool {
+    pub fn holds_valid_lease(&self, now: Timestamp) -> bool {
         self.token.is_some() && now < self.valid_until
     }
 
@@ -140,244 +140,264 @@
     /// Moves the leader key, so that only nodes that read the new format can lead from then on.
     ///
     /// It is done right after a renewal, whose lease holds the new key. This node leads on, in a new term.
-    pub fn move_key(&mut self) {
-        self.moves = self.token.is_some() && self.format == Format::One;
+    pub fn request_key_relocation(&mut self) {
+        self.relocation_pending = self.token.is_some() && self.format == Format::One;
     }
 
     /// The leader's name as far as is known.
     pub fn leader(&self) -> Option<&str> {
-        if self.token.is_some() { Some(&self.me.node) } else { self.known.as_deref() }
+        if self.token.is_some() { Some(&self.identity.node) } else { self.known_leader.as_deref() }
     }
 
     /// The highest token of another node that was heard of.
-    pub fn heard(&self) -> FencingToken {
-        self.heard
+    pub fn highest_observed_token(&self) -> FencingToken {
+        self.highest_observed_token
     }
 
     /// Look at the key soon, because the leader's link broke.
-    pub fn hurry(&mut self, now: Timestamp) {
+    pub fn campaign_soon(&mut self, now: Timestamp) {
         if self.token.is_none() {
-            self.next = self.next.min(now + Duration::from_millis(20));
+            self.next_action_at = self.next_action_at.min(now + Duration::from_millis(20));
             self.eager_until = now + self.ttl + Duration::from_millis(500);
         }
     }
 
     /// Another node says that it leads. It may know sooner than the state service tells, or this node
     /// may have no answer from there at all.
-    pub fn told(&mut self, now: Timestamp, node: String, token: FencingToken, out: &mut Vec<Event>) {
-        if token <= self.heard || node == self.me.node || self.token.is_some_and(|mine| mine > token) {
+    pub fn observe_announcement(
+        &mut self,
+        now: Timestamp,
+        node: String,
+        token: FencingToken,
+        out: &mut Vec<LeadershipEvent>,
+    ) {
+        if token <= self.highest_observed_token
+            || node == self.identity.node
+            || self.token.is_some_and(|mine| mine > token)
+        {
             return;
         }
-        self.heard = token;
+        self.highest_observed_token = token;
         if self.token.is_some() {
             self.step_down(now, "another node leads", out);
         }
-        self.set_known(Some(node), out);
+        self.set_known_leader(Some(node), out);
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Event>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         if let Some(call) = self.in_flight {
             if now.since(call.sent) < CALL_TIMEOUT {
                 return;
             }
             self.in_flight = None;
-            self.failed(now, call.kind);
+            self.schedule_retry(now, call.kind);
         }
-        if now < self.next {
+        if now < self.next_action_at {
             return;
         }
-        if self.token.is_some() || self.claimed.is_some() {
+        if self.token.is_some() || self.unconfirmed_revision.is_some() {
             self.renew(now, out);
         } else {
-            self.call(now, Kind::Look, StateCall::Get(self.format.leader_key().into()), out);
+            self.send_request(now, RequestKind::Look, StoreRequest::Get(self.format.leader_key().into()), out);
         }
     }
 
-    fn renew(&mut self, now: Timestamp, out: &mut Vec<Event>) {
+    fn renew(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         match self.lease {
-            Some((lease, _)) => self.call(now, Kind::Renew, StateCall::Renew(lease), out),
+            Some((lease, _)) => self.send_request(now, RequestKind::Renew, StoreRequest::RenewLease(lease), out),
             None => self.step_down(now, "no lease", out),
         }
     }
 
-    fn call(&mut self, now: Timestamp, kind: Kind, call: StateCall, out: &mut Vec<Event>) {
-        self.calls += 1;
-        self.in_flight = Some(InFlight { id: self.calls, kind, sent: now });
-        out.push(Event::Call(self.calls, call));
+    fn send_request(&mut self, now: Timestamp, kind: RequestKind, call: StoreRequest, out: &mut Vec<LeadershipEvent>) {
+        self.request_counter += 1;
+        self.in_flight = Some(InFlight { id: self.request_counter, kind, sent: now });
+        out.push(LeadershipEvent::Request(self.request_counter, call));
     }
 
-    fn pause(&mut self, low: u64, high: u64) -> Duration {
+    fn jitter(&mut self, low: u64, high: u64) -> Duration {
         Duration::from_millis(self.rng.random_range(low..=high))
     }
 
-    fn failed(&mut self, now: Timestamp, kind: Kind) {
+    fn schedule_retry(&mut self, now: Timestamp, kind: RequestKind) {
         // A renewal is urgent; everything else waits with jitter, so that nodes do not march in step.
-        let pause =
-            if matches!(kind, Kind::Renew | Kind::Move) { Duration::from_millis(150) } else { self.pause(200, 500) };
-        self.next = now + pause;
+        let pause = if matches!(kind, RequestKind::Renew | RequestKind::Move) {
+            Duration::from_millis(150)
+        } else {
+            self.jitter(200, 500)
+        };
+        self.next_action_at = now + pause;
     }
 
     /// Gives the leadership up.
-    pub fn step_down(&mut self, now: Timestamp, why: &'static str, out: &mut Vec<Event>) {
-        self.claimed = None;
+    pub fn step_down(&mut self, now: Timestamp, why: &'static str, out: &mut Vec<LeadershipEvent>) {
+        self.unconfirmed_revision = None;
         self.lease = None;
         self.in_flight = None;
         self.end_term(why, out);
-        self.next = now + self.pause(50, 150);
+        self.next_action_at = now + self.jitter(50, 150);
     }
 
-    fn end_term(&mut self, why: &'static str, out: &mut Vec<Event>) {
-        self.moves = false;
+    fn end_term(&mut self, why: &'static str, out: &mut Vec<LeadershipEvent>) {
+        self.relocation_pending = false;
         if let Some(token) = self.token.take() {
             info!("stepped down token={token} reason=\"{why}\"");
-            out.push(Event::SteppedDown(why));
+            out.push(LeadershipEvent::SteppedDown(why));
         }
     }
 
     /// Makes room for another node, which most likely reaches what this one does not: the lease is ended, so
     /// that nobody has to wait for it.
-    pub fn make_room(&mut self, now: Timestamp, why: &'static str, out: &mut Vec<Event>) {
-        self.abstains_until = now + ABSTAIN;
+    pub fn yield_leadership(&mut self, now: Timestamp, why: &'static str, out: &mut Vec<LeadershipEvent>) {
+        self.abstain_until = now + ABSTAIN;
         if let Some((lease, _)) = self.lease {
-            self.calls += 1;
-            out.push(Event::Call(self.calls, StateCall::Revoke(lease)));
+            self.request_counter += 1;
+            out.push(LeadershipEvent::Request(self.request_counter, StoreRequest::RevokeLease(lease)));
         }
         self.step_down(now, why, out);
     }
 
     /// Takes an answer of the state service.
-    pub fn reply(&mut self, now: Timestamp, id: u64, reply: &Reply, out: &mut Vec<Event>) {
+    pub fn handle_response(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        reply: &ServiceResponse,
+        out: &mut Vec<LeadershipEvent>,
+    ) {
         let Some(call) = self.in_flight.filter(|c| c.id == id) else { return };
         self.in_flight = None;
         if matches!(reply.status, 200 | 404 | 409) {
-            self.answered = Some(now);
+            self.last_store_answer_at = Some(now);
         }
         match (call.kind, reply.status) {
-            (Kind::Look, 200) => match reply.parse::<KeyValue>() {
-                Some(kv) => self.saw(now, kv, out),
-                None => self.failed(now, call.kind),
+            (RequestKind::Look, 200) => match reply.parse::<KeyValue>() {
+                Some(kv) => self.handle_leader_key(now, kv, out),
+                None => self.schedule_retry(now, call.kind),
             },
-            (Kind::Look, 404) => {
-                self.set_known(None, out);
-                if now < self.abstains_until {
-                    self.next = now + self.pause(200, 300);
+            (RequestKind::Look, 404) => {
+                self.set_known_leader(None, out);
+                if now < self.abstain_until {
+                    self.next_action_at = now + self.jitter(200, 300);
                 } else {
                     self.campaign(now, 0, out);
                 }
             }
-            (Kind::Grant, 200) => match reply.parse::<LeaseAnswer>() {
+            (RequestKind::Grant, 200) => match reply.parse::<GrantLeaseResponse>() {
                 Some(answer) => {
                     self.lease = Some((LeaseId(answer.lease), call.sent));
-                    self.campaign(now, self.replace, out);
+                    self.campaign(now, self.replaced_revision, out);
                 }
-                None => self.failed(now, call.kind),
+                None => self.schedule_retry(now, call.kind),
             },
-            (Kind::Campaign, 200) => match (reply.parse::<TxnAnswer>(), self.lease) {
+            (RequestKind::Campaign, 200) => match (reply.parse::<CompareAndSwapResponse>(), self.lease) {
                 (Some(answer), Some((_, granted))) => {
                     self.valid_until = granted + self.ttl.saturating_sub(MARGIN);
                     self.elected(now, Revision(answer.revision), out);
                 }
-                _ => self.failed(now, call.kind),
+                _ => self.schedule_retry(now, call.kind),
             },
-            (Kind::Campaign, 409) => self.next = now,
-            (Kind::Campaign, 400) => {
+            (RequestKind::Campaign, 409) => self.next_action_at = now,
+            (RequestKind::Campaign, 400) => {
                 self.lease = None;
-                self.next = now + self.pause(20, 80);
+                self.next_action_at = now + self.jitter(20, 80);
             }
-            (Kind::Renew, 200) => {
+            (RequestKind::Renew, 200) => {
                 self.valid_until = call.sent + self.ttl.saturating_sub(MARGIN);
-                match self.claimed.take() {
+                match self.unconfirmed_revision.take() {
                     Some(revision) => self.elected(now, revision, out),
-                    None if self.moves => self.send_move(now, out),
+                    None if self.relocation_pending => self.relocate_key(now, out),
                     // Counted from the sending, so that slow answers don't leave a leader in doubt in between.
-                    None => self.next = call.sent + self.ttl / 4,
+                    None => self.next_action_at = call.sent + self.ttl / 4,
                 }
             }
-            (Kind::Renew, 404) => self.step_down(now, "lease lost", out),
-            (Kind::Move, 200) => match reply.parse::<TxnAnswer>() {
+            (RequestKind::Renew, 404) => self.step_down(now, "lease lost", out),
+            (RequestKind::Move, 200) => match reply.parse::<CompareAndSwapResponse>() {
                 Some(answer) => {
                     self.end_term(MOVED, out);
                     self.format = Format::Two;
                     self.elected(now, Revision(answer.revision), out);
                 }
-                None => self.failed(now, call.kind),
+                None => self.schedule_retry(now, call.kind),
             },
-            (Kind::Move, 409) => {
+            (RequestKind::Move, 409) => {
                 // Another node leads, or an earlier try was carried out and its answer lost. Reading the key tells; the lease is
                 // kept, since the moved key may hang on it.
                 self.end_term("the leader key has changed", out);
-                self.next = now;
+                self.next_action_at = now;
             }
-            (Kind::Move, 400) => self.step_down(now, "lease lost", out),
-            _ => self.failed(now, call.kind),
+            (RequestKind::Move, 400) => self.step_down(now, "lease lost", out),
+            _ => self.schedule_retry(now, call.kind),
         }
     }
 
     /// The key exists: it is ours, our predecessor's, or another node's.
-    fn saw(&mut self, now: Timestamp, kv: KeyValue, out: &mut Vec<Event>) {
-        if serde_json::from_value::<Moved>(kv.value.clone()).is_ok_and(|m| m.moved_to == Format::Two.leader_key()) {
+    fn handle_leader_key(&mut self, now: Timestamp, kv: KeyValue, out: &mut Vec<LeadershipEvent>) {
+        if serde_json::from_value::<RelocatedKey>(kv.value.clone())
+            .is_ok_and(|m| m.moved_to == Format::Two.leader_key())
+        {
             self.format = Format::Two;
-            self.next = now;
+            self.next_action_at = now;
             return;
         }
-        let Ok(holder) = serde_json::from_value::<Holder>(kv.value) else {
-            return self.failed(now, Kind::Look);
+        let Ok(holder) = serde_json::from_value::<LeaderRecord>(kv.value) else {
+            return self.schedule_retry(now, RequestKind::Look);
         };
-        if holder == self.me {
+        if holder == self.identity {
             // An election whose answer was lost. Only the lease that we still hold counts: a late
             // copy of an older attempt hangs on a lease that nobody renews, and ends by itself.
             if let Some((lease, _)) = self.lease
                 && kv.lease == Some(lease.0)
             {
-                self.claimed = Some(Revision(kv.version));
+                self.unconfirmed_revision = Some(Revision(kv.revision));
                 return self.renew(now, out);
             }
-            self.next = now + self.pause(100, 200);
-        } else if holder.node == self.me.node {
-            info!("replacing the key of this node's earlier incarnation revision={}", kv.version);
-            self.campaign(now, kv.version, out);
+            self.next_action_at = now + self.jitter(100, 200);
+        } else if holder.node == self.identity.node {
+            info!("replacing the key of this node's earlier incarnation revision={}", kv.revision);
+            self.campaign(now, kv.revision, out);
         } else {
             // What the key said may be older than what its next holder told.
-            if kv.version >= self.heard.0 {
-                self.heard = FencingToken(kv.version);
-                self.set_known(Some(holder.node), out);
+            if kv.revision >= self.highest_observed_token.0 {
+                self.highest_observed_token = FencingToken(kv.revision);
+                self.set_known_leader(Some(holder.node), out);
             }
             // With its link gone the leader is likely dead: its lease ends soon.
             let eager = self.eager_until > now;
-            self.next = now + if eager { self.pause(50, 100) } else { self.pause(200, 300) };
+            self.next_action_at = now + if eager { self.jitter(50, 100) } else { self.jitter(200, 300) };
         }
     }
 
-    fn set_known(&mut self, known: Option<String>, out: &mut Vec<Event>) {
-        if self.known != known {
-            self.known.clone_from(&known);
-            out.push(Event::Leader(known));
+    fn set_known_leader(&mut self, known: Option<String>, out: &mut Vec<LeadershipEvent>) {
+        if self.known_leader != known {
+            self.known_leader.clone_from(&known);
+            out.push(LeadershipEvent::LeaderChanged(known));
         }
     }
 
-    fn campaign(&mut self, now: Timestamp, replace: u64, out: &mut Vec<Event>) {
-        self.replace = replace;
+    fn campaign(&mut self, now: Timestamp, replace: u64, out: &mut Vec<LeadershipEvent>) {
+        self.replaced_revision = replace;
         // It must live until the campaign is carried out. With a quarter of its life as the limit nobody was elected for as long
         // as the state service took 0.4 s over an answer: each lease was old when it was granted.
         let fresh = self.lease.filter(|(_, granted)| now.since(*granted).as_millis() < self.ttl.as_millis() / 2);
         let Some((lease, _)) = fresh else {
             self.lease = None;
-            return self.call(now, Kind::Grant, StateCall::Grant(self.ttl), out);
+            return self.send_request(now, RequestKind::Grant, StoreRequest::GrantLease(self.ttl), out);
         };
         let key = self.format.leader_key();
-        let txn = Txn {
+        let txn = CompareAndSwap {
             conditions: vec![condition(key, Revision(replace))],
-            changes: vec![self.holding(self.format, lease)],
+            writes: vec![self.leader_key_write(self.format, lease)],
         };
-        self.call(now, Kind::Campaign, StateCall::Txn(txn), out);
+        self.send_request(now, RequestKind::Campaign, StoreRequest::CompareAndSwap(txn), out);
     }
 
     /// The change by which this node holds the leader key of a format.
-    fn holding(&self, format: Format, lease: LeaseId) -> Change {
-        Change::Put {
+    fn leader_key_write(&self, format: Format, lease: LeaseId) -> StoreWrite {
+        StoreWrite::Put {
             key: format.leader_key().into(),
-            value: serde_json::to_value(&self.me).unwrap_or_default(),
+            value: serde_json::to_value(&self.identity).unwrap_or_default(),
             lease: Some(lease.0),
         }
     }
@@ -386,25 +406,28 @@
     ///
     /// Carried out late it changes nothing, or it is this node's own move: the conditions name this term's revision, and the new key
     /// hangs on this term's lease.
-    fn send_move(&mut self, now: Timestamp, out: &mut Vec<Event>) {
+    fn relocate_key(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         let (Some(token), Some((lease, _))) = (self.token, self.lease) else { return };
         let (old, new) = (Format::One.leader_key(), Format::Two.leader_key());
-        let moved = serde_json::to_value(Moved { moved_to: new.into() }).unwrap_or_default();
-        let txn = Txn {
+        let moved = serde_json::to_value(RelocatedKey { moved_to: new.into() }).unwrap_or_default();
+        let txn = CompareAndSwap {
             conditions: vec![condition(old, Revision(token.0)), condition(new, Revision(0))],
-            changes: vec![Change::Put { key: old.into(), value: moved, lease: None }, self.holding(Format::Two, lease)],
+            writes: vec![
+                StoreWrite::Put { key: old.into(), value: moved, lease: None },
+                self.leader_key_write(Format::Two, lease),
+            ],
         };
-        self.call(now, Kind::Move, StateCall::Txn(txn), out);
+        self.send_request(now, RequestKind::Move, StoreRequest::CompareAndSwap(txn), out);
     }
 
-    fn elected(&mut self, now: Timestamp, revision: Revision, out: &mut Vec<Event>) {
+    fn elected(&mut self, now: Timestamp, revision: Revision, out: &mut Vec<LeadershipEvent>) {
         let token = FencingToken(revision.0);
         self.token = Some(token);
-        self.claimed = None;
-        self.known = None;
-        self.next = now;
-        info!("elected node={} token={token} key={}", self.me.node, self.format.leader_key());
-        out.push(Event::Elected(token, self.format));
+        self.unconfirmed_revision = None;
+        self.known_leader = None;
+        self.next_action_at = now;
+        info!("elected node={} token={token} key={}", self.identity.node, self.format.leader_key());
+        out.push(LeadershipEvent::Elected(token, self.format));
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,25 +7,23 @@
 
 pub use caperstile_types as types;
 
+pub mod api;
 pub mod arrivals;
 pub mod cli;
+pub mod cloud;
 pub mod controller;
-mod drains;
-mod failure_detection;
+pub mod effects;
 pub mod gang;
-pub mod intake;
-pub mod inventory;
+pub mod jobs;
+pub mod leader;
 pub mod leadership;
 mod operator;
 pub mod peers;
 pub mod plan;
-mod provisioning;
-pub mod records;
 pub mod runtime;
-mod scheduling;
 pub mod settings;
 pub mod store;
-pub mod term;
 pub mod upgrade;
 pub mod wire;
 pub mod workers;
+pub mod write_ahead_log;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -5,7 +5,7 @@
 mod report;
 mod request;
 
-use crate::runtime::StateClient;
+use crate::runtime::StoreClient;
 use crate::settings::Settings;
 use request::{CommandError, Requests};
 use serde_json::json;
@@ -40,7 +40,7 @@
     };
     let file = config.ok_or_else(|| usage("--config FILE is missing: it names the state service".into()))?;
     let settings = Settings::load(file, None).map_err(|e| usage(e.to_string()))?;
-    let client = StateClient::new(settings.external.state).map_err(|e| {
+    let client = StoreClient::new(settings.external.state).map_err(|e| {
         eprintln!("caperstile: {e}");
         ExitCode::from(EXIT_NOT_REACHED)
     })?;
--- a/src/operator/request.rs
+++ b/src/operator/request.rs
@@ -1,9 +1,9 @@
 //! Requests for drains in the state service: read, written on condition, and followed until the leader has answered.
 
-use crate::runtime::StateClient;
-use crate::store::{Reply, StateCall, condition};
+use crate::runtime::StoreClient;
+use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::Revision;
-use crate::wire::{Change, KeyPage, KeyValue, Txn, TxnAnswer};
+use crate::wire::{CompareAndSwap, CompareAndSwapResponse, KeyPage, KeyValue, StoreWrite};
 use caperstile_disruption::records::{REQUESTS, Request, STATUSES, Status, request_key, status_key};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 
 /// Drains as the state service has them.
 pub(crate) struct Requests {
-    client: StateClient,
+    client: StoreClient,
 }
 
 /// A drain as operators see it.
@@ -39,13 +39,13 @@
 }
 
 impl Requests {
-    pub(crate) fn new(client: StateClient) -> Requests {
+    pub(crate) fn new(client: StoreClient) -> Requests {
         Requests { client }
     }
 
     /// Asks again as long as nothing was done.
-    fn ask(&self, call: &StateCall) -> Result<Reply, CommandError> {
-        let mut last = Reply::none();
+    fn ask(&self, call: &StoreRequest) -> Result<ServiceResponse, CommandError> {
+        let mut last = ServiceResponse::none();
         for attempt in 0..TRIES {
             if attempt > 0 {
                 std::thread::sleep(LOOK_EVERY);
@@ -53,7 +53,7 @@
             last = self.client.ask(call.clone());
             let done = matches!(last.status, 200 | 400 | 404 | 409);
             // A write without an answer may have been carried out: it is not repeated blindly.
-            if done || (last.status == 0 && matches!(call, StateCall::Txn(_))) {
+            if done || (last.status == 0 && matches!(call, StoreRequest::CompareAndSwap(_))) {
                 return Ok(last);
             }
         }
@@ -63,14 +63,14 @@
 
     /// What stands under a key, and its revision.
     pub(crate) fn get<T: serde::de::DeserializeOwned>(&self, key: &str) -> Result<Option<(T, u64)>, CommandError> {
-        let reply = self.ask(&StateCall::Get(key.to_string()))?;
+        let reply = self.ask(&StoreRequest::Get(key.to_string()))?;
         let unreadable = || CommandError::Refused(format!("what stands under {key} cannot be read"));
         match reply.status {
             404 => Ok(None),
             _ => {
                 let found: KeyValue = reply.parse().ok_or_else(unreadable)?;
                 let value = serde_json::from_value(found.value).map_err(|_| unreadable())?;
-                Ok(Some((value, found.version)))
+                Ok(Some((value, found.revision)))
             }
         }
     }
@@ -84,11 +84,11 @@
     pub(crate) fn write(&self, name: &str, request: &Request, revision: u64) -> Result<Option<u64>, CommandError> {
         let key = request_key(name);
         let value = serde_json::to_value(request).map_err(|e| CommandError::Refused(e.to_string()))?;
-        let put = Change::Put { key: key.clone(), value, lease: None };
-        let txn = Txn { conditions: vec![condition(&key, Revision(revision))], changes: vec![put] };
-        let reply = self.ask(&StateCall::Txn(txn))?;
+        let put = StoreWrite::Put { key: key.clone(), value, lease: None };
+        let txn = CompareAndSwap { conditions: vec![condition(&key, Revision(revision))], writes: vec![put] };
+        let reply = self.ask(&StoreRequest::CompareAndSwap(txn))?;
         match reply.status {
-            200 => Ok(reply.parse::<TxnAnswer>().map(|answer| answer.revision)),
+            200 => Ok(reply.parse::<CompareAndSwapResponse>().map(|answer| answer.revision)),
             409 => Ok(None),
             0 => self.settle(name, request, revision),
             _ => Err(CommandError::Refused(format!("the state service answers {} to the request", reply.status))),
@@ -154,7 +154,7 @@
         let mut found = BTreeMap::new();
         let mut after = None;
         loop {
-            let reply = self.ask(&StateCall::Scan { prefix: prefix.to_string(), after: after.take() })?;
+            let reply = self.ask(&StoreRequest::Scan { prefix: prefix.to_string(), after: after.take() })?;
             let Some(page) = reply.parse::<KeyPage>() else {
                 return Err(CommandError::NotReached("the state service's answer cannot be read".into()));
             };
@@ -162,7 +162,7 @@
             for item in page.items {
                 let value = serde_json::from_value(item.value).ok();
                 if let Some((name, value)) = item.key.strip_prefix(prefix).zip(value) {
-                    found.insert(name.to_string(), (value, item.version));
+                    found.insert(name.to_string(), (value, item.revision));
                 }
             }
             if after.is_none() {
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -3,6 +3,7 @@
 //! A frame is a fixed header and a body of the length that the header tells. Followers send users'
 //! requests, the leader sends the answers back under the same number, in any order.
 
+use crate::api::{ApiResponse, UserRequest};
 use std::sync::Arc;
 use zerocopy::byteorder::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
@@ -15,7 +16,7 @@
 /// What a frame carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
+pub enum FrameKind {
     /// `POST /work`.
     Submit = 1,
     /// `GET /work/{id}`.
@@ -23,20 +24,20 @@
     /// `POST /work/{id}/withdraw`.
     Cancel = 3,
     /// An answer.
-    Answer = 4,
+    Response = 4,
     /// The sender leads; `id` is its token.
-    Leads = 5,
+    LeaderAnnouncement = 5,
     /// An admission table. Sent only over links that began with a `hello`: an earlier version would close the link on a kind that it does
     /// not know.
-    Admission = 6,
+    AdmissionTable = 6,
     /// What the sender refused by admission tables. Sent only to a node that has sent one.
-    Refused = 7,
+    RefusedDemand = 7,
 }
 
 /// The fixed part of a frame, as it lies on the wire.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-pub struct Header {
+pub struct FrameHeader {
     /// `MAGIC`.
     pub magic: U32,
     /// Length of the body.
@@ -54,49 +55,27 @@
 }
 
 /// Size of the header.
-pub const HEADER_BYTES: usize = size_of::<Header>();
-
-/// A user's request.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum UserCall {
-    /// Submit a job: the body as it came.
-    Submit(Vec<u8>),
-    /// Ask for a job: the id as it came.
-    Get(String),
-    /// Cancel a job: the id as it came.
-    Cancel(String),
-}
-
-/// An answer to a user or worker.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
-    /// HTTP status.
-    pub status: u16,
-    /// `Retry-After`, 0: none.
-    pub retry_after: u16,
-    /// JSON.
-    pub body: String,
-}
+pub const HEADER_BYTES: usize = size_of::<FrameHeader>();
 
 /// A frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
     /// A user's request under a number.
-    Request(u64, UserCall),
+    Request(u64, UserRequest),
     /// The answer to the request with this number.
-    Answer(u64, Answer),
+    Response(u64, ApiResponse),
     /// The node of this name leads, under this token.
-    Leads(u64, String),
+    LeaderAnnouncement(u64, String),
     /// An admission table, encoded.
-    Admission(Arc<[u8]>),
+    AdmissionTable(Arc<[u8]>),
     /// What the sender refused by admission tables, encoded.
-    Refused(Vec<u8>),
+    RefusedDemand(Vec<u8>),
 }
 
 /// A frame that does not have the layout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed frame from a peer")]
-pub struct BadFrame;
+pub struct FrameError;
 
 /// The token of no leader.
 const NO_TOKEN: u64 = 0;
@@ -106,26 +85,26 @@
     ///
     /// It has the form of a leader's announcement under a token that no leader has, which earlier versions read and ignore.
     pub fn hello(node: &str) -> Frame {
-        Frame::Leads(NO_TOKEN, node.to_string())
+        Frame::LeaderAnnouncement(NO_TOKEN, node.to_string())
     }
 
     /// Whether it is a `hello`.
     pub fn is_hello(&self) -> bool {
-        matches!(self, Frame::Leads(NO_TOKEN, _))
+        matches!(self, Frame::LeaderAnnouncement(NO_TOKEN, _))
     }
 
     /// The bytes on the wire.
     pub fn encode(&self) -> Vec<u8> {
-        let (kind, id, status, retry_after, body): (Kind, u64, u16, u16, &[u8]) = match self {
-            Frame::Request(id, UserCall::Submit(body)) => (Kind::Submit, *id, 0, 0, body),
-            Frame::Request(id, UserCall::Get(name)) => (Kind::Get, *id, 0, 0, name.as_bytes()),
-            Frame::Request(id, UserCall::Cancel(name)) => (Kind::Cancel, *id, 0, 0, name.as_bytes()),
-            Frame::Leads(token, node) => (Kind::Leads, *token, 0, 0, node.as_bytes()),
-            Frame::Refused(report) => (Kind::Refused, 0, 0, 0, report),
-            Frame::Admission(table) => (Kind::Admission, 0, 0, 0, table),
-            Frame::Answer(id, a) => (Kind::Answer, *id, a.status, a.retry_after, a.body.as_bytes()),
+        let (kind, id, status, retry_after, body): (FrameKind, u64, u16, u16, &[u8]) = match self {
+            Frame::Request(id, UserRequest::Submit(body)) => (FrameKind::Submit, *id, 0, 0, body),
+            Frame::Request(id, UserRequest::Get(name)) => (FrameKind::Get, *id, 0, 0, name.as_bytes()),
+            Frame::Request(id, UserRequest::Cancel(name)) => (FrameKind::Cancel, *id, 0, 0, name.as_bytes()),
+            Frame::LeaderAnnouncement(token, node) => (FrameKind::LeaderAnnouncement, *token, 0, 0, node.as_bytes()),
+            Frame::RefusedDemand(report) => (FrameKind::RefusedDemand, 0, 0, 0, report),
+            Frame::AdmissionTable(table) => (FrameKind::AdmissionTable, 0, 0, 0, table),
+            Frame::Response(id, a) => (FrameKind::Response, *id, a.status, a.retry_after, a.body.as_bytes()),
         };
-        let header = Header {
+        let header = FrameHeader {
             magic: U32::new(MAGIC),
             length: U32::new(body.len() as u32),
             id: U64::new(id),
@@ -141,30 +120,30 @@
     }
 
     /// Reads a header; tells how long the body is.
-    pub fn header(bytes: &[u8; HEADER_BYTES]) -> Result<Header, BadFrame> {
-        let header = Header::read_from_bytes(bytes).map_err(|_| BadFrame)?;
+    pub fn header(bytes: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
+        let header = FrameHeader::read_from_bytes(bytes).map_err(|_| FrameError)?;
         if header.magic.get() != MAGIC || header.length.get() > BODY_LIMIT {
-            return Err(BadFrame);
+            return Err(FrameError);
         }
         Ok(header)
     }
 
     /// Puts header and body together.
-    pub fn decode(header: &Header, body: Vec<u8>) -> Result<Frame, BadFrame> {
+    pub fn decode(header: &FrameHeader, body: Vec<u8>) -> Result<Frame, FrameError> {
         let id = header.id.get();
-        let text = |body| String::from_utf8(body).map_err(|_| BadFrame);
+        let text = |body| String::from_utf8(body).map_err(|_| FrameError);
         Ok(match header.kind {
-            k if k == Kind::Submit as u8 => Frame::Request(id, UserCall::Submit(body)),
-            k if k == Kind::Get as u8 => Frame::Request(id, UserCall::Get(text(body)?)),
-            k if k == Kind::Cancel as u8 => Frame::Request(id, UserCall::Cancel(text(body)?)),
-            k if k == Kind::Leads as u8 => Frame::Leads(id, text(body)?),
-            k if k == Kind::Refused as u8 => Frame::Refused(body),
-            k if k == Kind::Admission as u8 => Frame::Admission(body.into()),
-            k if k == Kind::Answer as u8 => Frame::Answer(
+            k if k == FrameKind::Submit as u8 => Frame::Request(id, UserRequest::Submit(body)),
+            k if k == FrameKind::Get as u8 => Frame::Request(id, UserRequest::Get(text(body)?)),
+            k if k == FrameKind::Cancel as u8 => Frame::Request(id, UserRequest::Cancel(text(body)?)),
+            k if k == FrameKind::LeaderAnnouncement as u8 => Frame::LeaderAnnouncement(id, text(body)?),
+            k if k == FrameKind::RefusedDemand as u8 => Frame::RefusedDemand(body),
+            k if k == FrameKind::AdmissionTable as u8 => Frame::AdmissionTable(body.into()),
+            k if k == FrameKind::Response as u8 => Frame::Response(
                 id,
-                Answer { status: header.status.get(), retry_after: header.retry_after.get(), body: text(body)? },
+                ApiResponse { status: header.status.get(), retry_after: header.retry_after.get(), body: text(body)? },
             ),
-            _ => return Err(BadFrame),
+            _ => return Err(FrameError),
         })
     }
 }
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -10,7 +10,7 @@
 mod simulation;
 
 pub use correction::Correction;
-pub use model::{Entry, Image, Order, Profile, Server, World, Zones};
+pub use model::{Entry, Image, Profile, QueuePriority, Server, World, Zones};
 use simulation::{late_by_entry, outcome, position, walk};
 
 use crate::types::{Duration, JobId, MachineId, Resources, Timestamp};
@@ -56,7 +56,7 @@
 /// Where a job's tasks wait.
 #[derive(Debug)]
 struct Waiting {
-    order: Order,
+    order: QueuePriority,
     count: u32,
     at: BTreeMap<MachineId, u32>,
 }
@@ -67,7 +67,7 @@
     servers: BTreeMap<MachineId, Server>,
     planned: HashMap<JobId, Waiting>,
     /// Jobs with tasks in queues, most important first.
-    ordered: BTreeSet<(Order, JobId)>,
+    ordered: BTreeSet<(QueuePriority, JobId)>,
     /// Machines whose room or queue has changed since `take_touched`.
     touched: BTreeSet<MachineId>,
     /// Parts of the design in force.
@@ -192,7 +192,7 @@
     }
 
     /// Jobs with tasks in queues, most important first, and the machines where they wait.
-    pub fn waiting(&self) -> impl Iterator<Item = (Order, JobId, impl Iterator<Item = MachineId>)> {
+    pub fn waiting(&self) -> impl Iterator<Item = (QueuePriority, JobId, impl Iterator<Item = MachineId>)> {
         self.ordered.iter().filter_map(|(order, job)| {
             let waiting = self.planned.get(job)?;
             Some((*order, *job, waiting.at.keys().copied()))
@@ -210,7 +210,7 @@
         zones
     }
 
-    fn count(&mut self, id: MachineId, job: JobId, order: Order, by: i64) {
+    fn count(&mut self, id: MachineId, job: JobId, order: QueuePriority, by: i64) {
         let waiting = self.planned.entry(job).or_insert_with(|| Waiting { order, count: 0, at: BTreeMap::new() });
         let changed = |n: u32| (i64::from(n) + by).max(0) as u32;
         waiting.count = changed(waiting.count);
--- a/src/plan/model.rs
+++ b/src/plan/model.rs
@@ -6,7 +6,7 @@
 
 /// Where an entry stands in a queue: rank first, then the order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub struct QueuePriority {
     /// 0 is the most important.
     pub rank: u8,
     /// Order of arrival.
@@ -19,7 +19,7 @@
     /// The job.
     pub job: JobId,
     /// Its place in queues.
-    pub order: Order,
+    pub order: QueuePriority,
     /// How many tasks.
     pub count: u32,
     /// What each of them takes.
--- a/src/plan/simulation.rs
+++ b/src/plan/simulation.rs
@@ -29,7 +29,7 @@
     }
 }
 
-pub(super) fn position(queue: &[Entry], order: Order) -> usize {
+pub(super) fn position(queue: &[Entry], order: QueuePriority) -> usize {
     queue.partition_point(|e| e.order <= order)
 }
 
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -31,7 +31,7 @@
 fn task(number: u64, priority: u8, deadline: u64) -> Entry {
     Entry {
         job: JobId(number),
-        order: Order { rank: 10 - priority, seq: number },
+        order: QueuePriority { rank: 10 - priority, seq: number },
         count: 1,
         need: ONE,
         run: Duration::ZERO,
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -1,13 +1,13 @@
 //! Requests to the state service, the cloud and the workers.
 
 use super::Message;
-use crate::controller::{Input, Slot};
-use crate::inventory::CloudCall;
+use crate::cloud::CloudRequest;
+use crate::effects::{Input, StoreCaller};
+use crate::leader::COMMAND_TIMEOUT;
 use crate::settings::Settings;
-use crate::store::{Reply, StateCall};
-use crate::term::COMMAND_TIMEOUT;
+use crate::store::{ServiceResponse, StoreRequest};
 use crate::types::MachineId;
-use crate::wire::{Commands, LeaseRequest, MachineNames};
+use crate::wire::{CommandBatch, GrantLeaseRequest, MachineNames};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::Method;
@@ -35,7 +35,7 @@
     http: Http,
     /// Apart: one connection for each command.
     workers: Http,
-    state: mpsc::Sender<(Slot, u64, StateCall)>,
+    state: mpsc::Sender<(StoreCaller, u64, StoreRequest)>,
     cloud: SocketAddrV4,
     tell: mpsc::Sender<Message>,
 }
@@ -56,35 +56,35 @@
     }
 
     /// Asks the state service.
-    pub fn state(&self, slot: Slot, id: u64, call: StateCall) {
+    pub fn state(&self, slot: StoreCaller, id: u64, call: StoreRequest) {
         // A call that finds no room gets no answer, like one that was lost on its way.
         let _ = self.state.try_send((slot, id, call));
     }
 
     /// Asks the cloud.
-    pub fn cloud(&self, token: u64, id: u64, call: CloudCall) {
+    pub fn cloud(&self, token: u64, id: u64, call: CloudRequest) {
         let what = match call {
-            CloudCall::Flavors => (Method::GET, "/flavors".into(), None),
-            CloudCall::Rent(request) => (Method::POST, "/hosts".into(), Some(json(&request))),
-            CloudCall::Return(ids) => {
+            CloudRequest::MachineTypes => (Method::GET, "/flavors".into(), None),
+            CloudRequest::ScaleOut(request) => (Method::POST, "/hosts".into(), Some(json(&request))),
+            CloudRequest::ScaleIn(ids) => {
                 let machines = ids.iter().map(MachineId::to_string).collect();
                 (Method::POST, "/hosts/return".into(), Some(json(&MachineNames { machines })))
             }
-            CloudCall::List(after) => {
+            CloudRequest::ListMachines(after) => {
                 let since = after.map(|a| format!("Since={a}&")).unwrap_or_default();
                 (Method::GET, format!("/hosts?{since}Limit=500"), None)
             }
         };
         let to = self.cloud.to_string();
-        let wrap = move |reply| Input::Cloud(token, id, reply);
+        let wrap = move |reply| Input::CloudResponse(token, id, reply);
         send(&self.http, &to, what, CLOUD_TIMEOUT, self.tell.clone(), wrap);
     }
 
     /// Sends commands to a worker.
-    pub fn command(&self, token: u64, machine: MachineId, endpoint: &str, id: u64, body: &Commands) {
+    pub fn command(&self, token: u64, machine: MachineId, endpoint: &str, id: u64, body: &CommandBatch) {
         let what = (Method::POST, "/commands".into(), Some(json(body)));
         let patience = Duration::from_millis(COMMAND_TIMEOUT.as_millis());
-        let wrap = move |reply| Input::Command(token, machine, id, reply);
+        let wrap = move |reply| Input::CommandResponse(token, machine, id, reply);
         send(&self.workers, endpoint, what, patience, self.tell.clone(), wrap);
     }
 }
@@ -107,7 +107,7 @@
     what: Request,
     patience: Duration,
     tell: mpsc::Sender<Message>,
-    wrap: impl FnOnce(Reply) -> Input + Send + 'static,
+    wrap: impl FnOnce(ServiceResponse) -> Input + Send + 'static,
 ) {
     let (http, to) = (http.clone(), to.to_string());
     tokio::spawn(async move {
@@ -117,38 +117,38 @@
 }
 
 /// One request and its answer, or none within the time.
-async fn exchange(http: &Http, to: &str, (method, path, body): Request, patience: Duration) -> Reply {
+async fn exchange(http: &Http, to: &str, (method, path, body): Request, patience: Duration) -> ServiceResponse {
     let request = hyper::Request::builder()
         .method(method)
         .uri(format!("http://{to}{path}"))
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body.unwrap_or_default())));
-    let Ok(request) = request else { return Reply::none() };
+    let Ok(request) = request else { return ServiceResponse::none() };
     let exchange = async {
         let response = http.request(request).await.ok()?;
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), ANSWER_LIMIT).collect().await.ok()?;
-        Some(Reply { status, body: body.to_bytes() })
+        Some(ServiceResponse { status, body: body.to_bytes() })
     };
-    tokio::time::timeout(patience, exchange).await.ok().flatten().unwrap_or_else(Reply::none)
+    tokio::time::timeout(patience, exchange).await.ok().flatten().unwrap_or_else(ServiceResponse::none)
 }
 
 /// A client of the state service for operators' commands, which ask one thing after the other.
-pub(crate) struct StateClient {
+pub(crate) struct StoreClient {
     runtime: tokio::runtime::Runtime,
     http: Http,
     address: String,
 }
 
-impl StateClient {
+impl StoreClient {
     /// A client of the state service at this address.
-    pub(crate) fn new(address: SocketAddrV4) -> std::io::Result<StateClient> {
+    pub(crate) fn new(address: SocketAddrV4) -> std::io::Result<StoreClient> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        Ok(StateClient { runtime, http: client(Duration::from_secs(30), 1), address: address.to_string() })
+        Ok(StoreClient { runtime, http: client(Duration::from_secs(30), 1), address: address.to_string() })
     }
 
     /// Asks and waits for the answer.
-    pub(crate) fn ask(&self, call: StateCall) -> Reply {
+    pub(crate) fn ask(&self, call: StoreRequest) -> ServiceResponse {
         let asked = exchange(&self.http, &self.address, state_request(call), OPERATOR_TIMEOUT);
         self.runtime.block_on(asked)
     }
@@ -159,15 +159,15 @@
 fn state_thread(
     to: SocketAddrV4,
     urgent: mpsc::Sender<Message>,
-) -> std::io::Result<mpsc::Sender<(Slot, u64, StateCall)>> {
-    let (calls, mut queue) = mpsc::channel::<(Slot, u64, StateCall)>(CALLS);
+) -> std::io::Result<mpsc::Sender<(StoreCaller, u64, StoreRequest)>> {
+    let (calls, mut queue) = mpsc::channel::<(StoreCaller, u64, StoreRequest)>(CALLS);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let serve = async move {
         let http = client(Duration::from_secs(30), 4);
         let to = to.to_string();
         while let Some((slot, id, call)) = queue.recv().await {
-            let patience = Duration::from_millis(if slot == Slot::Leadership { 950 } else { 1450 });
-            let wrap = move |reply| Input::State(slot, id, reply);
+            let patience = Duration::from_millis(if slot == StoreCaller::Leadership { 950 } else { 1450 });
+            let wrap = move |reply| Input::StoreResponse(slot, id, reply);
             send(&http, &to, state_request(call), patience, urgent.clone(), wrap);
         }
     };
@@ -176,19 +176,19 @@
     Ok(calls)
 }
 
-fn state_request(call: StateCall) -> Request {
+fn state_request(call: StoreRequest) -> Request {
     match call {
-        StateCall::Get(key) => (Method::GET, format!("/keys/{key}"), None),
-        StateCall::Scan { prefix, after } => {
+        StoreRequest::Get(key) => (Method::GET, format!("/keys/{key}"), None),
+        StoreRequest::Scan { prefix, after } => {
             let since = after.map(|a| format!("&Since={a}")).unwrap_or_default();
             (Method::GET, format!("/keys?Under={prefix}{since}&Limit=1000"), None)
         }
-        StateCall::Txn(txn) => (Method::POST, "/txn".into(), Some(json(&txn))),
-        StateCall::Grant(ttl) => {
-            (Method::POST, "/leases".into(), Some(json(&LeaseRequest { ttl_ms: ttl.as_millis() })))
+        StoreRequest::CompareAndSwap(txn) => (Method::POST, "/txn".into(), Some(json(&txn))),
+        StoreRequest::GrantLease(ttl) => {
+            (Method::POST, "/leases".into(), Some(json(&GrantLeaseRequest { ttl_ms: ttl.as_millis() })))
         }
-        StateCall::Renew(lease) => (Method::POST, format!("/leases/{lease}/extend"), Some(b"{}".to_vec())),
-        StateCall::Revoke(lease) => (Method::DELETE, format!("/leases/{lease}"), None),
+        StoreRequest::RenewLease(lease) => (Method::POST, format!("/leases/{lease}/extend"), Some(b"{}".to_vec())),
+        StoreRequest::RevokeLease(lease) => (Method::DELETE, format!("/leases/{lease}"), None),
     }
 }
 
--- a/src/runtime/http.rs
+++ b/src/runtime/http.rs
@@ -1,12 +1,11 @@
 //! Users, workers and health checks over HTTP, with `warp`.
 
 use super::Message;
-use crate::peers::{Answer, UserCall};
-use crate::wire::Report;
+use crate::api::{ApiResponse, UserRequest};
+use crate::wire::Heartbeat;
 use bytes::Buf;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Semaphore, mpsc, oneshot};
@@ -24,9 +23,9 @@
 #[derive(Debug)]
 pub enum Asked {
     /// A user's request.
-    User(UserCall),
+    User(UserRequest),
     /// A worker's report.
-    Report(Box<Report>),
+    Heartbeat(Box<Heartbeat>),
     /// A health check.
     Up,
 }
@@ -82,7 +81,7 @@
     free < if path.starts_with("/work") { all / 4 } else { all / 16 }
 }
 
-fn response(answer: Answer, close: bool) -> Response<String> {
+fn response(answer: ApiResponse, close: bool) -> Response<String> {
     let mut builder = Response::builder()
         .status(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         .header("content-type", "application/json");
@@ -96,11 +95,11 @@
     builder.body(answer.body).unwrap_or_default()
 }
 
-fn plain(status: u16, why: &str) -> Answer {
-    Answer { status, retry_after: if status == 503 { 1 } else { 0 }, body: json!({"error": why}).to_string() }
+fn plain(status: u16, why: &str) -> ApiResponse {
+    ApiResponse { retry_after: if status == 503 { 1 } else { 0 }, ..ApiResponse::error(status, why) }
 }
 
-async fn answer<S, B, E>(method: &Method, path: &str, body: S, tell: mpsc::Sender<Message>) -> Answer
+async fn answer<S, B, E>(method: &Method, path: &str, body: S, tell: mpsc::Sender<Message>) -> ApiResponse
 where
     S: futures_core::Stream<Item = Result<B, E>> + Send,
     B: Buf,
@@ -112,14 +111,14 @@
         Err(_) => return plain(408, "the body did not arrive"),
     };
     let asked = match (method.as_str(), path.strip_prefix("/work")) {
-        ("POST", Some("")) => Asked::User(UserCall::Submit(body)),
+        ("POST", Some("")) => Asked::User(UserRequest::Submit(body)),
         (verb, Some(rest)) if rest.starts_with('/') => match (verb, rest[1..].strip_suffix("/withdraw")) {
-            ("POST", Some(id)) => Asked::User(UserCall::Cancel(id.to_string())),
-            ("GET", None) => Asked::User(UserCall::Get(rest[1..].to_string())),
+            ("POST", Some(id)) => Asked::User(UserRequest::Cancel(id.to_string())),
+            ("GET", None) => Asked::User(UserRequest::Get(rest[1..].to_string())),
             _ => return plain(405, "no such method here"),
         },
-        ("POST", None) if path == "/v1/report" => match serde_json::from_slice::<Report>(&body) {
-            Ok(report) => Asked::Report(Box::new(report)),
+        ("POST", None) if path == "/v1/report" => match serde_json::from_slice::<Heartbeat>(&body) {
+            Ok(report) => Asked::Heartbeat(Box::new(report)),
             Err(e) => return plain(400, &format!("malformed report: {e}")),
         },
         ("GET", None) if path == "/up" => Asked::Up,
@@ -135,7 +134,7 @@
 }
 
 /// Reads a body up to the limit; what is longer is refused without being read.
-async fn read<S, B, E>(body: S) -> Result<Vec<u8>, Answer>
+async fn read<S, B, E>(body: S) -> Result<Vec<u8>, ApiResponse>
 where
     S: futures_core::Stream<Item = Result<B, E>> + Send,
     B: Buf,
--- a/src/runtime/inbox.rs
+++ b/src/runtime/inbox.rs
@@ -1,8 +1,8 @@
 //! What waits for the core, by class.
 
 use super::{Message, http};
-use crate::controller::Input;
-use crate::peers::UserCall;
+use crate::api::UserRequest;
+use crate::effects::Input;
 use crate::types::Timestamp;
 use caperstile_admission::{Popped, RequestClass, RequestQueue, Shed};
 use tokio::sync::mpsc;
@@ -17,14 +17,14 @@
 
 /// The class that a message waits in.
 pub fn class_of(message: &Message) -> RequestClass {
-    let of_call = |call: &UserCall| match call {
-        UserCall::Submit(_) => RequestClass::Submission,
-        UserCall::Get(_) => RequestClass::Question,
-        UserCall::Cancel(_) => RequestClass::Cancellation,
+    let of_call = |call: &UserRequest| match call {
+        UserRequest::Submit(_) => RequestClass::Submission,
+        UserRequest::Get(_) => RequestClass::Question,
+        UserRequest::Cancel(_) => RequestClass::Cancellation,
     };
     match message {
         Message::Request(http::Asked::User(call), _) | Message::Input(Input::User(_, call)) => of_call(call),
-        Message::Request(http::Asked::Report(_) | http::Asked::Up, _) => RequestClass::Report,
+        Message::Request(http::Asked::Heartbeat(_) | http::Asked::Up, _) => RequestClass::Heartbeat,
         Message::Input(_) | Message::Linked(..) | Message::TakesTables(_) | Message::Unlinked(_) => {
             RequestClass::Internal
         }
--- a/src/runtime/links.rs
+++ b/src/runtime/links.rs
@@ -1,7 +1,7 @@
 //! Links between controllers: one connection to each other node, many requests on it.
 
 use super::Message;
-use crate::controller::{Input, Origin};
+use crate::effects::{Input, RequestOrigin};
 use crate::peers::{Frame, HEADER_BYTES};
 use crate::settings::Seed;
 use crate::types::FencingToken;
@@ -95,10 +95,12 @@
     }
     let request = |frame: Frame| match frame {
         hello if hello.is_hello() => Some(Message::TakesTables(link)),
-        Frame::Request(id, call) => Some(Message::Input(Input::User(Origin::Peer(link, id), call))),
-        Frame::Leads(token, node) => Some(Message::Input(Input::Leads(node, FencingToken(token)))),
-        Frame::Refused(bytes) => demand_report(&bytes),
-        Frame::Answer(..) | Frame::Admission(_) => None,
+        Frame::Request(id, call) => Some(Message::Input(Input::User(RequestOrigin::Peer(link, id), call))),
+        Frame::LeaderAnnouncement(token, node) => {
+            Some(Message::Input(Input::LeaderAnnounced(node, FencingToken(token))))
+        }
+        Frame::RefusedDemand(bytes) => demand_report(&bytes),
+        Frame::Response(..) | Frame::AdmissionTable(_) => None,
     };
     carry(stream, &mut queue, &tell, request).await;
     let _ = tell.send(Message::Unlinked(link)).await;
@@ -107,13 +109,13 @@
 /// The admission table that a frame carries; `None` for one that cannot be read, as of a later version.
 fn table(bytes: &[u8]) -> Option<Message> {
     let table = readable(AdmissionTable::decode(bytes))?;
-    Some(Message::Input(Input::AdmissionTable(Box::new(table))))
+    Some(Message::Input(Input::AdmissionTableReceived(Box::new(table))))
 }
 
 /// The report of refused submissions that a frame carries.
 fn demand_report(bytes: &[u8]) -> Option<Message> {
     let report = readable(DemandReport::decode(bytes))?;
-    Some(Message::Input(Input::RefusedElsewhere(Box::new(report))))
+    Some(Message::Input(Input::RefusedDemandReceived(Box::new(report))))
 }
 
 fn readable<T>(decoded: Result<T, DecodeError>) -> Option<T> {
@@ -135,14 +137,14 @@
                     // The queue was emptied just now, so that there is room.
                     let _ = frames.try_send(Frame::hello(&me));
                 }
-                let _ = tell.send(Message::Input(Input::Link(node.clone(), true))).await;
+                let _ = tell.send(Message::Input(Input::PeerLinkChanged(node.clone(), true))).await;
                 let answer = |frame| match frame {
-                    Frame::Answer(id, answer) => Some(Message::Input(Input::Forwarded(id, answer))),
-                    Frame::Admission(bytes) => table(&bytes),
-                    Frame::Request(..) | Frame::Leads(..) | Frame::Refused(_) => None,
+                    Frame::Response(id, answer) => Some(Message::Input(Input::ForwardResponse(id, answer))),
+                    Frame::AdmissionTable(bytes) => table(&bytes),
+                    Frame::Request(..) | Frame::LeaderAnnouncement(..) | Frame::RefusedDemand(_) => None,
                 };
                 carry(stream, &mut queue, &tell, answer).await;
-                let _ = tell.send(Message::Input(Input::Link(node.clone(), false))).await;
+                let _ = tell.send(Message::Input(Input::PeerLinkChanged(node.clone(), false))).await;
             }
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
--- a/src/runtime/load.rs
+++ b/src/runtime/load.rs
@@ -1,6 +1,6 @@
 //! How busy this node is: what it took and did, and by how much it is late.
 
-use crate::controller::{Effect, Input};
+use crate::effects::{Effect, Input};
 use crate::types::{Duration as CoreDuration, Timestamp};
 use caperstile_admission::Utilization;
 use log::{debug, warn};
@@ -112,8 +112,8 @@
     /// The kind of an input.
     pub fn of(input: &Input) -> InputKind {
         match input {
-            Input::Tick | Input::Behind(_) | Input::Spent(_) | Input::Utilization(_) => InputKind::Ticks,
-            Input::Report(..) | Input::Command(..) => InputKind::Reports,
+            Input::Tick | Input::InputDelay(_) | Input::SlowInput(_) | Input::Utilization(_) => InputKind::Ticks,
+            Input::Heartbeat(..) | Input::CommandResponse(..) => InputKind::Reports,
             Input::User(..) => InputKind::Users,
             _ => InputKind::Answers,
         }
@@ -199,11 +199,14 @@
     pub fn took(&mut self, now: Timestamp, input: &Input) {
         match input {
             Input::Tick => self.tick(now),
-            Input::Behind(by) => self.behind = self.behind.max(*by),
+            Input::InputDelay(by) => self.behind = self.behind.max(*by),
             Input::Utilization(utilization) => self.busy.add(*utilization),
-            Input::Report(..) => self.reports += 1,
+            Input::Heartbeat(..) => self.reports += 1,
             Input::User(..) => self.users += 1,
-            Input::State(..) | Input::Cloud(..) | Input::Command(..) | Input::Forwarded(..) => self.answers += 1,
+            Input::StoreResponse(..)
+            | Input::CloudResponse(..)
+            | Input::CommandResponse(..)
+            | Input::ForwardResponse(..) => self.answers += 1,
             _ => {}
         }
     }
@@ -221,9 +224,12 @@
     /// Counts an effect.
     pub fn does(&mut self, effect: &Effect) {
         match effect {
-            Effect::Command { .. } => self.commands += 1,
-            Effect::State(..) | Effect::Cloud(..) | Effect::Forward(..) => self.calls += 1,
-            Effect::Answer(..) | Effect::Announce(_) | Effect::Publish(_) | Effect::ReportRefused(..) => {}
+            Effect::SendCommands { .. } => self.commands += 1,
+            Effect::QueryStore(..) | Effect::CallCloud(..) | Effect::Forward(..) => self.calls += 1,
+            Effect::Respond(..)
+            | Effect::AnnounceLeadership(_)
+            | Effect::PublishAdmissionTable(_)
+            | Effect::ReportRefusedDemand(..) => {}
         }
     }
 
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -8,10 +8,12 @@
 mod outputs;
 mod reload;
 
-pub(crate) use clients::StateClient;
+pub(crate) use clients::StoreClient;
 
-use crate::controller::{Controller, Input, Origin};
-use crate::peers::{Answer, Frame};
+use crate::api::ApiResponse;
+use crate::controller::Controller;
+use crate::effects::{Input, RequestOrigin};
+use crate::peers::Frame;
 use crate::settings::Settings;
 use crate::types::{Duration as CoreDuration, Timestamp, WallClock};
 use inbox::Inbox;
@@ -41,7 +43,7 @@
 #[derive(Debug)]
 enum Message {
     /// A request over HTTP and where its answer goes.
-    Request(http::Asked, oneshot::Sender<Answer>),
+    Request(http::Asked, oneshot::Sender<ApiResponse>),
     /// Anything else.
     Input(Input),
     /// A peer's link was opened: where its answers go.
@@ -172,12 +174,12 @@
         match message {
             Message::Request(asked, to) => {
                 self.requests += 1;
-                let origin = Origin::Http(self.requests);
+                let origin = RequestOrigin::Http(self.requests);
                 self.outputs.expect_answer(self.requests, to);
                 Some(match asked {
                     http::Asked::User(call) => Input::User(origin, call),
-                    http::Asked::Report(report) => Input::Report(origin, report),
-                    http::Asked::Up => Input::Up(origin),
+                    http::Asked::Heartbeat(report) => Input::Heartbeat(origin, report),
+                    http::Asked::Up => Input::HealthCheck(origin),
                 })
             }
             Message::Input(input) => Some(input),
@@ -202,7 +204,7 @@
         self.load.took(now, &input);
         if matches!(input, Input::Tick) {
             self.ticked = now;
-            self.own.extend(self.probe.look().map(Input::Behind));
+            self.own.extend(self.probe.look().map(Input::InputDelay));
             self.own.extend(self.idle.sample().map(Input::Utilization));
         } else if now.since(self.ticked) >= TICK_ALONG {
             self.tick.reset();
@@ -216,7 +218,7 @@
         let took = began.elapsed();
         self.load.spent(kind, took);
         if took >= SLOW_INPUT {
-            self.own.push(Input::Spent(CoreDuration::from_millis(took.as_millis() as u64)));
+            self.own.push(Input::SlowInput(CoreDuration::from_millis(took.as_millis() as u64)));
         }
         for effect in effects {
             self.load.does(&effect);
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -2,11 +2,11 @@
 
 use super::Message;
 use super::clients::Clients;
-use crate::controller::{Effect, Input, Origin};
-use crate::peers::{Answer, Frame};
+use crate::api::ApiResponse;
+use crate::effects::{Effect, Input, RequestOrigin};
+use crate::peers::Frame;
 use caperstile_admission::{AdmissionTable, RequestClass, Shed};
 use log::debug;
-use serde_json::json;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -25,7 +25,7 @@
     /// Those of them whose nodes take admission tables.
     take_tables: HashSet<u64>,
     /// Requests over HTTP that wait for an answer.
-    waiting: HashMap<u64, oneshot::Sender<Answer>>,
+    waiting: HashMap<u64, oneshot::Sender<ApiResponse>>,
     tell: mpsc::Sender<Message>,
 }
 
@@ -42,7 +42,7 @@
     }
 
     /// A request over HTTP waits for an answer.
-    pub fn expect_answer(&mut self, request: u64, to: oneshot::Sender<Answer>) {
+    pub fn expect_answer(&mut self, request: u64, to: oneshot::Sender<ApiResponse>) {
         self.waiting.insert(request, to);
     }
 
@@ -70,7 +70,7 @@
             Shed::Abandoned => "the request has waited too long",
             Shed::Overload => "too busy",
         };
-        let answer = Answer { status: 503, retry_after, body: json!({"error": reason}).to_string() };
+        let answer = ApiResponse::unavailable_for(reason, retry_after);
         match message {
             // Whoever has hung up wants no answer.
             Message::Request(_, to) => {
@@ -81,17 +81,17 @@
         }
     }
 
-    fn answer(&mut self, origin: Origin, answer: Answer) {
+    fn answer(&mut self, origin: RequestOrigin, answer: ApiResponse) {
         match origin {
-            Origin::Http(id) => {
+            RequestOrigin::Http(id) => {
                 if let Some(to) = self.waiting.remove(&id) {
                     // Whoever has hung up wants no answer.
                     let _ = to.send(answer);
                 }
             }
-            Origin::Peer(link, id) => {
+            RequestOrigin::Peer(link, id) => {
                 if let Some(to) = self.incoming.get(&link)
-                    && to.try_send(Frame::Answer(id, answer)).is_err()
+                    && to.try_send(Frame::Response(id, answer)).is_err()
                 {
                     // A peer that does not read loses its link, and with it all that waits there.
                     self.unlinked(link);
@@ -103,31 +103,31 @@
     /// Carries an effect out.
     pub fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(origin, answer) => self.answer(origin, answer),
-            Effect::State(slot, id, call) => self.clients.state(slot, id, call),
-            Effect::Cloud(token, id, call) => self.clients.cloud(token, id, call),
-            Effect::Command { token, machine, endpoint, id, body } => {
+            Effect::Respond(origin, answer) => self.answer(origin, answer),
+            Effect::QueryStore(slot, id, call) => self.clients.state(slot, id, call),
+            Effect::CallCloud(token, id, call) => self.clients.cloud(token, id, call),
+            Effect::SendCommands { token, machine, endpoint, id, body } => {
                 self.clients.command(token, machine, &endpoint, id, &body);
             }
-            Effect::Announce(token) => {
+            Effect::AnnounceLeadership(token) => {
                 for to in self.links.values() {
                     // A link that is full or down hears of it another time.
-                    let _ = to.try_send(Frame::Leads(token.0, self.node.clone()));
+                    let _ = to.try_send(Frame::LeaderAnnouncement(token.0, self.node.clone()));
                 }
             }
-            Effect::Publish(table) => self.publish(&table),
-            Effect::ReportRefused(leader, report) => {
+            Effect::PublishAdmissionTable(table) => self.publish(&table),
+            Effect::ReportRefusedDemand(leader, report) => {
                 if let Some(to) = self.links.get(&leader) {
                     // What a full link loses is estimated too low for a second.
-                    let _ = to.try_send(Frame::Refused(report.encode()));
+                    let _ = to.try_send(Frame::RefusedDemand(report.encode()));
                 }
             }
             Effect::Forward(node, id, call) => {
                 let sent = self.links.get(&node).is_some_and(|to| to.try_send(Frame::Request(id, call)).is_ok());
                 if !sent {
                     debug!("cannot forward to {node}");
-                    let answer = Answer { status: 503, retry_after: 1, body: "{}".into() };
-                    let _ = self.tell.try_send(Message::Input(Input::Forwarded(id, answer)));
+                    let answer = ApiResponse { retry_after: 1, ..ApiResponse::empty(503) };
+                    let _ = self.tell.try_send(Message::Input(Input::ForwardResponse(id, answer)));
                 }
             }
         }
@@ -138,7 +138,7 @@
         for link in &self.take_tables {
             if let Some(to) = self.incoming.get(link) {
                 // A link that is full gets the next one.
-                let _ = to.try_send(Frame::Admission(bytes.clone()));
+                let _ = to.try_send(Frame::AdmissionTable(bytes.clone()));
             }
         }
     }
--- a/src/runtime/reload.rs
+++ b/src/runtime/reload.rs
@@ -1,7 +1,7 @@
 //! Follows the operators' file, so that other disruption budgets and settings of admission come into force without a restart.
 
 use super::Message;
-use crate::controller::Input;
+use crate::effects::Input;
 use crate::settings::Settings;
 use log::{error, info};
 use std::path::{Path, PathBuf};
@@ -25,8 +25,8 @@
             match settings.reload(&file) {
                 Ok((policy, admission)) => {
                     info!("disruption budgets and settings of admission read again from {}", file.display());
-                    let _ = tell.send(Message::Input(Input::Policy(Box::new(policy)))).await;
-                    let _ = tell.send(Message::Input(Input::AdmissionPolicy(Box::new(admission)))).await;
+                    let _ = tell.send(Message::Input(Input::DisruptionPolicyChanged(Box::new(policy)))).await;
+                    let _ = tell.send(Message::Input(Input::AdmissionPolicyChanged(Box::new(admission)))).await;
                 }
                 Err(e) => error!("disruption budgets and settings of admission stay as they are: {e}"),
             }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,13 +1,13 @@
 //! Calls to the state service, as the slices ask for them.
 
 use crate::types::{Duration, LeaseId, Revision};
-use crate::wire::{Condition, Txn};
+use crate::wire::{CompareAndSwap, RevisionCondition};
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 
 /// A request to the state service.
 #[derive(Debug, Clone)]
-pub enum StateCall {
+pub enum StoreRequest {
     /// Read one key.
     Get(String),
     /// Read keys with a prefix, in order, after a key.
@@ -18,16 +18,16 @@
         after: Option<String>,
     },
     /// Change keys if conditions hold.
-    Txn(Txn),
+    CompareAndSwap(CompareAndSwap),
     /// Obtain a lease.
-    Grant(Duration),
+    GrantLease(Duration),
     /// Renew a lease.
-    Renew(LeaseId),
+    RenewLease(LeaseId),
     /// End a lease at once.
-    Revoke(LeaseId),
+    RevokeLease(LeaseId),
 }
 
-impl PartialEq for StateCall {
+impl PartialEq for StoreRequest {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
     }
@@ -35,17 +35,17 @@
 
 /// An answer over HTTP; status 0 when none came.
 #[derive(Debug, Clone)]
-pub struct Reply {
+pub struct ServiceResponse {
     /// Status code, or 0.
     pub status: u16,
     /// Body.
     pub body: Bytes,
 }
 
-impl Reply {
+impl ServiceResponse {
     /// No answer: the request may have been executed, or may yet be.
-    pub fn none() -> Reply {
-        Reply { status: 0, body: Bytes::new() }
+    pub fn none() -> ServiceResponse {
+        ServiceResponse { status: 0, body: Bytes::new() }
     }
 
     /// The body, if it has the expected form.
@@ -55,6 +55,6 @@
 }
 
 /// A condition on a key's revision; 0: the key must not exist.
-pub fn condition(key: &str, version: Revision) -> Condition {
-    Condition { key: key.to_string(), version: version.0 }
+pub fn condition(key: &str, version: Revision) -> RevisionCondition {
+    RevisionCondition { key: key.to_string(), revision: version.0 }
 }
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -5,9 +5,9 @@
 //! process writes a key of its own once. When the keys of all controllers are there, the leader moves the leader key in one
 //! transaction (`Leadership::move_key`); what it leaves under the old name keeps old processes from ever leading again.
 
-use crate::store::{Reply, StateCall, condition};
+use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::{Duration, Revision, Timestamp};
-use crate::wire::{Change, KeyPage, Txn};
+use crate::wire::{CompareAndSwap, KeyPage, StoreWrite};
 use serde_json::json;
 use std::collections::BTreeSet;
 
@@ -48,9 +48,9 @@
 
 /// What the slice wants done or made known.
 #[derive(Debug, PartialEq)]
-pub enum Event {
+pub enum UpgradeEvent {
     /// Ask the state service; the number comes back with the reply.
-    Call(u64, StateCall),
+    Request(u64, StoreRequest),
     /// Every controller has said that it reads the newest format.
     AllUpgraded,
 }
@@ -75,9 +75,9 @@
     /// All controllers of the deployment.
     controllers: BTreeSet<String>,
     announced: bool,
-    calls: u64,
+    request_counter: u64,
     in_flight: Option<InFlight>,
-    next: Timestamp,
+    next_action_at: Timestamp,
 }
 
 impl Upgrade {
@@ -87,62 +87,68 @@
             node: node.to_string(),
             controllers: others.chain([node.to_string()]).collect(),
             announced: false,
-            calls: 0,
+            request_counter: 0,
             in_flight: None,
-            next: Timestamp::ZERO,
+            next_action_at: Timestamp::ZERO,
         }
     }
 
     /// Lets time pass. `looks`: this node leads under the old format and asks whether all are upgraded.
-    pub fn tick(&mut self, now: Timestamp, looks: bool, out: &mut Vec<Event>) {
+    pub fn tick(&mut self, now: Timestamp, looks: bool, out: &mut Vec<UpgradeEvent>) {
         if self.in_flight.as_ref().is_some_and(|f| now.since(f.sent) >= CALL_TIMEOUT) {
             self.in_flight = None;
         }
-        if self.in_flight.is_some() || now < self.next {
+        if self.in_flight.is_some() || now < self.next_action_at {
             return;
         }
         if !self.announced {
-            self.announce(now, out);
+            self.announce_version(now, out);
         } else if looks {
-            self.look(now, BTreeSet::new(), None, out);
+            self.scan_versions(now, BTreeSet::new(), None, out);
         }
     }
 
-    fn announce(&mut self, now: Timestamp, out: &mut Vec<Event>) {
+    fn announce_version(&mut self, now: Timestamp, out: &mut Vec<UpgradeEvent>) {
         let key = format!("{VERSION_PREFIX}{}", self.node);
-        let txn = Txn {
+        let txn = CompareAndSwap {
             conditions: vec![condition(&key, Revision(0))],
-            changes: vec![Change::Put { key, value: json!({"format": READS_FORMAT}), lease: None }],
+            writes: vec![StoreWrite::Put { key, value: json!({"format": READS_FORMAT}), lease: None }],
         };
-        self.call(now, Request::Announce, StateCall::Txn(txn), out);
+        self.send_request(now, Request::Announce, StoreRequest::CompareAndSwap(txn), out);
     }
 
-    fn look(&mut self, now: Timestamp, found: BTreeSet<String>, after: Option<String>, out: &mut Vec<Event>) {
-        let call = StateCall::Scan { prefix: VERSION_PREFIX.into(), after };
-        self.call(now, Request::Look { found }, call, out);
+    fn scan_versions(
+        &mut self,
+        now: Timestamp,
+        found: BTreeSet<String>,
+        after: Option<String>,
+        out: &mut Vec<UpgradeEvent>,
+    ) {
+        let call = StoreRequest::Scan { prefix: VERSION_PREFIX.into(), after };
+        self.send_request(now, Request::Look { found }, call, out);
     }
 
-    fn call(&mut self, now: Timestamp, request: Request, call: StateCall, out: &mut Vec<Event>) {
-        self.calls += 1;
-        self.in_flight = Some(InFlight { id: self.calls, request, sent: now });
-        out.push(Event::Call(self.calls, call));
+    fn send_request(&mut self, now: Timestamp, request: Request, call: StoreRequest, out: &mut Vec<UpgradeEvent>) {
+        self.request_counter += 1;
+        self.in_flight = Some(InFlight { id: self.request_counter, request, sent: now });
+        out.push(UpgradeEvent::Request(self.request_counter, call));
     }
 
     /// Takes an answer of the state service.
-    pub fn reply(&mut self, now: Timestamp, id: u64, reply: &Reply, out: &mut Vec<Event>) {
+    pub fn handle_response(&mut self, now: Timestamp, id: u64, reply: &ServiceResponse, out: &mut Vec<UpgradeEvent>) {
         let Some(flight) = self.in_flight.take_if(|f| f.id == id) else { return };
         match (flight.request, reply.status) {
             // A key that exists is this node's own, written by this process or an earlier one.
             (Request::Announce, 200 | 409) => self.announced = true,
             (Request::Look { found }, 200) => match reply.parse::<KeyPage>() {
-                Some(page) => self.page(now, found, page, out),
-                None => self.next = now + RETRY_AFTER,
+                Some(page) => self.handle_page(now, found, page, out),
+                None => self.next_action_at = now + RETRY_AFTER,
             },
-            _ => self.next = now + RETRY_AFTER,
+            _ => self.next_action_at = now + RETRY_AFTER,
         }
     }
 
-    fn page(&mut self, now: Timestamp, mut found: BTreeSet<String>, page: KeyPage, out: &mut Vec<Event>) {
+    fn handle_page(&mut self, now: Timestamp, mut found: BTreeSet<String>, page: KeyPage, out: &mut Vec<UpgradeEvent>) {
         let last = page.items.last().map(|item| item.key.clone());
         for item in page.items {
             let upgraded = item.value.get("format").and_then(|f| f.as_u64()).is_some_and(|f| f >= READS_FORMAT);
@@ -151,11 +157,11 @@
             }
         }
         if page.more && last.is_some() {
-            return self.look(now, found, last, out);
+            return self.scan_versions(now, found, last, out);
         }
-        self.next = now + LOOK_EVERY;
+        self.next_action_at = now + LOOK_EVERY;
         if self.controllers.is_subset(&found) {
-            out.push(Event::AllUpgraded);
+            out.push(UpgradeEvent::AllUpgraded);
         }
     }
 }
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -3,12 +3,12 @@
 //! A machine is *fenced* once a message of its own says that it has seen this leader's token: from
 //! then on nothing that an earlier leader sent can start or stop a task there.
 
-use crate::records::MachineRecord;
 use crate::types::{
     AgentEpoch, AttemptId, AttemptNumber, Duration, FencingToken, JobId, MachineId, MessageSequence, Resources, TaskId,
     Timestamp,
 };
-use crate::wire::{Cause, Order, Report, TaskState};
+use crate::wire::{ExitReason, Heartbeat, TaskState, WorkerCommand};
+use crate::write_ahead_log::MachineRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most orders in one message: it must stay far below 64 KiB.
@@ -18,9 +18,9 @@
 
 /// Whether a machine's enrolment is durable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Enrolment {
+pub enum Registration {
     /// Not asked for yet.
-    None,
+    NotRequested,
     /// On its way.
     Pending,
     /// Durable: it may get tasks.
@@ -29,24 +29,24 @@
 
 /// How far a task is on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum AttemptPhase {
     /// Ordered; the worker has not shown it yet.
-    Ordered,
+    StartRequested,
     /// Waiting for its image.
     Fetching,
     /// Waiting for the other tasks of its gang.
-    Gathering,
+    AwaitingGang,
     /// Running.
     Running,
     /// Saving after it was stopped.
-    Saving,
+    Checkpointing,
     /// Ended.
     Exited,
 }
 
 /// Whether a direct command that starts the attempt may still arrive late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doubt {
+pub enum StartUncertainty {
     /// No.
     None,
     /// It is under way, with this command number.
@@ -57,66 +57,66 @@
 
 /// An attempt that a machine holds, or may hold.
 #[derive(Debug, Clone)]
-pub struct Hold {
+pub struct TaskAttempt {
     /// Task.
     pub task: TaskId,
     /// How far it is.
-    pub phase: Phase,
+    pub phase: AttemptPhase,
     /// Whether the worker has shown it.
-    pub seen: bool,
+    pub acknowledged: bool,
     /// Whether a direct start may arrive late.
-    pub doubt: Doubt,
+    pub start_uncertainty: StartUncertainty,
     /// Told, or to be told, to stop, with this much time for saving.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// Whether the worker was told to start it, directly or with the answer to a report.
     pub start_sent: bool,
     /// Whether the stop was sent, directly or with the answer to a report.
     pub stop_sent: bool,
     /// Whether a direct command started it, of which a copy may come late.
-    pub direct: bool,
+    pub started_directly: bool,
     /// When it ended.
-    pub ended: Timestamp,
+    pub ended_at: Timestamp,
     /// The worker may forget it (its end is durable or does not matter).
-    pub reapable: bool,
+    pub forgettable: bool,
     /// The task counts as on this machine for its job.
-    pub claimed: bool,
+    pub assigned: bool,
     /// What it takes.
-    pub need: Resources,
+    pub resources: Resources,
     /// Importance of its job, 0 first.
-    pub rank: u8,
+    pub priority: u8,
     /// Its image.
     pub image: String,
     /// When it was ordered or found.
-    pub since: Timestamp,
+    pub requested_at: Timestamp,
     /// When it was first seen running.
     pub running_since: Option<Timestamp>,
     /// Predicted time from order to end; `None` for services.
-    pub predicted: Option<Duration>,
+    pub predicted_duration: Option<Duration>,
     /// Whether it is a task of a gang.
-    pub gang: bool,
+    pub in_gang: bool,
 }
 
-impl Hold {
+impl TaskAttempt {
     /// Whether it takes room on the machine.
-    pub fn occupies(&self) -> bool {
-        self.phase != Phase::Exited
+    pub fn occupies_resources(&self) -> bool {
+        self.phase != AttemptPhase::Exited
     }
 }
 
 /// A direct command that has not been answered.
 #[derive(Debug, Clone, Copy)]
-pub struct Flight {
+pub struct InFlightCommand {
     /// Its number.
     pub id: u64,
     /// When it was sent.
-    pub sent: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// Orders to end what a report shows of jobs that are over.
-pub fn kills(report: &Report, over: &dyn Fn(JobId) -> bool) -> Vec<Order> {
+pub fn kills(report: &Heartbeat, over: &dyn Fn(JobId) -> bool) -> Vec<WorkerCommand> {
     let shown = report.tasks.iter().flatten().filter(|t| t.state != TaskState::Exited);
     let kill = |(task, attempt): (TaskId, u64)| {
-        over(task.job).then(|| Order::Kill { task: task.to_string(), attempt, grace_s: 0.0 })
+        over(task.job).then(|| WorkerCommand::Stop { task: task.to_string(), attempt, grace_s: 0.0 })
     };
     shown.filter_map(|t| kill((t.task?, t.attempt))).take(ORDERS_LIMIT).collect()
 }
@@ -129,41 +129,41 @@
     /// Room in all.
     pub capacity: Resources,
     /// Whether its enrolment is durable.
-    pub enrolment: Enrolment,
+    pub registration: Registration,
     /// Session of its last message.
-    pub session: AgentEpoch,
+    pub epoch: AgentEpoch,
     /// Order of its last message.
-    pub seq: MessageSequence,
+    pub sequence: MessageSequence,
     /// Whether it has seen this leader's token.
     pub fenced: bool,
     /// Its last report, answers to direct commands not counted: it has one under way at a time, so that
     /// what is not newer is a late copy, to whose answer nobody listens.
-    pub last_report: (AgentEpoch, MessageSequence),
+    pub last_heartbeat: (AgentEpoch, MessageSequence),
     /// The last report that was answered.
-    pub told: (AgentEpoch, MessageSequence),
+    pub last_answered_heartbeat: (AgentEpoch, MessageSequence),
     /// Whether it has come back to this node with the next report after an answered one.
-    pub regular: bool,
+    pub heartbeats_regularly: bool,
     /// When it was heard of last.
-    pub heard: Timestamp,
+    pub last_message_at: Timestamp,
     /// When it was last certain that something of ours reaches it. A machine whose reports arrive while
     /// answers and commands do not reach it is as good as silent.
-    pub reached: Timestamp,
+    pub last_reached_at: Timestamp,
     /// When a report of it was answered last.
-    pub answered: Timestamp,
+    pub last_answer_at: Timestamp,
     /// When it came into this leader's view.
-    pub since: Timestamp,
+    pub known_since: Timestamp,
     /// When the cloud takes it away.
-    pub notice: Option<Timestamp>,
+    pub reclaim_at: Option<Timestamp>,
     /// Attempts that it holds or may hold.
-    pub holds: BTreeMap<AttemptId, Hold>,
+    pub attempts: BTreeMap<AttemptId, TaskAttempt>,
     /// Images that it is believed to hold.
     pub images: BTreeSet<String>,
     /// Direct command under way.
-    pub flight: Option<Flight>,
+    pub in_flight_command: Option<InFlightCommand>,
     /// Last direct attempt to reach it.
-    pub probed: Timestamp,
+    pub last_probe_at: Timestamp,
     /// Direct attempts without answer since something reached it.
-    pub unanswered: u32,
+    pub unanswered_commands: u32,
     /// Gets no new tasks; why.
     pub draining: Option<&'static str>,
     /// Idle since.
@@ -174,64 +174,64 @@
 
 /// The end of an attempt, as a worker showed it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Exit {
+pub struct AttemptExit {
     /// The attempt.
-    pub key: AttemptId,
+    pub id: AttemptId,
     /// Why.
-    pub cause: Cause,
+    pub reason: ExitReason,
     /// When it had been ordered.
-    pub since: Timestamp,
+    pub requested_at: Timestamp,
     /// When it was first seen running.
     pub running_since: Option<Timestamp>,
     /// Predicted time from order to end.
-    pub predicted: Option<Duration>,
+    pub predicted_duration: Option<Duration>,
 }
 
 /// What a message of a worker showed.
 #[derive(Debug, PartialEq)]
-pub enum Event {
+pub enum MachineEvent {
     /// An attempt that this leader did not know; it is to be claimed or stopped.
-    Found {
+    AttemptFound {
         /// The attempt.
-        key: AttemptId,
+        id: AttemptId,
         /// Whether it has ended already.
-        ended: bool,
+        has_ended: bool,
     },
     /// A claimed attempt began to run.
-    Running(AttemptId),
+    AttemptRunning(AttemptId),
     /// The machine now holds this image.
-    Image(String),
+    ImageCached(String),
     /// An attempt ended.
-    Exited(Exit),
+    AttemptExited(AttemptExit),
     /// A claimed attempt is surely gone without an end.
-    Lost(TaskId),
+    AttemptLost(TaskId),
     /// The machine has now seen this leader's token.
     Fenced,
 }
 
 impl Machine {
     /// A machine that came into view.
-    pub fn new(record: MachineRecord, capacity: Resources, enrolment: Enrolment, now: Timestamp) -> Machine {
+    pub fn new(record: MachineRecord, capacity: Resources, enrolment: Registration, now: Timestamp) -> Machine {
         Machine {
             record,
             capacity,
-            enrolment,
-            session: AgentEpoch(0),
-            seq: MessageSequence(0),
+            registration: enrolment,
+            epoch: AgentEpoch(0),
+            sequence: MessageSequence(0),
             fenced: false,
-            last_report: (AgentEpoch(0), MessageSequence(0)),
-            told: (AgentEpoch(0), MessageSequence(0)),
-            regular: false,
-            heard: now,
-            reached: now,
-            answered: now,
-            since: now,
-            notice: None,
-            holds: BTreeMap::new(),
+            last_heartbeat: (AgentEpoch(0), MessageSequence(0)),
+            last_answered_heartbeat: (AgentEpoch(0), MessageSequence(0)),
+            heartbeats_regularly: false,
+            last_message_at: now,
+            last_reached_at: now,
+            last_answer_at: now,
+            known_since: now,
+            reclaim_at: None,
+            attempts: BTreeMap::new(),
             images: BTreeSet::new(),
-            flight: None,
-            probed: Timestamp::ZERO,
-            unanswered: 0,
+            in_flight_command: None,
+            last_probe_at: Timestamp::ZERO,
+            unanswered_commands: 0,
             draining: None,
             idle_since: None,
             failed_jobs: BTreeSet::new(),
@@ -244,32 +244,35 @@
     }
 
     /// Whether tasks may be started here, as far as the machine is concerned.
-    pub fn usable(&self) -> bool {
-        self.fenced && self.enrolment == Enrolment::Durable && self.draining.is_none() && self.notice.is_none()
+    pub fn accepts_tasks(&self) -> bool {
+        self.fenced
+            && self.registration == Registration::Durable
+            && self.draining.is_none()
+            && self.reclaim_at.is_none()
     }
 
     /// Whether something of ours reached it within this time.
-    pub fn in_reach(&self, now: Timestamp, within: Duration) -> bool {
-        now.since(self.reached) <= within
+    pub fn reached_within(&self, now: Timestamp, within: Duration) -> bool {
+        now.since(self.last_reached_at) <= within
     }
 
     /// Room that is not taken.
-    pub fn free(&self) -> Resources {
+    pub fn free_resources(&self) -> Resources {
         let mut free = self.capacity;
-        for hold in self.holds.values().filter(|h| h.occupies()) {
-            free.saturating_sub(&hold.need);
+        for hold in self.attempts.values().filter(|h| h.occupies_resources()) {
+            free.saturating_sub(&hold.resources);
         }
         free
     }
 
     /// Whether it holds another attempt of this task, in any state.
-    pub fn knows(&self, task: TaskId) -> bool {
-        self.holds.values().any(|h| h.task == task)
+    pub fn holds_task(&self, task: TaskId) -> bool {
+        self.attempts.values().any(|h| h.task == task)
     }
 
     /// Whether it holds an attempt of any task of this job, in any state.
-    pub fn knows_job(&self, job: JobId) -> bool {
-        self.holds.keys().any(|key| key.task.job == job)
+    pub fn holds_job(&self, job: JobId) -> bool {
+        self.attempts.keys().any(|key| key.task.job == job)
     }
 
     /// Notes a report's place among the others; false for a late copy of one, which shows nothing,
@@ -277,56 +280,62 @@
     ///
     /// A report that is older than the answer to a direct command is no copy: its worker may be waiting
     /// for it, and an answer would renew its lease.
-    pub fn report(&mut self, now: Timestamp, report: &Report, others: bool) -> bool {
-        let order = (AgentEpoch(report.session), MessageSequence(report.seq));
-        if order <= self.last_report || order.0 < self.session {
+    pub fn accept_heartbeat(&mut self, now: Timestamp, report: &Heartbeat, others: bool) -> bool {
+        let order = (AgentEpoch(report.epoch), MessageSequence(report.sequence));
+        if order <= self.last_heartbeat || order.0 < self.epoch {
             return false;
         }
-        self.last_report = order;
+        self.last_heartbeat = order;
         // A worker whose report got no answer goes to another node: one that comes back at once with
         // the next report has taken the last answer in.
-        if others && order == (self.told.0, MessageSequence(self.told.1.0 + 1)) {
-            self.reached(now);
-            self.regular = true;
+        if others && order == (self.last_answered_heartbeat.0, MessageSequence(self.last_answered_heartbeat.1.0 + 1)) {
+            self.note_reached(now);
+            self.heartbeats_regularly = true;
         }
         true
     }
 
     /// Something of ours has surely reached the machine.
-    pub fn reached(&mut self, now: Timestamp) {
-        self.reached = now;
-        self.unanswered = 0;
+    pub fn note_reached(&mut self, now: Timestamp) {
+        self.last_reached_at = now;
+        self.unanswered_commands = 0;
     }
 
     /// Takes a message (report or answer to a command) and says what it showed.
     ///
     /// Older messages than the last one change nothing: their task list is as old as they are.
-    pub fn message(&mut self, now: Timestamp, report: &Report, token: FencingToken, out: &mut Vec<Event>) {
-        let (session, seq) = (AgentEpoch(report.session), MessageSequence(report.seq));
-        if (session, seq) <= (self.session, self.seq) {
+    pub fn apply_message(
+        &mut self,
+        now: Timestamp,
+        report: &Heartbeat,
+        token: FencingToken,
+        out: &mut Vec<MachineEvent>,
+    ) {
+        let (session, seq) = (AgentEpoch(report.epoch), MessageSequence(report.sequence));
+        if (session, seq) <= (self.epoch, self.sequence) {
             return;
         }
-        if session > self.session {
-            if self.session.0 > 0 {
+        if session > self.epoch {
+            if self.epoch.0 > 0 {
                 // The lease ran out: the worker has killed and forgotten every task, and no direct
                 // command of the earlier session is executed any more.
-                self.drop_holds(out);
+                self.drop_attempts(out);
             }
-            self.session = session;
+            self.epoch = session;
             // A session's lease counts from its beginning. Counting on from the last answer of the
             // session before gave tasks up that still ran, and started them twice.
-            self.answered = now;
+            self.last_answer_at = now;
         }
-        self.seq = seq;
-        self.heard = now;
+        self.sequence = seq;
+        self.last_message_at = now;
         self.record.endpoint.clone_from(&report.endpoint);
-        self.notice = report.notice_s.map(|s| now + Duration::from_secs_f64(s));
-        if report.token == token.0 && !self.fenced {
+        self.reclaim_at = report.reclaim_in_s.map(|s| now + Duration::from_secs_f64(s));
+        if report.fencing_token == token.0 && !self.fenced {
             self.fenced = true;
             // An earlier leader may have renewed the lease up to now, but no longer.
-            self.answered = now;
-            self.reached(now);
-            out.push(Event::Fenced);
+            self.last_answer_at = now;
+            self.note_reached(now);
+            out.push(MachineEvent::Fenced);
         }
         if !self.fenced {
             // What is on it can still change by an earlier leader's word.
@@ -337,82 +346,93 @@
             let Some(task) = item.task else { continue };
             let key = AttemptId { attempt: AttemptNumber(item.attempt), task };
             shown.push(key);
-            self.shown(now, key, item.state, item.cause, out);
+            self.apply_task_status(now, key, item.state, item.exit_reason, out);
         }
         shown.sort_unstable();
-        let gone: Vec<AttemptId> =
-            self.holds.iter().filter(|(a, h)| h.seen && shown.binary_search(a).is_err()).map(|(a, _)| *a).collect();
+        let gone: Vec<AttemptId> = self
+            .attempts
+            .iter()
+            .filter(|(a, h)| h.acknowledged && shown.binary_search(a).is_err())
+            .map(|(a, _)| *a)
+            .collect();
         for key in gone {
             // Reaped, as ordered; a claimed one that vanished is treated as lost.
-            if let Some(hold) = self.holds.remove(&key)
-                && hold.claimed
+            if let Some(hold) = self.attempts.remove(&key)
+                && hold.assigned
             {
-                out.push(Event::Lost(hold.task));
+                out.push(MachineEvent::AttemptLost(hold.task));
             }
         }
     }
 
-    fn shown(&mut self, now: Timestamp, key: AttemptId, state: TaskState, cause: Option<Cause>, out: &mut Vec<Event>) {
+    fn apply_task_status(
+        &mut self,
+        now: Timestamp,
+        key: AttemptId,
+        state: TaskState,
+        cause: Option<ExitReason>,
+        out: &mut Vec<MachineEvent>,
+    ) {
         let phase = match state {
-            TaskState::Fetching | TaskState::Other => Phase::Fetching,
-            TaskState::Gathering => Phase::Gathering,
-            TaskState::Running => Phase::Running,
-            TaskState::Flushing => Phase::Saving,
-            TaskState::Exited => Phase::Exited,
+            TaskState::Fetching | TaskState::Other => AttemptPhase::Fetching,
+            TaskState::AwaitingGang => AttemptPhase::AwaitingGang,
+            TaskState::Running => AttemptPhase::Running,
+            TaskState::Checkpointing => AttemptPhase::Checkpointing,
+            TaskState::Exited => AttemptPhase::Exited,
         };
-        if let std::collections::btree_map::Entry::Vacant(slot) = self.holds.entry(key) {
-            slot.insert(Hold {
+        if let std::collections::btree_map::Entry::Vacant(slot) = self.attempts.entry(key) {
+            slot.insert(TaskAttempt {
                 task: key.task,
-                phase: if phase == Phase::Exited { Phase::Ordered } else { phase },
-                seen: true,
-                doubt: Doubt::None,
-                stop: Some(0.0),
+                phase: if phase == AttemptPhase::Exited { AttemptPhase::StartRequested } else { phase },
+                acknowledged: true,
+                start_uncertainty: StartUncertainty::None,
+                stop_grace_s: Some(0.0),
                 start_sent: true,
                 stop_sent: false,
-                direct: false,
-                ended: now,
-                reapable: true,
-                claimed: false,
-                need: Resources::default(),
-                rank: 3,
+                started_directly: false,
+                ended_at: now,
+                forgettable: true,
+                assigned: false,
+                resources: Resources::default(),
+                priority: 3,
                 image: String::new(),
-                since: now,
-                running_since: (phase == Phase::Running).then_some(now),
-                predicted: None,
-                gang: false,
+                requested_at: now,
+                running_since: (phase == AttemptPhase::Running).then_some(now),
+                predicted_duration: None,
+                in_gang: false,
             });
-            out.push(Event::Found { key, ended: phase == Phase::Exited });
+            out.push(MachineEvent::AttemptFound { id: key, has_ended: phase == AttemptPhase::Exited });
         }
-        let Some(hold) = self.holds.get_mut(&key) else { return };
-        if !std::mem::replace(&mut hold.seen, true) {
+        let Some(hold) = self.attempts.get_mut(&key) else { return };
+        if !std::mem::replace(&mut hold.acknowledged, true) {
             // It has taken our order in.
-            self.reached = now;
-            self.unanswered = 0;
+            self.last_reached_at = now;
+            self.unanswered_commands = 0;
         }
         if hold.phase == phase {
             return;
         }
         hold.phase = phase;
         match phase {
-            Phase::Running | Phase::Gathering => {
+            AttemptPhase::Running | AttemptPhase::AwaitingGang => {
                 if !hold.image.is_empty() && self.images.insert(hold.image.clone()) {
-                    out.push(Event::Image(hold.image.clone()));
+                    out.push(MachineEvent::ImageCached(hold.image.clone()));
                 }
-                if phase == Phase::Running {
+                if phase == AttemptPhase::Running {
                     hold.running_since = Some(now);
-                    if hold.claimed {
-                        out.push(Event::Running(key));
+                    if hold.assigned {
+                        out.push(MachineEvent::AttemptRunning(key));
                     }
                 }
             }
-            Phase::Exited => {
-                hold.ended = now;
-                out.push(Event::Exited(Exit {
-                    key,
-                    cause: cause.unwrap_or(Cause::Other),
-                    since: hold.since,
+            AttemptPhase::Exited => {
+                hold.ended_at = now;
+                out.push(MachineEvent::AttemptExited(AttemptExit {
+                    id: key,
+                    reason: cause.unwrap_or(ExitReason::Other),
+                    requested_at: hold.requested_at,
                     running_since: hold.running_since,
-                    predicted: hold.predicted,
+                    predicted_duration: hold.predicted_duration,
                 }));
             }
             _ => {}
@@ -420,13 +440,13 @@
     }
 
     /// All attempts are surely gone: the lease is over, or the machine is.
-    pub fn drop_holds(&mut self, out: &mut Vec<Event>) {
-        for (_, hold) in std::mem::take(&mut self.holds) {
-            if hold.claimed {
-                out.push(Event::Lost(hold.task));
+    pub fn drop_attempts(&mut self, out: &mut Vec<MachineEvent>) {
+        for (_, hold) in std::mem::take(&mut self.attempts) {
+            if hold.assigned {
+                out.push(MachineEvent::AttemptLost(hold.task));
             }
         }
-        self.flight = None;
+        self.in_flight_command = None;
     }
 
     /// The orders for a report's answer, which is never executed late.
@@ -436,30 +456,31 @@
     /// knows it, and a late copy of the direct `run` finds it exited. For the same reason the worker is
     /// left with an ended attempt that was started directly for `keep`: once it has forgotten it, a copy
     /// of the command, carried out late although the command was answered, would start it anew.
-    pub fn orders(&mut self, now: Timestamp, keep: Duration) -> Vec<Order> {
+    pub fn heartbeat_commands(&mut self, now: Timestamp, keep: Duration) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
-        let mut too_many = self.holds.values().filter(|h| !h.occupies()).count().saturating_sub(ENDED_LIMIT);
-        for (key, hold) in &mut self.holds {
+        let mut too_many =
+            self.attempts.values().filter(|h| !h.occupies_resources()).count().saturating_sub(ENDED_LIMIT);
+        for (key, hold) in &mut self.attempts {
             // Most attempts need no order, so their names are not written out.
             let (task, attempt) = (key.task, key.attempt.0);
-            if hold.phase == Phase::Exited {
-                let safe = !hold.direct || now.since(hold.ended) >= keep;
-                if hold.reapable && hold.doubt == Doubt::None && (safe || too_many > 0) {
+            if hold.phase == AttemptPhase::Exited {
+                let safe = !hold.started_directly || now.since(hold.ended_at) >= keep;
+                if hold.forgettable && hold.start_uncertainty == StartUncertainty::None && (safe || too_many > 0) {
                     too_many = too_many.saturating_sub(1);
-                    orders.push(Order::Reap { task: task.to_string(), attempt });
+                    orders.push(WorkerCommand::Forget { task: task.to_string(), attempt });
                 }
                 continue;
             }
-            if !hold.seen {
+            if !hold.acknowledged {
                 hold.start_sent = true;
-                orders.push(Order::Run { task: task.to_string(), attempt });
+                orders.push(WorkerCommand::Start { task: task.to_string(), attempt });
             }
             // One that saves is ended by a second order, when there is nothing to save it for any more.
-            if let Some(grace_s) = hold.stop
-                && (hold.phase != Phase::Saving || grace_s == 0.0)
+            if let Some(grace_s) = hold.stop_grace_s
+                && (hold.phase != AttemptPhase::Checkpointing || grace_s == 0.0)
             {
                 hold.stop_sent = true;
-                orders.push(Order::Kill { task: task.to_string(), attempt, grace_s });
+                orders.push(WorkerCommand::Stop { task: task.to_string(), attempt, grace_s });
             }
             if orders.len() >= ORDERS_LIMIT {
                 break;
@@ -471,20 +492,20 @@
     /// The orders for a direct command: starts that were not sent and stops of what was seen.
     ///
     /// What went with the answer to a report is not sent again: the next answer repeats it if need be.
-    pub fn direct_orders(&mut self, command: u64) -> Vec<Order> {
+    pub fn direct_commands(&mut self, command: u64) -> Vec<WorkerCommand> {
         let mut orders = Vec::new();
-        for (key, hold) in &mut self.holds {
+        for (key, hold) in &mut self.attempts {
             let (task, attempt) = (key.task, key.attempt.0);
-            match hold.stop {
-                None if !hold.seen && !hold.start_sent => {
+            match hold.stop_grace_s {
+                None if !hold.acknowledged && !hold.start_sent => {
                     hold.start_sent = true;
-                    hold.doubt = Doubt::InFlight(command);
-                    hold.direct = true;
-                    orders.push(Order::Run { task: task.to_string(), attempt });
+                    hold.start_uncertainty = StartUncertainty::InFlight(command);
+                    hold.started_directly = true;
+                    orders.push(WorkerCommand::Start { task: task.to_string(), attempt });
                 }
-                Some(grace_s) if hold.seen && hold.occupies() && !hold.stop_sent => {
+                Some(grace_s) if hold.acknowledged && hold.occupies_resources() && !hold.stop_sent => {
                     hold.stop_sent = true;
-                    orders.push(Order::Kill { task: task.to_string(), attempt, grace_s });
+                    orders.push(WorkerCommand::Stop { task: task.to_string(), attempt, grace_s });
                 }
                 _ => {}
             }
@@ -496,27 +517,27 @@
     }
 
     /// A direct command was answered (`answered`) or may still be executed.
-    pub fn command_over(&mut self, now: Timestamp, command: u64, answered: bool) {
+    pub fn command_finished(&mut self, now: Timestamp, command: u64, answered: bool) {
         if answered {
-            self.reached(now);
+            self.note_reached(now);
         } else {
-            self.unanswered += 1;
+            self.unanswered_commands += 1;
         }
-        if self.flight.is_some_and(|f| f.id == command) {
-            self.flight = None;
+        if self.in_flight_command.is_some_and(|f| f.id == command) {
+            self.in_flight_command = None;
         }
-        for hold in self.holds.values_mut().filter(|h| h.doubt == Doubt::InFlight(command)) {
-            hold.doubt = if answered { Doubt::None } else { Doubt::Lost };
+        for hold in self.attempts.values_mut().filter(|h| h.start_uncertainty == StartUncertainty::InFlight(command)) {
+            hold.start_uncertainty = if answered { StartUncertainty::None } else { StartUncertainty::Lost };
         }
     }
 
     /// Orders an attempt to stop; true if the machine is to be told.
-    pub fn stop(&mut self, key: AttemptId, grace_s: f64) -> bool {
-        if let Some(hold) = self.holds.get_mut(&key)
-            && hold.occupies()
-            && hold.stop.is_none_or(|g| g > grace_s)
+    pub fn request_stop(&mut self, key: AttemptId, grace_s: f64) -> bool {
+        if let Some(hold) = self.attempts.get_mut(&key)
+            && hold.occupies_resources()
+            && hold.stop_grace_s.is_none_or(|g| g > grace_s)
         {
-            hold.stop = Some(grace_s);
+            hold.stop_grace_s = Some(grace_s);
             hold.stop_sent = false;
             return true;
         }
--- a/src/records/parts.rs
+++ b/src/write_ahead_log/fragments.rs
@@ -3,7 +3,7 @@
 //! No such fact is accepted, but one may be stored from a time at which values could be larger. In a snapshot it is written in parts, which
 //! are put together again when they are read.
 
-use super::Record;
+use super::LogRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
 }
 
 /// A fact's JSON in parts of which each fits into a value of `value_bytes`.
-pub fn split(fact: u32, json: &str, value_bytes: usize) -> Vec<Record> {
+pub fn split(fact: u32, json: &str, value_bytes: usize) -> Vec<LogRecord> {
     let most = (value_bytes.saturating_sub(PART_OVERHEAD) / ESCAPED).max(4);
     let mut pieces: Vec<String> = vec![String::new()];
     for character in json.chars() {
@@ -43,7 +43,7 @@
     }
     let count = pieces.len() as u32;
     let parts = (0..).zip(pieces).map(|(index, text)| Part { fact, index, count, text });
-    parts.map(Record::Part).collect()
+    parts.map(LogRecord::Fragment).collect()
 }
 
 /// Parts that were read, until their facts are complete.
@@ -54,7 +54,7 @@
 
 impl Assembly {
     /// Takes a part; the fact, if this was its last one.
-    pub fn take(&mut self, part: Part) -> Option<Record> {
+    pub fn take(&mut self, part: Part) -> Option<LogRecord> {
         let pieces = self.facts.entry(part.fact).or_default();
         pieces.insert(part.index, part.text);
         if pieces.len() < part.count as usize {
