--- a/tests/characterization/frames.rs
+++ b/tests/characterization/frames.rs
@@ -1,4 +1,4 @@
-//! The bytes of frames between controllers. Requests, answers and announcements are pinned by `tests/versions.rs`.
+//! The bytes of frames between controllers. Requests, answers and announcements are pinned by `tests/production_compatibility.rs`.
 
 use crate::fixture::{self, example, example_of, from_hexadecimal, hexadecimal};
 use caperstile::peers::{BODY_LIMIT, Frame, HEADER_BYTES};
--- a/tests/characterization/main.rs
+++ b/tests/characterization/main.rs
@@ -2,7 +2,7 @@
 //!
 //! What is stored, what goes over the wire and what operators type and read must not change when types and fields get other names.
 //! Each module pins one of these by examples in `tests/fixtures/`. Not pinned twice: stored data of whole runs and the frames of
-//! users' requests, their answers and a leader's announcement (`tests/versions.rs`), and when a command is refused in a running
+//! users' requests, their answers and a leader's announcement (`tests/production_compatibility.rs`), and when a command is refused in a running
 //! service (`tests/drain_processes.rs`).
 
 mod answers;
--- a/tests/sizes.rs
+++ b/tests/scale_measurements.rs
@@ -1,6 +1,6 @@
 //! Up to 4,000 machines on the stand-ins. These take minutes and print what they measure, so CI leaves them out:
 //!
-//!     cargo test --release --test sizes -- --ignored --nocapture --test-threads 1
+//!     cargo test --release --test scale_measurements -- --ignored --nocapture --test-threads 1
 
 mod support;
 
