--- a/src/runtime/http.rs
+++ b/src/runtime/http.rs
@@ -13,21 +13,21 @@
 use warp::http::{Method, Response, StatusCode};
 
 /// Largest body that is read.
-const BODY_LIMIT: usize = 64 * 1024;
+const BODY_LIMIT_BYTES: usize = 64 * 1024;
 /// A connection on which nobody asks for so long is closed: workers report and users poll more often,
 /// and sockets are few after an election.
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What came over HTTP.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ApiRequest {
     /// A user's request.
     User(UserRequest),
     /// A worker's report.
     Heartbeat(Box<Heartbeat>),
     /// A health check.
-    Up,
+    HealthCheck,
 }
 
 /// Accepts connections for ever.
@@ -38,8 +38,8 @@
         move |method: Method, path: warp::path::FullPath, body| {
             let (tell, free) = (tell.clone(), free.clone());
             async move {
-                let answer = answer(&method, path.as_str(), body, tell).await;
-                response(answer, needed(path.as_str(), free.available_permits(), connections))
+                let answer = handle_request(&method, path.as_str(), body, tell).await;
+                response(answer, must_close(path.as_str(), free.available_permits(), connections))
             }
         },
     );
@@ -60,7 +60,7 @@
             tokio::spawn(async move {
                 let served = hyper::server::conn::http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(IDLE)
+                    .header_read_timeout(IDLE_CONNECTION_TIMEOUT)
                     .max_buf_size(80 * 1024)
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -77,7 +77,7 @@
 /// next connection may be to another node, while a worker has to come back here.
 ///
 /// With more workers than sockets those that come last were left waiting until their leases ran out.
-fn needed(path: &str, free: usize, all: usize) -> bool {
+fn must_close(path: &str, free: usize, all: usize) -> bool {
     free < if path.starts_with("/work") { all / 4 } else { all / 16 }
 }
 
@@ -95,46 +95,46 @@
     builder.body(answer.body).unwrap_or_default()
 }
 
-fn plain(status: u16, why: &str) -> ApiResponse {
+fn refusal(status: u16, why: &str) -> ApiResponse {
     ApiResponse { retry_after: if status == 503 { 1 } else { 0 }, ..ApiResponse::error(status, why) }
 }
 
-async fn answer<S, B, E>(method: &Method, path: &str, body: S, tell: mpsc::Sender<Message>) -> ApiResponse
+async fn handle_request<S, B, E>(method: &Method, path: &str, body: S, tell: mpsc::Sender<Message>) -> ApiResponse
 where
     S: futures_core::Stream<Item = Result<B, E>> + Send,
     B: Buf,
 {
-    let body = match tokio::time::timeout(BODY_TIMEOUT, read(body)).await {
+    let body = match tokio::time::timeout(BODY_TIMEOUT, read_body(body)).await {
         Ok(Ok(body)) => body,
         Ok(Err(answer)) => return answer,
         // Not 400: what is late is not malformed, and the same submission may have been accepted before.
-        Err(_) => return plain(408, "the body did not arrive"),
+        Err(_) => return refusal(408, "the body did not arrive"),
     };
     let asked = match (method.as_str(), path.strip_prefix("/work")) {
-        ("POST", Some("")) => Asked::User(UserRequest::Submit(body)),
+        ("POST", Some("")) => ApiRequest::User(UserRequest::Submit(body)),
         (verb, Some(rest)) if rest.starts_with('/') => match (verb, rest[1..].strip_suffix("/withdraw")) {
-            ("POST", Some(id)) => Asked::User(UserRequest::Cancel(id.to_string())),
-            ("GET", None) => Asked::User(UserRequest::Get(rest[1..].to_string())),
-            _ => return plain(405, "no such method here"),
+            ("POST", Some(id)) => ApiRequest::User(UserRequest::Cancel(id.to_string())),
+            ("GET", None) => ApiRequest::User(UserRequest::Get(rest[1..].to_string())),
+            _ => return refusal(405, "no such method here"),
         },
         ("POST", None) if path == "/v1/report" => match serde_json::from_slice::<Heartbeat>(&body) {
-            Ok(report) => Asked::Heartbeat(Box::new(report)),
-            Err(e) => return plain(400, &format!("malformed report: {e}")),
+            Ok(report) => ApiRequest::Heartbeat(Box::new(report)),
+            Err(e) => return refusal(400, &format!("malformed report: {e}")),
         },
-        ("GET", None) if path == "/up" => Asked::Up,
-        (_, None) if path == "/up" || path == "/v1/report" => return plain(405, "no such method here"),
-        (_, Some("")) => return plain(405, "no such method here"),
-        _ => return plain(404, "no such path"),
+        ("GET", None) if path == "/up" => ApiRequest::HealthCheck,
+        (_, None) if path == "/up" || path == "/v1/report" => return refusal(405, "no such method here"),
+        (_, Some("")) => return refusal(405, "no such method here"),
+        _ => return refusal(404, "no such path"),
     };
     let (to, from) = oneshot::channel();
     if tell.try_send(Message::Request(asked, to)).is_err() {
-        return plain(503, "too busy");
+        return refusal(503, "too busy");
     }
-    from.await.unwrap_or_else(|_| plain(503, "no answer"))
+    from.await.unwrap_or_else(|_| refusal(503, "no answer"))
 }
 
 /// Reads a body up to the limit; what is longer is refused without being read.
-async fn read<S, B, E>(body: S) -> Result<Vec<u8>, ApiResponse>
+async fn read_body<S, B, E>(body: S) -> Result<Vec<u8>, ApiResponse>
 where
     S: futures_core::Stream<Item = Result<B, E>> + Send,
     B: Buf,
@@ -142,11 +142,11 @@
     let mut body = std::pin::pin!(body);
     let mut bytes = Vec::new();
     while let Some(part) = std::future::poll_fn(|cx| body.as_mut().poll_next(cx)).await {
-        let Ok(mut part) = part else { return Err(plain(408, "the body broke off")) };
+        let Ok(mut part) = part else { return Err(refusal(408, "the body broke off")) };
         while part.has_remaining() {
             let chunk = part.chunk();
-            if bytes.len() + chunk.len() > BODY_LIMIT {
-                return Err(plain(413, "the body is larger than 64 KiB"));
+            if bytes.len() + chunk.len() > BODY_LIMIT_BYTES {
+                return Err(refusal(413, "the body is larger than 64 KiB"));
             }
             bytes.extend_from_slice(chunk);
             let n = chunk.len();
--- a/src/runtime/http/tests.rs
+++ b/src/runtime/http/tests.rs
@@ -3,20 +3,20 @@
 
 #[test]
 fn connections_are_closed_by_need_and_those_of_users_first() {
-    let closed = |free| (needed("/work/job-000001", free, 1600), needed("/v1/report", free, 1600));
+    let closed = |free| (must_close("/work/job-000001", free, 1600), must_close("/v1/report", free, 1600));
     assert_eq!(closed(400), (false, false));
     assert_eq!(closed(399), (true, false));
     assert_eq!(closed(99), (true, true));
 }
 
 /// What the core is asked by a request, and what it answers to it.
-fn core(asked: &Asked) -> ApiResponse {
+fn core(asked: &ApiRequest) -> ApiResponse {
     let asked = match asked {
-        Asked::User(UserRequest::Submit(body)) => format!("submit {}", String::from_utf8_lossy(body)),
-        Asked::User(UserRequest::Get(id)) => format!("get {id}"),
-        Asked::User(UserRequest::Cancel(id)) => format!("cancel {id}"),
-        Asked::Heartbeat(report) => format!("report {}", report.machine),
-        Asked::Up => "up".into(),
+        ApiRequest::User(UserRequest::Submit(body)) => format!("submit {}", String::from_utf8_lossy(body)),
+        ApiRequest::User(UserRequest::Get(id)) => format!("get {id}"),
+        ApiRequest::User(UserRequest::Cancel(id)) => format!("cancel {id}"),
+        ApiRequest::Heartbeat(report) => format!("report {}", report.machine),
+        ApiRequest::HealthCheck => "up".into(),
     };
     let retry_after = if asked == "up" { 3 } else { 0 };
     ApiResponse { status: 200, retry_after, body: json!({"asked": asked}).to_string() }
@@ -44,7 +44,7 @@
 fn paths_and_their_answers_are_as_before() {
     use crate::fixture::{assert_examples, example};
     let report = r#"{"Host":"m-000231","Endpoint":"10.1.0.232:9000","Build":"g8","Yard":"a","Shift":1,"Tally":88}"#;
-    let large = "x".repeat(BODY_LIMIT + 1);
+    let large = "x".repeat(BODY_LIMIT_BYTES + 1);
     let requests = [
         ("POST /work", "{\"Ref\":\"job-000412\"}"),
         ("GET /work/job-000412", ""),
--- a/src/runtime/inbox.rs
+++ b/src/runtime/inbox.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 /// What comes next.
-pub enum Next {
+pub enum NextMessage {
     /// To be fed to the core.
     Serve(Message),
     /// To be refused at once.
@@ -23,16 +23,16 @@
         UserRequest::Cancel(_) => RequestClass::Cancellation,
     };
     match message {
-        Message::Request(http::Asked::User(call), _) | Message::Input(Input::User(_, call)) => of_call(call),
-        Message::Request(http::Asked::Heartbeat(_) | http::Asked::Up, _) => RequestClass::Heartbeat,
-        Message::Input(_) | Message::Linked(..) | Message::TakesTables(_) | Message::Unlinked(_) => {
+        Message::Request(http::ApiRequest::User(call), _) | Message::Input(Input::User(_, call)) => of_call(call),
+        Message::Request(http::ApiRequest::Heartbeat(_) | http::ApiRequest::HealthCheck, _) => RequestClass::Heartbeat,
+        Message::Input(_) | Message::PeerLinkOpened(..) | Message::PeerTakesTables(_) | Message::PeerLinkClosed(_) => {
             RequestClass::Internal
         }
     }
 }
 
 /// Whether whoever asked has closed the connection.
-fn hung_up(message: &Message) -> bool {
+fn requester_gone(message: &Message) -> bool {
     matches!(message, Message::Request(_, to) if to.is_closed())
 }
 
@@ -49,25 +49,25 @@
     }
 
     /// The next message; waits for one if there is none. `None` once nobody can send any more.
-    pub async fn next(&mut self, now: Timestamp) -> Option<Next> {
+    pub async fn next(&mut self, now: Timestamp) -> Option<NextMessage> {
         while let Ok(message) = self.channel.try_recv() {
-            if let Some(refused) = self.enter(now, message) {
+            if let Some(refused) = self.enqueue(now, message) {
                 return Some(refused);
             }
         }
         if self.queue.is_empty() {
-            return self.channel.recv().await.map(Next::Serve);
+            return self.channel.recv().await.map(NextMessage::Serve);
         }
         self.queue.pop(now).map(|popped| match popped {
-            Popped::Serve(message) if hung_up(&message) => Next::Refuse(message, Shed::Abandoned),
-            Popped::Serve(message) => Next::Serve(message),
-            Popped::Shed(message, why) => Next::Refuse(message, why),
+            Popped::Serve(message) if requester_gone(&message) => NextMessage::Refuse(message, Shed::Abandoned),
+            Popped::Serve(message) => NextMessage::Serve(message),
+            Popped::Shed(message, why) => NextMessage::Refuse(message, why),
         })
     }
 
-    fn enter(&mut self, now: Timestamp, message: Message) -> Option<Next> {
+    fn enqueue(&mut self, now: Timestamp, message: Message) -> Option<NextMessage> {
         let class = class_of(&message);
         let refused = self.queue.push(now, class, message).err()?;
-        Some(Next::Refuse(refused, Shed::Overload))
+        Some(NextMessage::Refuse(refused, Shed::Overload))
     }
 }
--- a/src/runtime/links.rs
+++ b/src/runtime/links.rs
@@ -90,11 +90,11 @@
 async fn serve(stream: TcpStream, link: u64, tell: mpsc::Sender<Message>) {
     let _ = stream.set_nodelay(true);
     let (answers, mut queue) = mpsc::channel::<Frame>(QUEUE);
-    if tell.send(Message::Linked(link, answers)).await.is_err() {
+    if tell.send(Message::PeerLinkOpened(link, answers)).await.is_err() {
         return;
     }
     let request = |frame: Frame| match frame {
-        hello if hello.is_hello() => Some(Message::TakesTables(link)),
+        hello if hello.is_hello() => Some(Message::PeerTakesTables(link)),
         Frame::Request(id, call) => Some(Message::Input(Input::User(RequestOrigin::Peer(link, id), call))),
         Frame::LeaderAnnouncement(token, node) => {
             Some(Message::Input(Input::LeaderAnnounced(node, FencingToken(token))))
@@ -103,7 +103,7 @@
         Frame::Response(..) | Frame::AdmissionTable(_) => None,
     };
     carry(stream, &mut queue, &tell, request).await;
-    let _ = tell.send(Message::Unlinked(link)).await;
+    let _ = tell.send(Message::PeerLinkClosed(link)).await;
 }
 
 /// The admission table that a frame carries; `None` for one that cannot be read, as of a later version.
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -77,7 +77,10 @@
                 let _ = to.send(answer);
             }
             Message::Input(Input::User(origin, _)) => self.answer(origin, answer),
-            Message::Input(_) | Message::Linked(..) | Message::TakesTables(_) | Message::Unlinked(_) => {}
+            Message::Input(_)
+            | Message::PeerLinkOpened(..)
+            | Message::PeerTakesTables(_)
+            | Message::PeerLinkClosed(_) => {}
         }
     }
 
