--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -31,7 +31,7 @@
         self.memory = self.memory.saturating_sub(other.memory);
     }
     /// How many times `self` fits into `available`.
-    pub fn copies_in(&self, available: &Resources) -> u64 {
+    pub fn count_fitting(&self, available: &Resources) -> u64 {
         let copies = |need: u64, have: u64| have.checked_div(need).unwrap_or(u64::MAX);
         let by_cpu = copies(self.cpus, available.cpus);
         let by_gpu = copies(self.gpus, available.gpus);
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -36,7 +36,7 @@
     let id = fields.text(field::JOB)?.parse().map_err(|_| malformed(field::JOB, "has the wrong form"))?;
     let class = fields.text(field::CLASS)?;
     let team = fields.text(field::TEAM)?;
-    let shape = JOB_SHAPES[fields.word(field::SHAPE, &JOB_SHAPES.map(JobShape::word))?];
+    let shape = JOB_SHAPES[fields.word(field::SHAPE, &JOB_SHAPES.map(JobShape::protocol_name))?];
     let is_service = shape == JobShape::Service;
     let priority = fields.word(field::PRIORITY, &PRIORITIES)? as u8;
     let task_count = fields.task_count()?;
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -101,7 +101,7 @@
             refused,
             left_out: 0,
         };
-        let bytes = (self.settings.deployment.state.value_kb_always() * 1024.0) as usize;
+        let bytes = (self.settings.deployment.state.guaranteed_value_kb() * 1024.0) as usize;
         let value = serde_json::to_value(status.fit(bytes.saturating_sub(VALUE_MARGIN_BYTES))).unwrap_or_default();
         let swap = CompareAndSwap {
             conditions: vec![condition(self.format.leader_key(), Revision(self.token.0))],
--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -55,7 +55,7 @@
     /// How many direct commands may be in flight. There are fewer while inputs are taken late, since the answers to heartbeats do
     /// the same, only later.
     pub(crate) fn max_commands_in_flight(&self) -> usize {
-        let max_commands = self.settings.deployment.resources.commands_at_once();
+        let max_commands = self.settings.deployment.resources.max_concurrent_commands();
         let delay_steps = self.planning.pacing.input_delay.as_millis() / INPUT_DELAY_STEP.as_millis();
         (max_commands / (1 + delay_steps as usize)).max(MIN_COMMANDS_IN_FLIGHT)
     }
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -47,8 +47,8 @@
     }
     let state = &settings.deployment.state;
     let limits = StoreLimits {
-        max_value_bytes: ((state.value_kb_always() * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES),
-        max_operations: state.txn_ops_always(),
+        max_value_bytes: ((state.guaranteed_value_kb() * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES),
+        max_operations: state.guaranteed_txn_ops(),
         writes_per_second: state.write_rates().1 * WRITE_RATE_SHARE,
     };
     Some(Coordinator::new(settings.policy.clone(), now, limits))
--- a/src/leader/drains/fleet_view.rs
+++ b/src/leader/drains/fleet_view.rs
@@ -27,7 +27,7 @@
 impl<'a> FleetView<'a> {
     /// What a leader knows now.
     pub(super) fn new(leader: &'a Leader, now: Timestamp, wall: WallClock) -> FleetView<'a> {
-        FleetView { leader, now, wall, overdue: leader.settings.deployment.workers.overdue() }
+        FleetView { leader, now, wall, overdue: leader.settings.deployment.workers.heartbeat_overdue_after() }
     }
 
     fn is_reachable(&self, machine: &Machine) -> bool {
--- a/src/leader/drains/spare_capacity.rs
+++ b/src/leader/drains/spare_capacity.rs
@@ -158,7 +158,7 @@
     /// How many more tasks of a job fit.
     pub(crate) fn remaining_tasks(&self, job: &Job) -> u64 {
         let machines = self.machines.iter().filter(|machine| self.allows(job, machine));
-        machines.map(|machine| job.spec.resources.copies_in(&machine.free)).sum()
+        machines.map(|machine| job.spec.resources.count_fitting(&machine.free)).sum()
     }
 }
 
@@ -168,7 +168,7 @@
 
 /// On-demand machines that accept tasks and are reachable.
 fn running_machines<'a>(leader: &'a Leader, excluded: &BTreeSet<MachineId>) -> Vec<MachineCapacity<'a>> {
-    let overdue = leader.settings.deployment.workers.overdue();
+    let overdue = leader.settings.deployment.workers.heartbeat_overdue_after();
     // One that is unreachable, as all are in a zone that is cut off, is no place to move to.
     let is_open = |machine: &&Machine| {
         !excluded.contains(&machine.id())
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -24,8 +24,8 @@
     lease_valid: bool,
     leader_since: Timestamp,
     last_fenced_at: Timestamp,
-    unreached_after: Duration,
-    release_unreached_after: Duration,
+    unreachable_after: Duration,
+    release_unreachable_after: Duration,
     lease_expired_after: Duration,
     /// Most machines are out of reach at once, and not because of a zone: it is this node that is cut off.
     node_isolated: bool,
@@ -37,7 +37,7 @@
 impl HealthCheck<'_> {
     /// Whether nothing of ours has reached the machine for longer than between two heartbeats.
     fn is_unreached(&self, machine: &Machine) -> bool {
-        self.now.since(machine.last_reached_at) >= self.unreached_after
+        self.now.since(machine.last_reached_at) >= self.unreachable_after
     }
 
     /// Whether the machine does not answer a new leader while the others of its zone did, so that it alone holds older jobs
@@ -86,7 +86,7 @@
         } else if self.node_isolated {
             self.lease_expired_after
         } else {
-            self.release_unreached_after
+            self.release_unreachable_after
         }
     }
 
@@ -99,7 +99,7 @@
         if !timed_out || !unanswered || self.is_retained(machine) {
             return None;
         }
-        let is_silent = !machine.fenced || self.now.since(machine.last_message_at) >= self.unreached_after;
+        let is_silent = !machine.fenced || self.now.since(machine.last_message_at) >= self.unreachable_after;
         Some(if is_silent { DrainReason::Silent } else { DrainReason::Unreachable })
     }
 }
@@ -193,8 +193,8 @@
             lease_valid,
             leader_since: self.leader_since,
             last_fenced_at: self.fencing.last_fenced_at,
-            unreached_after: times.unreached_after(),
-            release_unreached_after: times.release_unreached_after(),
+            unreachable_after: times.unreachable_after(),
+            release_unreachable_after: times.release_unreachable_after(),
             lease_expired_after: times.lease_expired_after(),
             node_isolated,
             mostly_unfenced_zones: self.mostly_unfenced_zones(),
--- a/src/leader/failure_detection/zones.rs
+++ b/src/leader/failure_detection/zones.rs
@@ -2,7 +2,7 @@
 
 use super::{MIN_SIGNIFICANT_MACHINES, UNREACHABLE_AFTER_COMMANDS};
 use crate::leader::Leader;
-use crate::settings::WorkerTimes;
+use crate::settings::WorkerTiming;
 use crate::types::{Duration, Timestamp};
 use crate::workers::Machine;
 use log::warn;
@@ -108,7 +108,7 @@
     /// Whether the zone is out of reach. Either nothing has reached any of its machines for so long that many would have come
     /// back, counted to the time `latest` at which any machine at all was reached, or most of its machines are out of reach one by
     /// one. The first is sure within seconds; without it half of the zone was given back as silent before the second was.
-    fn is_unreachable(&self, latest: Timestamp, times: &WorkerTimes) -> bool {
+    fn is_unreachable(&self, latest: Timestamp, times: &WorkerTiming) -> bool {
         let all_silent = self.regular >= MIN_SIGNIFICANT_MACHINES
             && latest.since(self.last_reached_at) >= times.silence_timeout(self.regular);
         let most_unreached = self.unreached >= MIN_SIGNIFICANT_MACHINES && self.unreached * 2 > self.machines;
@@ -121,10 +121,10 @@
     /// cut off.
     pub(super) fn detect_unreachable_zones(&mut self, now: Timestamp) -> bool {
         let times = &self.settings.deployment.workers;
-        let unreached_after = times.unreached_after();
+        let unreachable_after = times.unreachable_after();
         let mut zones: HashMap<&str, ZoneReachability> = HashMap::new();
         for machine in self.machines.values().filter(|machine| machine.fenced) {
-            let is_overdue = now.since(machine.last_reached_at) >= unreached_after;
+            let is_overdue = now.since(machine.last_reached_at) >= unreachable_after;
             zones.entry(&machine.record.zone).or_default().add(machine, is_overdue);
         }
         self.zones.end_outages(&zones);
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -127,10 +127,10 @@
 
     /// The answer to a heartbeat, which renews the worker's lease.
     fn answer_heartbeat(&mut self, now: Timestamp, id: MachineId, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
-        let late_copy_window = self.settings.deployment.workers.late_copy_window();
+        let duplicate_delay_limit = self.settings.deployment.workers.duplicate_delay_limit();
         let machine = self.machines.get_mut(&id)?;
         let commands = if machine.fenced {
-            machine.heartbeat_commands(now, late_copy_window)
+            machine.heartbeat_commands(now, duplicate_delay_limit)
         } else {
             // The answer renews the lease, whatever runs there. What is cancelled must not run on by that: each new
             // leader of a chain renewed it once, and the machine was out of reach before the next heartbeat.
--- a/src/leader/provisioning/expected_services.rs
+++ b/src/leader/provisioning/expected_services.rs
@@ -47,7 +47,7 @@
         }
         let typical_job = typical_job?;
         let window_s = boot_s + START_AFTER_BOOT_S;
-        let tasks = (arrivals_per_s(&tasks_by_slot) * window_s * self.settings.tuning.room_ahead).ceil() as u64;
+        let tasks = (arrivals_per_s(&tasks_by_slot) * window_s * self.settings.tuning.headroom_factor).ceil() as u64;
         Some(ExpectedServices { typical_job, tasks: tasks.max(MIN_EXPECTED_TASKS) })
     }
 
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -28,7 +28,7 @@
 impl FreeRoom {
     /// Takes free room for this many tasks at the most; how many fit.
     fn take(&mut self, per_task: &Resources, limit: u64) -> u64 {
-        let count = per_task.copies_in(&self.free).min(limit);
+        let count = per_task.count_fitting(&self.free).min(limit);
         for _ in 0..count {
             self.free.saturating_sub(per_task);
         }
@@ -39,7 +39,7 @@
     fn take_with_preemption(&mut self, per_task: &Resources, limit: u64) -> u64 {
         let mut total = self.free;
         total.add(&self.preemptible);
-        let count = per_task.copies_in(&total).min(limit);
+        let count = per_task.count_fitting(&total).min(limit);
         for _ in 0..count {
             let mut from_free = *per_task;
             from_free.saturating_sub(&self.preemptible);
@@ -57,7 +57,7 @@
     pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<MachineDemand> {
         let mut rooms = self.free_rooms();
         let mut demands: Vec<MachineDemand> = self.service_headroom(now, boot, &mut rooms).into_iter().collect();
-        self.planning.latency_sensitive_classes = self.settings.deployment.classes_to_start_within(boot);
+        self.planning.latency_sensitive_classes = self.settings.deployment.classes_with_wait_objective_below(boot);
         let mut reserved = ReservedRoom::new();
         for class in self.latency_sensitive_arrivals() {
             demands.extend(self.class_headroom(now, boot, class, &mut rooms, &mut reserved));
--- a/src/leader/provisioning/objectives.rs
+++ b/src/leader/provisioning/objectives.rs
@@ -52,7 +52,7 @@
 
     /// When a job must be over for an objective that allows few misses.
     fn strict_deadline(&self, job: &Job) -> Option<Timestamp> {
-        let is_strict = |objective: &Objective| objective.share >= self.settings.tuning.strict_aim;
+        let is_strict = |objective: &Objective| objective.share >= self.settings.tuning.strict_objective_share;
         if job.spec.deadline.is_some() && self.objectives(job, DEADLINE).any(is_strict) {
             return Some(job.deadline());
         }
--- a/src/leader/provisioning/scale_in.rs
+++ b/src/leader/provisioning/scale_in.rs
@@ -69,7 +69,7 @@
         id: MachineId,
         machine: &'a Machine,
     ) -> Option<Vec<&'a TaskAttempt>> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let is_eligible = machine.accepts_tasks()
             && !machine.record.spot
             && machine.reached_within(now, overdue)
@@ -127,7 +127,7 @@
 
     /// Notes since when each machine is idle; those that have been for long enough.
     fn idle_machines(&mut self, now: Timestamp) -> Vec<MachineId> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let mut idle = Vec::new();
         for (id, machine) in &mut self.machines {
             let is_busy = machine.attempts.values().any(TaskAttempt::occupies_resources)
@@ -138,8 +138,11 @@
             }
             let idle_since = *machine.idle_since.get_or_insert(now);
             let is_spot = machine.record.spot;
-            let idle_timeout =
-                if is_spot { self.settings.tuning.idle_spot } else { self.settings.tuning.idle_ordinary };
+            let idle_timeout = if is_spot {
+                self.settings.tuning.spot_idle_timeout
+            } else {
+                self.settings.tuning.on_demand_idle_timeout
+            };
             let is_spare = is_spot || !self.planning.headroom.contains_key(id);
             let is_paid_for = now.since(machine.known_since) >= MINIMUM_CHARGE;
             if is_spare && is_paid_for && now.since(idle_since) >= idle_timeout {
--- a/src/leader/provisioning/solver.rs
+++ b/src/leader/provisioning/solver.rs
@@ -160,7 +160,7 @@
     fn zone_with_room_for(&self, demand: &MachineDemand) -> Option<String> {
         let mut room_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
         for instance in self.instances.iter().filter(|instance| demand.allows(&instance.pool)) {
-            *room_by_zone.entry(&instance.pool.zone).or_default() += demand.resources.copies_in(&instance.free);
+            *room_by_zone.entry(&instance.pool.zone).or_default() += demand.resources.count_fitting(&instance.free);
         }
         let mut zones = room_by_zone.into_iter();
         zones.find(|(_, room)| *room >= u64::from(demand.count)).map(|(zone, _)| zone.to_string())
@@ -202,7 +202,7 @@
         alike_later: u32,
     ) -> Option<Candidate> {
         let capacity = jobs::capacity(machine_type);
-        let fitting = unmet.demand.resources.copies_in(&capacity).min(u64::from(u32::MAX)) as u32;
+        let fitting = unmet.demand.resources.count_fitting(&capacity).min(u64::from(u32::MAX)) as u32;
         let tasks = fitting.min(unmet.remaining).min(unmet.zone_allowance(zone));
         let elsewhere = unmet.colocation_zone.as_ref().is_some_and(|only| only != zone);
         if tasks == 0 || elsewhere {
--- a/src/leader/provisioning/zones.rs
+++ b/src/leader/provisioning/zones.rs
@@ -46,7 +46,7 @@
 
     /// Zones without a machine that is up; none while few machines are up at all.
     fn zones_without_machines(&self, now: Timestamp) -> BTreeSet<String> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let machines = self.machines.values();
         let mut up_by_zone: HashMap<&str, usize> = HashMap::new();
         for machine in machines.filter(|machine| machine.fenced && now.since(machine.last_reached_at) < overdue) {
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -58,7 +58,7 @@
             };
             view.allows_machine(job, planned.machine)
                 && !machine.holds_job(job.spec.id)
-                && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(planned.count)
+                && job.spec.resources.count_fitting(&machine.free_resources()) >= u64::from(planned.count)
         })
     }
 
@@ -148,7 +148,7 @@
 
     /// Does for each gang what its state asks for.
     pub(super) fn update_gangs(&mut self, now: Timestamp) {
-        let wait_limit = self.settings.deployment.workers.gang_wait().mul_f64(GANG_WAIT_SHARE);
+        let wait_limit = self.settings.deployment.workers.gang_wait_timeout().mul_f64(GANG_WAIT_SHARE);
         let actions: Vec<(JobId, GangAction)> = self
             .jobs
             .gangs()
@@ -219,7 +219,7 @@
 
     /// The best machine that can start a lost task now: one that has the image, then the fullest one.
     fn replacement_machine(&self, job: &Job, task: TaskId, now: Timestamp) -> Option<MachineId> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let can_start = |machine: &&Machine| {
             machine.accepts_tasks()
                 && machine.reached_within(now, overdue)
--- a/src/leader/scheduling/machine_view.rs
+++ b/src/leader/scheduling/machine_view.rs
@@ -79,7 +79,7 @@
     /// A machine whose worker has sent heartbeats.
     fn planned_worker_machine(&mut self, now: Timestamp, id: MachineId) -> Option<PlannedMachine> {
         let machine = self.machines.get_mut(&id)?;
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let machine_type = self.cloud.machine_type(&machine.record.machine_type)?;
         if machine.capacity == Resources::default() {
             machine.capacity = jobs::capacity(machine_type);
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -117,7 +117,7 @@
 
     /// Whether no more jobs are taken for now: memory or the log's backlog is used up.
     fn is_full(&self) -> bool {
-        let open_jobs_limit = self.settings.deployment.resources.open_jobs();
+        let open_jobs_limit = self.settings.deployment.resources.max_open_jobs();
         let backlog_limit = LOG_BACKLOG_LIMIT + self.machines.len();
         self.jobs.open_count() >= open_jobs_limit || self.log.backlog() >= backlog_limit
     }
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -111,7 +111,7 @@
         misses_deadline,
         fallbacked: if misses_deadline { 0 } else { outcome.fallbacked },
         finish: in_granules(outcome.finish),
-        tasks_without_room: u64::from(unplaced).saturating_sub(task.resources.copies_in(&machine.free)),
+        tasks_without_room: u64::from(unplaced).saturating_sub(task.resources.count_fitting(&machine.free)),
         bias: machine.bias.for_other_tasks,
     };
     Some(RatedSlot { rating, machine: machine.id, finish: outcome.finish })
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -94,18 +94,18 @@
 impl Node {
     async fn start(settings: Settings, operators: Option<PathBuf>, idle: IdleMeter) -> std::io::Result<Node> {
         let limits = &settings.deployment.resources;
-        let (tell, inbox) = mpsc::channel::<Message>(limits.inputs_waiting());
+        let (tell, inbox) = mpsc::channel::<Message>(limits.max_queued_inputs());
         let api = tokio::net::TcpListener::bind(settings.api_addr).await?;
         let peer = tokio::net::TcpListener::bind(settings.peer_bind).await?;
         info!("node listening node={} api_addr={} peer_bind={}", settings.node, settings.api_addr, settings.peer_bind);
         info!(
             "limits derived connections={} commands_at_once={} open_jobs={} inputs_waiting={}",
-            limits.connections(),
-            limits.commands_at_once(),
-            limits.open_jobs(),
-            limits.inputs_waiting()
+            limits.max_connections(),
+            limits.max_concurrent_commands(),
+            limits.max_open_jobs(),
+            limits.max_queued_inputs()
         );
-        http::serve(api, tell.clone(), limits.connections());
+        http::serve(api, tell.clone(), limits.max_connections());
         links::listen(peer, tell.clone());
         let link = |seed| links::connect(&settings.node, seed, tell.clone());
         let links = settings.seeds.iter().map(|seed| (seed.node.clone(), link(seed))).collect();
@@ -119,7 +119,7 @@
         Ok(Node {
             start: Instant::now(),
             store_responses,
-            inbox: Inbox::new(inbox, limits.inputs_waiting()),
+            inbox: Inbox::new(inbox, limits.max_queued_inputs()),
             outputs: Outputs::new(settings.node.clone(), clients, links, tell),
             request_counter: 0,
             tick,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -11,7 +11,7 @@
 mod limits;
 mod tuning;
 
-pub use limits::{CloudLimits, NextLimits, ProcessLimits, StateLimits, WorkerTimes};
+pub use limits::{CloudLimits, NextLimits, ProcessLimits, StateLimits, WorkerTiming};
 pub use tuning::Tuning;
 
 /// Settings that cannot be used, with the field at fault.
@@ -62,7 +62,7 @@
     #[serde(default)]
     pub seeds: Vec<Seed>,
     /// Outside services.
-    pub external: External,
+    pub external: ExternalServices,
     /// Facts of this deployment.
     pub deployment: Deployment,
     /// Operators' own settings.
@@ -90,7 +90,7 @@
 
 /// Addresses of the services outside.
 #[derive(Debug, Clone, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     /// Cloud API.
     pub cloud: SocketAddrV4,
     /// State service.
@@ -113,7 +113,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Worker timing.
-    pub workers: WorkerTimes,
+    pub workers: WorkerTiming,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
@@ -124,7 +124,7 @@
 
 impl Deployment {
     /// Classes with an aim at starting within less than this.
-    pub fn classes_to_start_within(&self, limit: Duration) -> BTreeSet<String> {
+    pub fn classes_with_wait_objective_below(&self, limit: Duration) -> BTreeSet<String> {
         let soon = |o: &&Objective| {
             o.kind == "wait" && o.within_s.is_some_and(|within| Duration::from_secs_f64(within) < limit)
         };
@@ -168,7 +168,7 @@
 }
 
 /// With fewer sockets a node cannot serve users, workers, the other nodes and the services outside.
-const FEWEST_FDS: u64 = 32;
+const MIN_FDS: u64 = 32;
 fn read(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|e| SettingsError::Read(path.display().to_string(), e))
 }
@@ -258,8 +258,8 @@
                 return Err(field(name, format!("{value} is not a positive number")));
             }
         }
-        if d.resources.fd_limit < FEWEST_FDS {
-            return Err(field("deployment.resources.fd_limit", format!("must be at least {FEWEST_FDS}")));
+        if d.resources.fd_limit < MIN_FDS {
+            return Err(field("deployment.resources.fd_limit", format!("must be at least {MIN_FDS}")));
         }
         let next = d.state.next.clone().unwrap_or_default();
         for (name, value) in [("rps", next.rps), ("write_rps", next.write_rps), ("value_kb", next.value_kb)] {
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -5,7 +5,7 @@
 
 /// Worker timing.
 #[derive(Debug, Clone, Deserialize)]
-pub struct WorkerTimes {
+pub struct WorkerTiming {
     /// Interval of heartbeats, in seconds.
     pub report_s: f64,
     /// How long a worker's lease lasts, in seconds.
@@ -20,20 +20,20 @@
     pub gang_peer_s: f64,
 }
 
-impl WorkerTimes {
+impl WorkerTiming {
     /// A machine that nothing has reached for this long gets no further tasks: two heartbeat intervals and a margin.
-    pub fn overdue(&self) -> Duration {
+    pub fn heartbeat_overdue_after(&self) -> Duration {
         Duration::from_secs_f64(self.report_s * 2.0 + 2.0)
     }
 
     /// A machine that nothing has reached for this long is unreached: the longest interval between two heartbeats and a margin.
-    pub fn unreached_after(&self) -> Duration {
-        Duration::from_secs_f64(self.longest_heartbeat_interval_s() + UNREACHED_MARGIN_S)
+    pub fn unreachable_after(&self) -> Duration {
+        Duration::from_secs_f64(self.max_heartbeat_interval_s() + UNREACHABLE_MARGIN_S)
     }
 
     /// An unreached machine that leaves commands unanswered is given back after this time.
-    pub fn release_unreached_after(&self) -> Duration {
-        Duration::from_secs_f64(self.longest_heartbeat_interval_s() + RELEASE_MARGIN_S)
+    pub fn release_unreachable_after(&self) -> Duration {
+        Duration::from_secs_f64(self.max_heartbeat_interval_s() + RELEASE_MARGIN_S)
     }
 
     /// A worker's lease has surely expired this long after the last answer to it: its clock may run slow by as much as ours
@@ -46,31 +46,31 @@
     /// within the longest interval, and of many some do in a small part of it.
     pub fn silence_timeout(&self, workers: usize) -> Duration {
         let likely_gap_s = SILENCE_INTERVALS * self.report_s / workers.max(1) as f64;
-        let longest_s = (self.longest_heartbeat_interval_s() + UNREACHED_MARGIN_S).max(SHORTEST_SILENCE_S);
-        Duration::from_secs_f64(likely_gap_s.clamp(SHORTEST_SILENCE_S, longest_s))
+        let longest_s = (self.max_heartbeat_interval_s() + UNREACHABLE_MARGIN_S).max(MIN_SILENCE_S);
+        Duration::from_secs_f64(likely_gap_s.clamp(MIN_SILENCE_S, longest_s))
     }
 
     /// How long the tasks of a gang wait for each other.
-    pub fn gang_wait(&self) -> Duration {
+    pub fn gang_wait_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.gang_wait_s)
     }
 
     /// How late a copy of a message may arrive: well over a lease. With two leases a copy of a start that came 35 s late, at a
     /// lease of 16 s, found its attempt forgotten and ran it again.
-    pub fn late_copy_window(&self) -> Duration {
-        Duration::from_secs_f64(self.lease_s * LATE_COPY_LEASES)
+    pub fn duplicate_delay_limit(&self) -> Duration {
+        Duration::from_secs_f64(self.lease_s * DUPLICATE_DELAY_LEASES)
     }
 
     /// The longest interval between two heartbeats of a worker that is well.
-    fn longest_heartbeat_interval_s(&self) -> f64 {
-        self.report_s * LONGEST_INTERVAL_FACTOR
+    fn max_heartbeat_interval_s(&self) -> f64 {
+        self.report_s * MAX_INTERVAL_FACTOR
     }
 }
 
 /// The longest interval between two heartbeats, in heartbeat intervals.
-const LONGEST_INTERVAL_FACTOR: f64 = 1.25;
+const MAX_INTERVAL_FACTOR: f64 = 1.25;
 /// Delay of a heartbeat that is not taken for silence, in seconds.
-const UNREACHED_MARGIN_S: f64 = 0.5;
+const UNREACHABLE_MARGIN_S: f64 = 0.5;
 /// Delay of a heartbeat before its machine may be given back, in seconds.
 const RELEASE_MARGIN_S: f64 = 1.5;
 /// How much longer a lease may last by a worker's clock than by ours.
@@ -80,9 +80,9 @@
 /// Heartbeat intervals, shared by all workers, without a heartbeat that are not by chance.
 const SILENCE_INTERVALS: f64 = 20.0;
 /// The shortest silence that means something, in seconds.
-const SHORTEST_SILENCE_S: f64 = 1.5;
+const MIN_SILENCE_S: f64 = 1.5;
 /// How late a copy of a message may arrive, in leases.
-const LATE_COPY_LEASES: f64 = 2.5;
+const DUPLICATE_DELAY_LEASES: f64 = 2.5;
 
 /// Limits of the state service, shared by all nodes.
 #[derive(Debug, Clone, Deserialize)]
@@ -115,11 +115,11 @@
 
 impl StateLimits {
     /// The largest value that is taken now and later.
-    pub fn value_kb_always(&self) -> f64 {
+    pub fn guaranteed_value_kb(&self) -> f64 {
         self.next.as_ref().and_then(|n| n.value_kb).map_or(self.value_kb, |kb| kb.min(self.value_kb))
     }
     /// The most changes of a transaction that is taken now and later.
-    pub fn txn_ops_always(&self) -> usize {
+    pub fn guaranteed_txn_ops(&self) -> usize {
         self.next.as_ref().and_then(|n| n.txn_ops).map_or(self.txn_ops, |ops| ops.min(self.txn_ops))
     }
     /// Changes per second now, and once the state service says that they are too many.
@@ -155,23 +155,23 @@
 
 impl ProcessLimits {
     /// Direct commands that may be under way at once: most sockets are for workers and users.
-    pub fn commands_at_once(&self) -> usize {
+    pub fn max_concurrent_commands(&self) -> usize {
         (self.fd_limit / 12).clamp(8, 200) as usize
     }
     /// Jobs that are kept open: what is left of the memory with all connections in use. 250 for each MB, as it was,
     /// was more than 37 MB hold beside 900 connections.
-    pub fn open_jobs(&self) -> usize {
-        let left = self.memory_mb - BASE_MB - self.connections() as f64 * CONNECTION_MB;
+    pub fn max_open_jobs(&self) -> usize {
+        let left = self.memory_mb - BASE_MB - self.max_connections() as f64 * CONNECTION_MB;
         (left.max(self.memory_mb / 8.0) / JOB_MB) as usize
     }
     /// Inputs that may wait for the core; beyond it, requests are refused. Each connection has one under way at the most.
-    pub fn inputs_waiting(&self) -> usize {
-        self.connections().max(FEWEST_INPUTS)
+    pub fn max_queued_inputs(&self) -> usize {
+        self.max_connections().max(MIN_QUEUED_INPUTS)
     }
     /// Connections that are taken from workers and users; the others are for the state service, the
     /// cloud, commands to workers, and peers.
-    pub fn connections(&self) -> usize {
-        let reserved = 2 * self.commands_at_once() as u64 + 50;
+    pub fn max_connections(&self) -> usize {
+        let reserved = 2 * self.max_concurrent_commands() as u64 + 50;
         self.fd_limit.saturating_sub(reserved).max(16) as usize
     }
 }
@@ -186,7 +186,7 @@
 pub(super) const JOB_MB: f64 = 0.003;
 
 /// Inputs that may wait however few sockets there are: answers of workers and the cloud are among them.
-const FEWEST_INPUTS: usize = 2048;
+const MIN_QUEUED_INPUTS: usize = 2048;
 
 fn default_gang_wait() -> f64 {
     30.0
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -75,9 +75,15 @@
         )
     };
     let limits = Settings::parse(&with("value_kb = 2.0\n    write_rps = 12.0")).unwrap().deployment.state;
-    assert_eq!((limits.value_kb_always(), limits.txn_ops_always(), limits.write_rates()), (2.0, 16, (20.0, 12.0)));
+    assert_eq!(
+        (limits.guaranteed_value_kb(), limits.guaranteed_txn_ops(), limits.write_rates()),
+        (2.0, 16, (20.0, 12.0))
+    );
     let larger = Settings::parse(&with("value_kb = 64.0\n    txn_ops = 99")).unwrap().deployment.state;
-    assert_eq!((larger.value_kb_always(), larger.txn_ops_always(), larger.write_rates()), (8.0, 16, (20.0, 20.0)));
+    assert_eq!(
+        (larger.guaranteed_value_kb(), larger.guaranteed_txn_ops(), larger.write_rates()),
+        (8.0, 16, (20.0, 20.0))
+    );
     for (wrong, name) in [
         ("value_kb = 0.0", "deployment.state.next.value_kb"),
         ("rps = -1.0", "deployment.state.next.rps"),
@@ -92,17 +98,18 @@
 fn open_jobs_and_connections_fit_into_the_memory() {
     for (memory_mb, fd_limit) in [(37.0, 900), (56.0, 900), (66.0, 1500), (104.0, 1500), (188.0, 2900)] {
         let resources = ProcessLimits { cpu: 0.1, memory_mb, fd_limit };
-        let held = resources.open_jobs() as f64 * JOB_MB + resources.connections() as f64 * CONNECTION_MB + BASE_MB;
-        assert!(held <= memory_mb && resources.open_jobs() > 1000, "{held} of {memory_mb} MB");
+        let held =
+            resources.max_open_jobs() as f64 * JOB_MB + resources.max_connections() as f64 * CONNECTION_MB + BASE_MB;
+        assert!(held <= memory_mb && resources.max_open_jobs() > 1000, "{held} of {memory_mb} MB");
     }
 }
 
 #[test]
 fn the_operators_ini_is_checked() {
     let tuning = Tuning::parse("[fleet]\nidle_spot_s = 5\n").unwrap();
-    assert_eq!(tuning.idle_spot, Duration::from_secs(5));
+    assert_eq!(tuning.spot_idle_timeout, Duration::from_secs(5));
     assert!(Tuning::parse("[fleet]\nidle_spt_s = 5\n").unwrap_err().to_string().contains("fleet.idle_spt_s"));
-    assert_eq!(Tuning::parse("[fleet]\nstrict_aim = 0.95\n").unwrap().strict_aim, 0.95);
+    assert_eq!(Tuning::parse("[fleet]\nstrict_aim = 0.95\n").unwrap().strict_objective_share, 0.95);
     assert!(Tuning::parse("[fleet]\nstrict_aim = 95\n").unwrap_err().to_string().contains("fleet.strict_aim"));
     assert!(Tuning::parse("[leadership]\nlease_s = soon\n").unwrap_err().to_string().contains("leadership.lease_s"));
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -64,7 +64,7 @@
 
 impl JobShape {
     /// The protocol's word.
-    pub fn word(self) -> &'static str {
+    pub fn protocol_name(self) -> &'static str {
         match self {
             JobShape::Array => "batch",
             JobShape::Service => "standing",
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -36,10 +36,10 @@
 
 impl TaskAttempt {
     /// Whether the worker may be told to forget this ended attempt: its end is settled, and no direct start of it can be executed
-    /// late any more. A copy of an answered command may come within `late_copy_window` after the end; `is_excess` attempts do not
+    /// late any more. A copy of an answered command may come within `duplicate_delay_limit` after the end; `is_excess` attempts do not
     /// wait for that.
-    fn may_be_forgotten(&self, now: Timestamp, late_copy_window: Duration, is_excess: bool) -> bool {
-        let late_copy_possible = self.started_directly && now.since(self.ended_at) < late_copy_window;
+    fn may_be_forgotten(&self, now: Timestamp, duplicate_delay_limit: Duration, is_excess: bool) -> bool {
+        let late_copy_possible = self.started_directly && now.since(self.ended_at) < duplicate_delay_limit;
         self.forgettable && self.start_uncertainty == StartUncertainty::None && (is_excess || !late_copy_possible)
     }
 }
@@ -50,15 +50,15 @@
     /// A start that the worker has not acknowledged is sent again: `Start` of an attempt that it holds has no effect. An attempt
     /// that is to be stopped before it was acknowledged gets `Start` before `Stop`, so that the worker knows it, and a late copy of
     /// the direct `Start` finds it exited. For the same reason the worker is left with an ended attempt that was started directly
-    /// for `late_copy_window`: once it has forgotten it, a copy of the command, executed late although the command was answered,
+    /// for `duplicate_delay_limit`: once it has forgotten it, a copy of the command, executed late although the command was answered,
     /// would start it anew.
-    pub fn heartbeat_commands(&mut self, now: Timestamp, late_copy_window: Duration) -> Vec<WorkerCommand> {
+    pub fn heartbeat_commands(&mut self, now: Timestamp, duplicate_delay_limit: Duration) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         let ended = self.attempts.values().filter(|attempt| !attempt.occupies_resources()).count();
         let mut excess = ended.saturating_sub(MAX_ENDED_ATTEMPTS);
         for (id, attempt) in &mut self.attempts {
             if attempt.phase == AttemptPhase::Exited {
-                if attempt.may_be_forgotten(now, late_copy_window, excess > 0) {
+                if attempt.may_be_forgotten(now, duplicate_delay_limit, excess > 0) {
                     excess = excess.saturating_sub(1);
                     commands.push(forget_command(id));
                 }
--- a/src/write_ahead_log.rs
+++ b/src/write_ahead_log.rs
@@ -134,7 +134,7 @@
     ) -> WriteAheadLog {
         // Sized for the smaller of both limits, since they may be lowered at any moment: a commit that is too large would be
         // rejected each time it is repeated.
-        let value_bytes = ((limits.value_kb_always() * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES);
+        let value_bytes = ((limits.guaranteed_value_kb() * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES);
         let (full_rate, reduced_rate) = limits.write_rates();
         let rate = full_rate * WRITE_RATE_SHARE;
         let initial_budget = reduced_rate * INITIAL_BUDGET_S;
@@ -142,8 +142,8 @@
             token,
             format,
             value_bytes: value_bytes.min(MAX_REQUEST_BYTES - REQUEST_OVERHEAD_BYTES),
-            max_writes: limits.txn_ops_always(),
-            commit_interval: tuning.commit_every,
+            max_writes: limits.guaranteed_txn_ops(),
+            commit_interval: tuning.commit_interval,
             write_budget: TokenBucket::new(now, rate, write_budget_capacity(rate), initial_budget),
             reduced_write_rate: reduced_rate * WRITE_RATE_SHARE,
             in_flight: InFlightRequests::default(),
@@ -161,7 +161,7 @@
             last_commit_at: Timestamp::ZERO,
             snapshot_write: None,
             entries_since_snapshot: 0,
-            snapshot_interval_entries: tuning.snapshot_every,
+            snapshot_interval_entries: tuning.snapshot_interval_entries,
             snapshot_counter: 0,
         }
     }
--- a/tests/characterization/settings.rs
+++ b/tests/characterization/settings.rs
@@ -2,8 +2,8 @@
 
 use crate::fixture::{self, Example, example, examples, text};
 use caperstile::settings::{
-    CloudLimits, Deployment, External, NextLimits, Objective, ProcessLimits, Seed, Settings, StateLimits, Team, Tuning,
-    WorkerTimes,
+    CloudLimits, Deployment, ExternalServices, NextLimits, Objective, ProcessLimits, Seed, Settings, StateLimits, Team,
+    Tuning, WorkerTiming,
 };
 use caperstile_admission::{AdmissionPolicy, BacklogBound};
 use caperstile_disruption::budget::{BatchEviction, WindowLimit};
@@ -44,7 +44,7 @@
             self.add("seeds.area", area);
             self.add("seeds.address", address);
         }
-        let External { cloud, state } = external;
+        let ExternalServices { cloud, state } = external;
         self.add("external.cloud", cloud);
         self.add("external.state", state);
         self.add_deployment(deployment);
@@ -67,7 +67,7 @@
             self.add_option("deployment.objectives.within_s", *within_s);
             self.add("deployment.objectives.share", share);
         }
-        let WorkerTimes { report_s, lease_s, cancel_s, gang_wait_s, gang_peer_s } = workers;
+        let WorkerTiming { report_s, lease_s, cancel_s, gang_wait_s, gang_peer_s } = workers;
         self.add("deployment.workers.report_s", report_s);
         self.add("deployment.workers.lease_s", lease_s);
         self.add("deployment.workers.cancel_s", cancel_s);
@@ -97,15 +97,22 @@
     }
 
     fn add_tuning(&mut self, tuning: &Tuning) {
-        let Tuning { leader_lease, commit_every, idle_ordinary, idle_spot, snapshot_every, strict_aim, room_ahead } =
-            tuning;
+        let Tuning {
+            leader_lease,
+            commit_interval,
+            on_demand_idle_timeout,
+            spot_idle_timeout,
+            snapshot_interval_entries,
+            strict_objective_share,
+            headroom_factor,
+        } = tuning;
         self.add("leadership.lease_s", leader_lease.as_secs_f64());
-        self.add("records.commit_every_s", commit_every.as_secs_f64());
-        self.add("records.snapshot_entries", snapshot_every);
-        self.add("fleet.idle_ordinary_s", idle_ordinary.as_secs_f64());
-        self.add("fleet.idle_spot_s", idle_spot.as_secs_f64());
-        self.add("fleet.strict_aim", strict_aim);
-        self.add("fleet.room_ahead", room_ahead);
+        self.add("records.commit_every_s", commit_interval.as_secs_f64());
+        self.add("records.snapshot_entries", snapshot_interval_entries);
+        self.add("fleet.idle_ordinary_s", on_demand_idle_timeout.as_secs_f64());
+        self.add("fleet.idle_spot_s", spot_idle_timeout.as_secs_f64());
+        self.add("fleet.strict_aim", strict_objective_share);
+        self.add("fleet.room_ahead", headroom_factor);
     }
 
     fn add_budgets(&mut self, policy: &Policy) {
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -152,6 +152,6 @@
     let mut settings = Settings::parse(&text).expect("the sample is valid");
     settings.policy = settings.parse_policy(site.operators).expect("the sample is valid");
     settings.admission = settings.parse_admission(site.operators).expect("the sample is valid");
-    settings.tuning.snapshot_every = site.snapshot_every;
+    settings.tuning.snapshot_interval_entries = site.snapshot_every;
     settings
 }
