--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -89,9 +89,9 @@
     /// Ask the cloud; the number comes back with the response.
     Request(u64, CloudRequest),
     /// These machines were rented.
-    MachinesRented(Vec<MachineId>),
+    MachinesProvisioned(Vec<MachineId>),
     /// These machines are surely gone.
-    MachinesGone(Vec<MachineId>),
+    MachinesReleased(Vec<MachineId>),
     /// The cloud lists this machine as failed.
     MachineFailed(MachineId),
 }
@@ -117,7 +117,7 @@
     refusals: CapacityRefusals,
     /// Machines that are to be given back, or whose return is not confirmed.
     releasing: BTreeSet<MachineId>,
-    gone: BTreeSet<MachineId>,
+    released: BTreeSet<MachineId>,
 }
 
 impl CloudInstances {
@@ -139,7 +139,7 @@
             has_new_pending: false,
             refusals: CapacityRefusals::default(),
             releasing: BTreeSet::new(),
-            gone: BTreeSet::new(),
+            released: BTreeSet::new(),
         }
     }
 
@@ -184,8 +184,8 @@
 
     /// Whether a machine is surely gone.
     #[must_use]
-    pub fn is_gone(&self, id: MachineId) -> bool {
-        self.gone.contains(&id)
+    pub fn is_released(&self, id: MachineId) -> bool {
+        self.released.contains(&id)
     }
 
     /// Whether a machine is being given back.
@@ -215,7 +215,7 @@
     }
 
     /// A machine's worker sent its first heartbeat. Says when the machine was asked for, if that is known.
-    pub fn instance_up(&mut self, id: MachineId) -> Option<Timestamp> {
+    pub fn instance_discovered(&mut self, id: MachineId) -> Option<Timestamp> {
         self.pending.remove(&id).map(|instance| instance.requested_at)
     }
 
@@ -226,10 +226,10 @@
     }
 
     /// A machine is surely gone.
-    pub fn instance_gone(&mut self, id: MachineId) {
+    pub fn instance_released(&mut self, id: MachineId) {
         self.releasing.remove(&id);
         self.pending.remove(&id);
-        self.gone.insert(id);
+        self.released.insert(id);
     }
 
     /// Asks for this many machines of a pool, at most `MAX_INSTANCES_PER_REQUEST`.
--- a/src/cloud/machine_list.rs
+++ b/src/cloud/machine_list.rs
@@ -19,7 +19,7 @@
     ) {
         for listed in page.machines {
             let Ok(id) = listed.machine.parse::<MachineId>() else { continue };
-            if self.is_gone(id) || self.is_releasing(id) {
+            if self.is_released(id) || self.is_releasing(id) {
                 continue;
             }
             if listed.state == FAILED_STATE {
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -217,12 +217,12 @@
         }
         let mut rented = Vec::new();
         for id in names.iter().filter_map(|name| name.parse::<MachineId>().ok()) {
-            if !is_known(id) && !self.is_gone(id) {
+            if !is_known(id) && !self.is_released(id) {
                 self.adopt_pending(id, PendingInstance::requested(request, sent_at));
                 rented.push(id);
             }
         }
-        out.push(CloudEvent::MachinesRented(rented));
+        out.push(CloudEvent::MachinesProvisioned(rented));
     }
 
     fn scale_in_response(
@@ -235,9 +235,9 @@
             return RequestOutcome::Retry;
         }
         for id in ids {
-            self.instance_gone(*id);
+            self.instance_released(*id);
         }
-        out.push(CloudEvent::MachinesGone(ids.to_vec()));
+        out.push(CloudEvent::MachinesReleased(ids.to_vec()));
         RequestOutcome::Complete
     }
 
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -43,8 +43,8 @@
             match event {
                 CloudEvent::Request(id, request) => out.push(Effect::CallCloud(self.token.0, id, request)),
                 CloudEvent::MachineFailed(id) => self.machine_failed(id),
-                CloudEvent::MachinesRented(ids) => self.machines_rented(now, wall, &ids),
-                CloudEvent::MachinesGone(ids) => self.machines_gone(now, &ids),
+                CloudEvent::MachinesProvisioned(ids) => self.machines_rented(now, wall, &ids),
+                CloudEvent::MachinesReleased(ids) => self.machines_gone(now, &ids),
             }
         }
     }
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -79,7 +79,7 @@
             return Err(HeartbeatError::HigherFencingToken);
         }
         let id: MachineId = heartbeat.machine.parse().map_err(|_| HeartbeatError::MalformedMachineName)?;
-        if self.cloud.is_gone(id) {
+        if self.cloud.is_released(id) {
             return Err(HeartbeatError::MachineGone);
         }
         let has_peers = !self.settings.seeds.is_empty();
@@ -110,7 +110,7 @@
             };
             Machine::new(record, Resources::default(), Registration::NotRequested, now)
         });
-        if let Some(rented_at) = self.cloud.instance_up(id) {
+        if let Some(rented_at) = self.cloud.instance_discovered(id) {
             machine.known_since = rented_at;
             machine.record.rented_at = wall.at_timestamp(now, rented_at);
         }
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -69,7 +69,7 @@
                 self.planning.correction = Correction { percent: *percent, executions: *executions };
             }
             LogRecord::MachineGone(id) => {
-                self.cloud.instance_gone(*id);
+                self.cloud.instance_released(*id);
                 self.fencing.unfenced.remove(id);
                 self.machines.remove(id);
             }
@@ -82,14 +82,14 @@
     fn restore_machine(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
         let mut machine = Machine::new(record.clone(), Resources::default(), Registration::Durable, now);
         machine.known_since = wall.timestamp_of(now, record.rented_at);
-        self.cloud.instance_up(record.id);
+        self.cloud.instance_discovered(record.id);
         self.fencing.unfenced.insert(record.id);
         self.machines.insert(record.id, machine);
     }
 
     /// Rentals are written later than other records: by now the machine may be known to be up, or gone.
     fn restore_rental(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
-        if self.machines.contains_key(&record.id) || self.cloud.is_gone(record.id) {
+        if self.machines.contains_key(&record.id) || self.cloud.is_released(record.id) {
             return;
         }
         let instance = PendingInstance {
