--- a/src/gang.rs
+++ b/src/gang.rs
@@ -42,7 +42,7 @@
     /// It is left over from an earlier attempt.
     Stale,
     /// It belongs to a later attempt than the one known: what was taken for live is left over.
-    Replaces,
+    Supersedes,
 }
 
 /// The state of a gang.
@@ -90,7 +90,7 @@
             }
             Some(_) => {
                 self.adopt_attempt(now, attempt, has_ended);
-                Adoption::Replaces
+                Adoption::Supersedes
             }
             None => {
                 self.adopt_attempt(now, attempt, has_ended);
--- a/src/gang/tests.rs
+++ b/src/gang/tests.rs
@@ -43,7 +43,7 @@
     let mut gang = Gang::default();
     assert_eq!(gang.adopt(Timestamp::from_millis(1), AttemptNumber(5), MACHINE, true), Adoption::Live);
     assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "something of it has ended");
-    assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), MACHINE, false), Adoption::Replaces);
+    assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), MACHINE, false), Adoption::Supersedes);
     assert_eq!(gang.phase, GangPhase::AwaitingMembers { since: Timestamp::from_millis(2) });
     assert_eq!(gang.adopt(Timestamp::from_millis(3), AttemptNumber(5), MACHINE, false), Adoption::Stale);
     assert_eq!(gang.adopt(Timestamp::from_millis(4), AttemptNumber(9), MACHINE, false), Adoption::Live);
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -140,7 +140,7 @@
         if !is_colocated_gang(job) {
             return None;
         }
-        let machine = self.planning.plans.planned_machines(job.spec.id).into_iter().next()?.machine;
+        let machine = self.planning.plans.planned_tasks(job.spec.id).into_iter().next()?.machine;
         let zone = self.planning.plans.machine(machine)?.zone;
         self.planning.names.zone_name(zone).map(str::to_string)
     }
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -52,7 +52,7 @@
             return false;
         }
         let view = self.planning_view();
-        self.planning.plans.planned_machines(job.spec.id).into_iter().all(|planned| {
+        self.planning.plans.planned_tasks(job.spec.id).into_iter().all(|planned| {
             let Some(machine) = self.machines.get(&planned.machine).filter(|machine| machine.accepts_tasks()) else {
                 return false;
             };
@@ -64,7 +64,7 @@
 
     /// Starts all tasks of a gang where they are planned, under one attempt.
     pub(super) fn start_gang(&mut self, now: Timestamp, id: JobId, usage: &mut TeamUsage) {
-        let planned = self.planning.plans.planned_machines(id);
+        let planned = self.planning.plans.planned_tasks(id);
         let Some(job) = self.jobs.get(id) else { return };
         let predicted_duration = self.predicted_gang_duration(job, &planned);
         self.log_gang_start(job, now, &planned);
@@ -132,7 +132,7 @@
         }
         let mut new_trials = Vec::new();
         let mut preemptions = Vec::new();
-        for PlannedTasks { machine: id, count } in self.planning.plans.planned_machines(preempting_job) {
+        for PlannedTasks { machine: id, count } in self.planning.plans.planned_tasks(preempting_job) {
             let machine = self.machines.get(&id).filter(|machine| machine.accepts_tasks())?;
             let ahead = trials.get(&id).cloned();
             let mut trial =
--- a/src/leader/tasks/adoption.rs
+++ b/src/leader/tasks/adoption.rs
@@ -25,10 +25,10 @@
         let is_adoptable = match adoption {
             // A task of no gang that has ended is adopted as well: its end counts for its job.
             None => true,
-            Some(Adoption::Live | Adoption::Replaces) => !has_ended,
+            Some(Adoption::Live | Adoption::Supersedes) => !has_ended,
             Some(Adoption::Stale) => false,
         };
-        let replaced = if adoption == Some(Adoption::Replaces) { take_placements(job) } else { Vec::new() };
+        let replaced = if adoption == Some(Adoption::Supersedes) { take_placements(job) } else { Vec::new() };
         if is_adoptable && !job.cancelling && job.pending.remove(id.task.index) {
             let running = attempt.phase == AttemptPhase::Running;
             job.placements.insert(id.task.index, Placement { machine: machine_id, attempt: id, running });
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -181,7 +181,7 @@
     /// When all planned tasks of a job are predicted to have room at once; `None` if some never have.
     pub fn common_start(&self, job: JobId, now: Timestamp) -> Option<Timestamp> {
         let mut latest = now;
-        for PlannedTasks { machine, .. } in self.planned_machines(job) {
+        for PlannedTasks { machine, .. } in self.planned_tasks(job) {
             let starts = self.predicted_starts(machine, now).into_iter();
             for predicted in starts.filter(|predicted| predicted.task.job == job) {
                 latest = latest.max(predicted.start?);
--- a/src/plan/queues.rs
+++ b/src/plan/queues.rs
@@ -63,7 +63,7 @@
     }
 
     /// Machines in whose queues a job's tasks are, by id, and how many in each.
-    pub fn planned_machines(&self, job: JobId) -> Vec<PlannedTasks> {
+    pub fn planned_tasks(&self, job: JobId) -> Vec<PlannedTasks> {
         let Some(planned) = self.planned_jobs.get(&job) else { return Vec::new() };
         let by_machine = planned.tasks_by_machine.iter();
         by_machine.map(|(machine, count)| PlannedTasks { machine: *machine, count: *count }).collect()
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -186,7 +186,7 @@
         assert_eq!(plans.place_gang(Timestamp::ZERO, gang(1), 4, &jobs), placed, "{colocate} {sizes:?}");
         assert_eq!(plans.planned_count(JobId(1)), if placed { 4 } else { 0 });
         if colocate && placed {
-            assert_eq!(plans.planned_machines(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 4 }]);
+            assert_eq!(plans.planned_tasks(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 4 }]);
         }
     }
 }
@@ -218,5 +218,5 @@
         plans.enqueue(MachineId(1), waits);
     }
     assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { colocate: true }));
-    assert_eq!(plans.planned_machines(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 2 }]);
+    assert_eq!(plans.planned_tasks(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 2 }]);
 }
