--- a/src/controller.rs
+++ b/src/controller.rs
@@ -151,7 +151,7 @@
             Input::InputDelay(delay) => leader.set_input_delay(delay),
             Input::SlowInput(took) => leader.note_slow_input(took),
             Input::Utilization(utilization) => leader.observe_utilization(now, utilization),
-            Input::RefusedDemandReceived(report) => leader.note_refused_elsewhere(now, &report),
+            Input::RefusedDemandReceived(report) => leader.apply_demand_report(now, &report),
             _ => {}
         }
     }
@@ -245,7 +245,7 @@
     /// Publishes a new admission table if one is due, and the status that operators read.
     fn publish_admission(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.is_loaded()) else { return };
-        if let Some(table) = leader.admission_table(now) {
+        if let Some(table) = leader.refresh_admission_table(now) {
             out.push(Effect::PublishAdmissionTable(Box::new(table.clone())));
         }
         leader.write_admission_status(now, wall, out);
--- a/src/controller/leadership_events.rs
+++ b/src/controller/leadership_events.rs
@@ -23,7 +23,7 @@
                 LeadershipEvent::Elected(token, format) => self.begin_leadership(now, wall, token, format, out),
                 LeadershipEvent::SteppedDown(_) => {
                     if let Some(leader) = self.leader.take() {
-                        leader.refuse_pending_requests(out);
+                        leader.reject_pending_requests(out);
                     }
                 }
                 LeadershipEvent::LeaderChanged(None) => {}
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -177,7 +177,7 @@
     }
 
     /// Refuses the requests that wait for a commit, because this node no longer leads.
-    pub fn refuse_pending_requests(self, out: &mut Vec<Effect>) {
+    pub fn reject_pending_requests(self, out: &mut Vec<Effect>) {
         self.pending.refuse_all(out);
     }
 
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -53,12 +53,12 @@
     }
 
     /// What another node has refused by this leader's tables.
-    pub(crate) fn note_refused_elsewhere(&mut self, now: Timestamp, report: &DemandReport) {
+    pub(crate) fn apply_demand_report(&mut self, now: Timestamp, report: &DemandReport) {
         self.admission.refused_elsewhere(now, report);
     }
 
     /// Makes a new admission table if one is due.
-    pub(crate) fn admission_table(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
+    pub(crate) fn refresh_admission_table(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
         if self.admission.wants_backlog(now) {
             let waiting = self.backlog_by_pair(now);
             self.admission.observe_backlog(now, waiting);
