--- a/src/runtime/load_report.rs
+++ b/src/runtime/load_report.rs
@@ -12,9 +12,9 @@
 
 /// Minimum and maximum of several utilization measurements, in percent.
 #[derive(Debug, Default)]
-struct BusyRange(Option<(u32, u32)>);
+struct UtilizationRange(Option<(u32, u32)>);
 
-impl BusyRange {
+impl UtilizationRange {
     fn add(&mut self, utilization: Utilization) {
         let percent = (utilization.0 * 100.0) as u32;
         let (lowest, highest) = self.0.unwrap_or((percent, percent));
@@ -22,7 +22,7 @@
     }
 }
 
-impl std::fmt::Display for BusyRange {
+impl std::fmt::Display for UtilizationRange {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let (lowest, highest) = self.0.unwrap_or_default();
         write!(f, "{lowest}-{highest}%")
@@ -46,7 +46,7 @@
     commands: u32,
     shed: u32,
     /// Minimum and maximum of the utilization, which is measured every second.
-    busy: BusyRange,
+    busy: UtilizationRange,
     /// The core's processing time for inputs of each kind, in microseconds.
     core_us: [u64; 4],
 }
@@ -94,7 +94,7 @@
             requests: 0,
             commands: 0,
             shed: 0,
-            busy: BusyRange::default(),
+            busy: UtilizationRange::default(),
             core_us: [0; 4],
         }
     }
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// `Retry-After` in seconds for a submission that was shed. All other requests get one second.
+/// `Retry-After` in seconds for a submission that was shed. All other shed requests get one second.
 const SUBMISSION_RETRY_AFTER_S: u16 = 5;
 
 /// Executor of effects: holds the clients, the links to other nodes and the HTTP requests without a response.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -61,7 +61,7 @@
     pub checkpoint_saved: Option<bool>,
 }
 
-/// Serialises a task's name as a [`TaskId`] without an intermediate string.
+/// Serialises a [`TaskId`] as its name, and parses the name without an intermediate string.
 mod task_name {
     use crate::types::TaskId;
     use serde::{Deserializer, Serializer, de};
