--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -34,7 +34,7 @@
     }
 
     fn store_answers(&self, now: Timestamp) -> bool {
-        self.leadership.store_answered_within(now, STORE_UNREACHABLE_TIMEOUT)
+        self.leadership.store_responded_within(now, STORE_UNREACHABLE_TIMEOUT)
     }
 
     /// Notes whether the leader can be reached.
@@ -77,7 +77,7 @@
     pub(super) fn peer_disconnected(&mut self, now: Timestamp, wall: WallClock, node: &str, out: &mut Vec<Effect>) {
         self.connected_peers.remove(node);
         if self.leadership.leader() == Some(node) {
-            self.leadership.campaign_soon(now);
+            self.leadership.expect_vacancy(now);
         }
         self.retry_forwarded_requests(now, wall, node, out);
     }
--- a/src/controller/leadership_events.rs
+++ b/src/controller/leadership_events.rs
@@ -18,7 +18,7 @@
         for event in events {
             match event {
                 LeadershipEvent::Request(id, request) => {
-                    out.push(Effect::QueryStore(StoreCaller::Leadership, id, request));
+                    out.push(Effect::CallStore(StoreCaller::Leadership, id, request));
                 }
                 LeadershipEvent::Elected(token, format) => self.begin_leadership(now, wall, token, format, out),
                 LeadershipEvent::SteppedDown(_) => {
@@ -71,7 +71,7 @@
         for event in events {
             match event {
                 UpgradeEvent::Request(id, request) => {
-                    out.push(Effect::QueryStore(StoreCaller::Upgrade, id, request));
+                    out.push(Effect::CallStore(StoreCaller::Upgrade, id, request));
                 }
                 UpgradeEvent::AllUpgraded => self.leadership.request_key_relocation(),
             }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -77,7 +77,7 @@
     /// Respond to a request.
     Respond(RequestOrigin, ApiResponse),
     /// Send a request to the key-value store, under this number.
-    QueryStore(StoreCaller, u64, StoreRequest),
+    CallStore(StoreCaller, u64, StoreRequest),
     /// Send a request to the cloud: the leader's fencing token and the request's number.
     CallCloud(u64, u64, CloudRequest),
     /// Send commands directly to a worker.
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -6,7 +6,7 @@
 mod submission;
 
 pub use crate::job_spec::JobSpec;
-pub use feasibility::{Refusal, capacity, check_feasible};
+pub use feasibility::{SubmissionError, capacity, check_feasible};
 pub use job::{Job, Placement};
 pub use store::{ApplyOutcome, JobStore, TerminalState};
 pub use submission::{parse_submission, submitted_job_id};
--- a/src/jobs/feasibility.rs
+++ b/src/jobs/feasibility.rs
@@ -14,7 +14,7 @@
 
 /// Why a submission is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum SubmissionError {
     /// A field is missing or invalid.
     #[error("field `{field}` {problem}")]
     Malformed {
@@ -28,7 +28,7 @@
     Infeasible(String),
     /// The job cannot be accepted now.
     #[error("{reason}")]
-    NotYet {
+    Unavailable {
         /// What is missing.
         reason: &'static str,
         /// When the user may come back, in seconds.
@@ -52,34 +52,34 @@
     teams: &[Team],
     machine_types: Option<&[MachineType]>,
     gangs_supported: bool,
-) -> Result<(), Refusal> {
+) -> Result<(), SubmissionError> {
     let Some(team) = teams.iter().find(|team| team.name == job.team) else {
-        return Err(Refusal::Infeasible(format!("unknown team `{}`", job.team)));
+        return Err(SubmissionError::Infeasible(format!("unknown team `{}`", job.team)));
     };
     check_quota(job, team)?;
     let Some(machine_types) = machine_types else {
         let retry_after = MACHINE_TYPES_RETRY_AFTER_S;
-        return Err(Refusal::NotYet { reason: "machine types are not known yet", retry_after });
+        return Err(SubmissionError::Unavailable { reason: "machine types are not known yet", retry_after });
     };
     if !machine_types.iter().any(|machine_type| can_host(machine_type, job)) {
-        return Err(Refusal::Infeasible("a task fits no allowed machine type".into()));
+        return Err(SubmissionError::Infeasible("a task fits no allowed machine type".into()));
     }
     if job.is_gang && !gangs_supported {
         let reason = "gangs are taken once all controllers are upgraded";
-        return Err(Refusal::NotYet { reason, retry_after: GANGS_RETRY_AFTER_S });
+        return Err(SubmissionError::Unavailable { reason, retry_after: GANGS_RETRY_AFTER_S });
     }
     Ok(())
 }
 
 /// Checks what must run at the same time, all tasks or one, against the team's limit.
-fn check_quota(job: &JobSpec, team: &Team) -> Result<(), Refusal> {
+fn check_quota(job: &JobSpec, team: &Team) -> Result<(), SubmissionError> {
     let concurrent_tasks = if job.is_service || job.is_gang { u64::from(job.task_count) } else { 1 };
     let limits = [("cpus_max", team.cpus_max, job.resources.cpus), ("gpus_max", team.gpus_max, job.resources.gpus)];
     for (name, limit, per_task) in limits {
         let limited = limit > 0.0;
         let thousandths = (limit * 1000.0 + ROUNDING_TOLERANCE) as u64;
         if limited && per_task.saturating_mul(concurrent_tasks) > thousandths {
-            return Err(Refusal::Infeasible(format!("needs more than {name} of team `{}`", job.team)));
+            return Err(SubmissionError::Infeasible(format!("needs more than {name} of team `{}`", job.team)));
         }
     }
     Ok(())
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -23,7 +23,7 @@
     /// What was accepted.
     pub spec: Rc<JobSpec>,
     /// Order among jobs of the same priority.
-    pub queue_sequence: u64,
+    pub queue_order: u64,
     /// Its priority, or a better one when nothing of it has started for long, until something has.
     pub effective_priority: u8,
     /// When it was submitted, by this process's clock.
@@ -78,9 +78,9 @@
     pub(super) fn new(spec: JobSpec, submitted_at: Timestamp, accepted_by_this_leader: bool) -> Job {
         // Among equals, short tasks go first, but nothing waits for ever: it is as if a job had come later by half of what its
         // tasks take.
-        let queue_sequence = submitted_at.as_millis() + spec.estimated_duration.as_millis() / 2;
+        let queue_order = submitted_at.as_millis() + spec.estimated_duration.as_millis() / 2;
         Job {
-            queue_sequence,
+            queue_order,
             effective_priority: spec.priority,
             submitted_at,
             durable: false,
--- a/src/jobs/store.rs
+++ b/src/jobs/store.rs
@@ -16,7 +16,7 @@
 }
 
 /// Where a job stands among those that wait, the most important first.
-type WaitingKey = (u8, u64, JobId);
+type QueueKey = (u8, u64, JobId);
 
 /// All jobs.
 #[derive(Debug, Default)]
@@ -26,8 +26,8 @@
     /// Jobs that have ended.
     terminal: HashMap<JobId, TerminalState>,
     /// Jobs with tasks that are on no machine, by effective priority and order; others may be among them until
-    /// `prune_waiting`.
-    waiting: BTreeSet<WaitingKey>,
+    /// `prune_pending_jobs`.
+    pending_jobs: BTreeSet<QueueKey>,
     /// Gangs that have not ended.
     gangs: BTreeSet<JobId>,
 }
@@ -43,8 +43,8 @@
     JobEnded(JobId, Vec<Placement>),
 }
 
-fn waiting_key(job: &Job) -> WaitingKey {
-    (job.effective_priority, job.queue_sequence, job.spec.id)
+fn queue_key(job: &Job) -> QueueKey {
+    (job.effective_priority, job.queue_order, job.spec.id)
 }
 
 impl JobStore {
@@ -79,8 +79,8 @@
     }
 
     /// Jobs with tasks that are on no machine, the most important first.
-    pub fn waiting(&self) -> impl Iterator<Item = &Job> {
-        let jobs = self.waiting.iter().filter_map(|(.., id)| self.live.get(id));
+    pub fn pending_jobs(&self) -> impl Iterator<Item = &Job> {
+        let jobs = self.pending_jobs.iter().filter_map(|(.., id)| self.live.get(id));
         jobs.filter(|job| !job.pending.is_empty())
     }
 
@@ -90,9 +90,9 @@
     }
 
     /// Forgets as waiting what does not wait any more.
-    pub fn prune_waiting(&mut self) {
+    pub fn prune_pending_jobs(&mut self) {
         let live = &self.live;
-        self.waiting.retain(|(.., id)| live.get(id).is_some_and(|job| !job.pending.is_empty()));
+        self.pending_jobs.retain(|(.., id)| live.get(id).is_some_and(|job| !job.pending.is_empty()));
     }
 
     /// A task is on no machine any more: it waits again, unless it has finished.
@@ -101,23 +101,23 @@
             && !job.finished.contains(task.index)
         {
             job.pending.insert(task.index);
-            self.waiting.insert(waiting_key(job));
+            self.pending_jobs.insert(queue_key(job));
         }
     }
 
     /// Gives a job another effective priority among those that wait.
     pub fn promote(&mut self, id: JobId, effective_priority: u8) {
         if let Some(job) = self.live.get_mut(&id) {
-            self.waiting.remove(&waiting_key(job));
+            self.pending_jobs.remove(&queue_key(job));
             job.effective_priority = effective_priority;
-            self.waiting.insert(waiting_key(job));
+            self.pending_jobs.insert(queue_key(job));
         }
     }
 
     /// Adds a job whose acceptance is not durable yet.
     pub fn insert(&mut self, spec: JobSpec, submitted_at: Timestamp, accepted_by_this_leader: bool) {
         let job = Job::new(spec, submitted_at, accepted_by_this_leader);
-        self.waiting.insert(waiting_key(&job));
+        self.pending_jobs.insert(queue_key(&job));
         if job.gang.is_some() {
             self.gangs.insert(job.spec.id);
         }
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -1,6 +1,6 @@
 //! Submissions: checks their form and turns them into a [`JobSpec`].
 
-use super::{JobSpec, Refusal};
+use super::{JobSpec, SubmissionError};
 use crate::types::{Duration, JobId, Resources, WallClock};
 use crate::wire::submission_field as field;
 use crate::wire::{JOB_SHAPES, JobShape, PRIORITIES};
@@ -28,7 +28,7 @@
 }
 
 /// Checks the form of a submission that came at this time of day.
-pub fn parse_submission(body: &[u8], submitted_at: WallClock) -> Result<JobSpec, Refusal> {
+pub fn parse_submission(body: &[u8], submitted_at: WallClock) -> Result<JobSpec, SubmissionError> {
     let value: Value = serde_json::from_slice(body).map_err(|_| malformed("", "the body is not JSON"))?;
     let Value::Object(fields) = value else { return Err(malformed("", "the body is not an object")) };
     let fields = Fields(fields);
@@ -78,8 +78,8 @@
     value.get(field::JOB)?.as_str()?.parse().ok()
 }
 
-fn malformed(field: &'static str, problem: &'static str) -> Refusal {
-    Refusal::Malformed { field, problem }
+fn malformed(field: &'static str, problem: &'static str) -> SubmissionError {
+    SubmissionError::Malformed { field, problem }
 }
 
 /// The fields of a submission.
@@ -91,7 +91,7 @@
         self.0.get(name).filter(|value| !value.is_null())
     }
 
-    fn required(&self, name: &'static str) -> Result<&Value, Refusal> {
+    fn required(&self, name: &'static str) -> Result<&Value, SubmissionError> {
         self.get(name).ok_or(malformed(name, "is missing"))
     }
 
@@ -99,12 +99,12 @@
     fn optional<T>(
         &self,
         name: &'static str,
-        read: impl FnOnce(&Self, &'static str) -> Result<T, Refusal>,
-    ) -> Result<Option<T>, Refusal> {
+        read: impl FnOnce(&Self, &'static str) -> Result<T, SubmissionError>,
+    ) -> Result<Option<T>, SubmissionError> {
         self.get(name).map(|_| read(self, name)).transpose()
     }
 
-    fn text(&self, name: &'static str) -> Result<String, Refusal> {
+    fn text(&self, name: &'static str) -> Result<String, SubmissionError> {
         match self.required(name)? {
             Value::String(text) if text.is_empty() => Err(malformed(name, "is empty")),
             Value::String(text) if text.len() > NAME_LIMIT => Err(malformed(name, "is too long")),
@@ -113,18 +113,18 @@
         }
     }
 
-    fn flag(&self, name: &'static str) -> Result<bool, Refusal> {
+    fn flag(&self, name: &'static str) -> Result<bool, SubmissionError> {
         self.required(name)?.as_bool().ok_or(malformed(name, "is not true or false"))
     }
 
     /// The position of a field's value among these words.
-    fn word(&self, name: &'static str, words: &[&str]) -> Result<usize, Refusal> {
+    fn word(&self, name: &'static str, words: &[&str]) -> Result<usize, SubmissionError> {
         let value = self.text(name)?;
         words.iter().position(|word| *word == value).ok_or(malformed(name, "is not a known word"))
     }
 
     /// An amount in thousandths, rounded up.
-    fn amount(&self, name: &'static str, zero: Zero) -> Result<u64, Refusal> {
+    fn amount(&self, name: &'static str, zero: Zero) -> Result<u64, SubmissionError> {
         let value = self.required(name)?.as_f64().ok_or(malformed(name, "is not a number"))?;
         if !(0.0..=AMOUNT_LIMIT).contains(&value) {
             return Err(malformed(name, "is out of range"));
@@ -138,11 +138,11 @@
     }
 
     /// A time given in seconds.
-    fn duration(&self, name: &'static str, zero: Zero) -> Result<Duration, Refusal> {
+    fn duration(&self, name: &'static str, zero: Zero) -> Result<Duration, SubmissionError> {
         self.amount(name, zero).map(Duration::from_millis)
     }
 
-    fn task_count(&self) -> Result<u32, Refusal> {
+    fn task_count(&self) -> Result<u32, SubmissionError> {
         let Value::Number(count) = self.required(field::TASK_COUNT)? else {
             return Err(malformed(field::TASK_COUNT, "is not a number"));
         };
@@ -152,7 +152,7 @@
         }
     }
 
-    fn resources(&self) -> Result<Resources, Refusal> {
+    fn resources(&self) -> Result<Resources, SubmissionError> {
         Ok(Resources {
             cpus: self.amount(field::CPUS, Zero::Refused)?,
             gpus: self.amount(field::GPUS, Zero::Allowed)?,
@@ -160,7 +160,7 @@
         })
     }
 
-    fn machine_types(&self) -> Result<Option<Vec<String>>, Refusal> {
+    fn machine_types(&self) -> Result<Option<Vec<String>>, SubmissionError> {
         let Some(value) = self.get(field::MACHINE_TYPES) else { return Ok(None) };
         let not_names = malformed(field::MACHINE_TYPES, "is not a list of names");
         let items = value.as_array().ok_or(not_names.clone())?;
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -13,7 +13,7 @@
            "StashS": 0.0, "DueS": 90.0, "Later": {"x": 1}})
 }
 
-fn parse(value: &Value) -> Result<JobSpec, Refusal> {
+fn parse(value: &Value) -> Result<JobSpec, SubmissionError> {
     parse_submission(value.to_string().as_bytes(), WallClock::from_millis(5))
 }
 
@@ -51,19 +51,22 @@
         let mut wrong = good.clone();
         wrong[name] = value.clone();
         match parse(&wrong) {
-            Err(Refusal::Malformed { field, .. }) => assert_eq!(field, name, "{value}"),
+            Err(SubmissionError::Malformed { field, .. }) => assert_eq!(field, name, "{value}"),
             other => panic!("{name} = {value}: {other:?}"),
         }
     }
-    assert!(matches!(parse_submission(b"[1]", WallClock::default()), Err(Refusal::Malformed { field: "", .. })));
-    assert!(matches!(parse_submission(b"{", WallClock::default()), Err(Refusal::Malformed { field: "", .. })));
+    assert!(matches!(
+        parse_submission(b"[1]", WallClock::default()),
+        Err(SubmissionError::Malformed { field: "", .. })
+    ));
+    assert!(matches!(parse_submission(b"{", WallClock::default()), Err(SubmissionError::Malformed { field: "", .. })));
     assert!(matches!(
         parse_submission(br#"{"Ref":"job-000001","Cores":1e999}"#, WallClock::default()),
-        Err(Refusal::Malformed { .. })
+        Err(SubmissionError::Malformed { .. })
     ));
 }
 
-pub(crate) fn flavor() -> MachineType {
+pub(crate) fn sample_machine_type() -> MachineType {
     serde_json::from_value(json!({"Label": "small", "Cores": 4, "MemoryGb": 16.0, "LocalGb": 70.0, "FetchGbPerS": 1.0,
         "Hourly": 0.26, "MarketPrice": 0.1, "BootS": 15, "Yards": ["a", "b"]}))
     .unwrap()
@@ -72,17 +75,17 @@
 #[test]
 fn what_can_never_run_is_told_from_what_is_not_known_yet() {
     let teams = crate::settings::Settings::parse(crate::settings::tests::SAMPLE).unwrap().deployment.teams;
-    let flavors = [flavor()];
+    let flavors = [sample_machine_type()];
     let check = |change: &dyn Fn(&mut Value)| {
         let mut value = submission("job-000001");
         change(&mut value);
         check_feasible(&parse(&value).unwrap(), &teams, Some(&flavors), false)
     };
     assert_eq!(check(&|_| {}), Ok(()));
-    assert!(matches!(check(&|v| v["Crew"] = json!("nobody")), Err(Refusal::Infeasible(_))));
-    assert!(matches!(check(&|v| v["MemoryGb"] = json!(16.1)), Err(Refusal::Infeasible(_))));
-    assert!(matches!(check(&|v| v["Builds"] = json!(["huge"])), Err(Refusal::Infeasible(_))));
-    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(Refusal::Infeasible(_))));
+    assert!(matches!(check(&|v| v["Crew"] = json!("nobody")), Err(SubmissionError::Infeasible(_))));
+    assert!(matches!(check(&|v| v["MemoryGb"] = json!(16.1)), Err(SubmissionError::Infeasible(_))));
+    assert!(matches!(check(&|v| v["Builds"] = json!(["huge"])), Err(SubmissionError::Infeasible(_))));
+    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(SubmissionError::Infeasible(_))));
     let small = |v: &mut Value| {
         v["Crew"] = json!("small");
         v["Pieces"] = json!(3);
@@ -92,9 +95,12 @@
         small(v);
         v["Shape"] = json!("standing");
     };
-    assert!(matches!(check(&service), Err(Refusal::Infeasible(_))), "a service needs all its tasks at once");
+    assert!(matches!(check(&service), Err(SubmissionError::Infeasible(_))), "a service needs all its tasks at once");
     let job = parse(&submission("job-000001")).unwrap();
-    assert!(matches!(check_feasible(&job, &teams, None, true), Err(Refusal::NotYet { retry_after: 1, .. })));
+    assert!(matches!(
+        check_feasible(&job, &teams, None, true),
+        Err(SubmissionError::Unavailable { retry_after: 1, .. })
+    ));
 }
 
 /// While not all controllers are upgraded a gang is refused at once, with a time to come back; what is malformed, or can never run, is so
@@ -102,14 +108,17 @@
 #[test]
 fn a_gang_is_refused_during_an_upgrade_and_an_impossible_one_for_good() {
     let teams = crate::settings::Settings::parse(crate::settings::tests::SAMPLE).unwrap().deployment.teams;
-    let flavors = [flavor()];
+    let flavors = [sample_machine_type()];
     let check_at = |gangs: bool, change: &dyn Fn(&mut Value)| {
         let mut value = submission("job-000001");
         value["Shape"] = json!("group");
         change(&mut value);
         check_feasible(&parse(&value).unwrap(), &teams, Some(&flavors), gangs)
     };
-    assert!(matches!(check_at(false, &|_| {}), Err(Refusal::NotYet { retry_after: GANGS_RETRY_AFTER_S, .. })));
+    assert!(matches!(
+        check_at(false, &|_| {}),
+        Err(SubmissionError::Unavailable { retry_after: GANGS_RETRY_AFTER_S, .. })
+    ));
     assert_eq!(check_at(true, &|_| {}), Ok(()));
     let check = |change: &dyn Fn(&mut Value)| {
         assert_eq!(check_at(false, change), check_at(true, change));
@@ -119,11 +128,11 @@
         v["Crew"] = json!("small");
         v["Pieces"] = json!(3);
     };
-    assert!(matches!(check(&beyond), Err(Refusal::Infeasible(_))), "all its tasks together exceed the limit");
-    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(Refusal::Infeasible(_))));
+    assert!(matches!(check(&beyond), Err(SubmissionError::Infeasible(_))), "all its tasks together exceed the limit");
+    assert!(matches!(check(&|v| v["Yard"] = json!("c")), Err(SubmissionError::Infeasible(_))));
     let mut value = submission("job-000001");
     (value["Shape"], value["Reel"]) = (json!("group"), json!(null));
-    assert!(matches!(parse(&value), Err(Refusal::Malformed { field: "Reel", .. })));
+    assert!(matches!(parse(&value), Err(SubmissionError::Malformed { field: "Reel", .. })));
 }
 
 /// A key-value store that lowers its limits takes values of 2 KiB: no record of a snapshot may be larger.
--- a/src/leader.rs
+++ b/src/leader.rs
@@ -230,7 +230,7 @@
         self.log.tick(now, &mut events);
         for event in events {
             if let LogEvent::Request(id, request) = event {
-                out.push(Effect::QueryStore(StoreCaller::WriteAheadLog(self.token.0), id, request));
+                out.push(Effect::CallStore(StoreCaller::WriteAheadLog(self.token.0), id, request));
             }
         }
         self.send_waiting_commands(now, out);
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -107,7 +107,7 @@
             conditions: vec![condition(self.format.leader_key(), Revision(self.token.0))],
             writes: vec![StoreWrite::Put { key: STATUS_KEY.into(), value, lease: None }],
         };
-        out.push(Effect::QueryStore(
+        out.push(Effect::CallStore(
             StoreCaller::AdmissionStatus,
             self.admission_status.request_counter,
             StoreRequest::CompareAndSwap(swap),
@@ -117,7 +117,7 @@
     /// What waits of each team's classes whose jobs end by themselves. Services are left out: they wait for machines that boot.
     pub(super) fn backlog_by_pair(&self, now: Timestamp) -> BTreeMap<Pair, PairBacklog> {
         let mut waiting: BTreeMap<(&str, &str), PairBacklog> = BTreeMap::new();
-        for job in self.jobs.waiting().filter(|job| !job.spec.is_service && job.durable && !job.cancelling) {
+        for job in self.jobs.pending_jobs().filter(|job| !job.spec.is_service && job.durable && !job.cancelling) {
             if job.retry_not_before > now {
                 // It failed on several machines, and waits for that.
                 continue;
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -83,12 +83,12 @@
 
 /// The record that a machine was rented. The address of its worker is learnt from its first heartbeat.
 pub(super) fn rental_record(id: MachineId, instance: &PendingInstance, now: Timestamp, wall: WallClock) -> LogRecord {
-    LogRecord::MachineRented(MachineRecord {
+    LogRecord::MachineProvisioned(MachineRecord {
         id,
         endpoint: String::new(),
         machine_type: instance.machine_type.clone(),
         zone: instance.zone.clone(),
         spot: instance.spot,
-        rented_at: wall.at_timestamp(now, instance.requested_at),
+        provisioned_at: wall.at_timestamp(now, instance.requested_at),
     })
 }
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -82,7 +82,7 @@
     fn send_drain_request(&self, request: Option<OutgoingRequest>, out: &mut Vec<Effect>) {
         if let Some(OutgoingRequest { id, request }) = request {
             let request = record_store::service_request(request, self.format(), self.token);
-            out.push(Effect::QueryStore(StoreCaller::Drains(self.token.0), id, request));
+            out.push(Effect::CallStore(StoreCaller::Drains(self.token.0), id, request));
         }
     }
 
@@ -194,8 +194,9 @@
     /// Whether a machine is a replacement whose counterpart is still to be drained.
     pub(crate) fn is_replacement(&self, id: MachineId) -> bool {
         let Some(drains) = &self.drain_state.coordinator else { return false };
-        let retained =
-            |machine: &Machine| drains.retains_replacement(id, &pool_of(&machine.record), machine.record.rented_at);
+        let retained = |machine: &Machine| {
+            drains.retains_replacement(id, &pool_of(&machine.record), machine.record.provisioned_at)
+        };
         self.machines.get(&id).is_some_and(retained)
     }
 
--- a/src/leader/drains/fleet_view.rs
+++ b/src/leader/drains/fleet_view.rs
@@ -186,7 +186,7 @@
         let on_machine = machine.attempts.iter().filter(|(_, task)| task.assigned && task.occupies_resources());
         Some(MachineView {
             pool: pool_of(&machine.record),
-            rented_at: machine.record.rented_at,
+            rented_at: machine.record.provisioned_at,
             reachable: self.is_reachable(machine),
             // A quarantined one keeps the services that run on it, so it does not leave by itself.
             leaving: self.leader.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
@@ -230,7 +230,7 @@
         let is_fresh = |machine: &&Machine| {
             let record = &machine.record;
             is_in_pool(&pool, &record.machine_type, &record.zone, record.spot)
-                && record.rented_at >= since
+                && record.provisioned_at >= since
                 && !excluded.contains(&machine.id())
                 && machine.draining.is_none()
                 && machine.reclaim_at.is_none()
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -60,7 +60,7 @@
     /// so the lease counts from the last one given. A leader whose own lease is in doubt cannot know at all: cut off with its own
     /// zone it took the others' leases for expired, which the next leader went on renewing, and started their tasks a second time.
     fn lease_expired(&self, machine: &Machine) -> bool {
-        self.lease_valid && machine.fenced && self.now.since(machine.last_answer_at) >= self.lease_expired_after
+        self.lease_valid && machine.fenced && self.now.since(machine.lease_renewed_at) >= self.lease_expired_after
     }
 
     /// Whether the machine is kept although it is out of reach, because its zone is.
@@ -142,7 +142,7 @@
     if let Some(command) = machine.in_flight_command
         && now.since(command.sent_at) > COMMAND_EXPIRY
     {
-        machine.command_finished(now, command.id, false);
+        machine.record_command_outcome(now, command.id, false);
     }
 }
 
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -43,7 +43,8 @@
     /// it kept the leader key, while every lease expired and every task was lost.
     pub fn detect_isolation(&mut self) {
         let ever_reached = self.reachability.ever_reached;
-        let significant = || self.machines.values().filter(|machine| machine.heartbeats_regularly || !ever_reached);
+        let significant =
+            || self.machines.values().filter(|machine| machine.sends_consecutive_heartbeats || !ever_reached);
         if significant().nth(MIN_SIGNIFICANT_MACHINES - 1).is_none() {
             // Without workers there is no silence: the first ones that came up together ended the leadership of a node that had
             // waited for them.
--- a/src/leader/failure_detection/tests.rs
+++ b/src/leader/failure_detection/tests.rs
@@ -17,7 +17,7 @@
         machine_type: "big".to_string(),
         zone: "a".to_string(),
         spot: false,
-        rented_at: WallClock::default(),
+        provisioned_at: WallClock::default(),
     };
     Machine::new(record, Resources::default(), Registration::NotRequested, Timestamp::START)
 }
--- a/src/leader/failure_detection/zones.rs
+++ b/src/leader/failure_detection/zones.rs
@@ -100,7 +100,7 @@
 impl ZoneReachability {
     fn add(&mut self, machine: &Machine, is_overdue: bool) {
         self.machines += 1;
-        self.regular += usize::from(machine.heartbeats_regularly);
+        self.regular += usize::from(machine.sends_consecutive_heartbeats);
         self.unreached += usize::from(is_overdue && machine.unanswered_commands > 0);
         self.last_reached_at = self.last_reached_at.max(machine.last_reached_at);
     }
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -106,13 +106,13 @@
                 machine_type: heartbeat.machine_type.clone(),
                 zone: heartbeat.zone.clone(),
                 spot: heartbeat.spot,
-                rented_at: wall,
+                provisioned_at: wall,
             };
             Machine::new(record, Resources::default(), Registration::NotRequested, now)
         });
         if let Some(rented_at) = self.cloud.instance_up(id) {
             machine.known_since = rented_at;
-            machine.record.rented_at = wall.at_timestamp(now, rented_at);
+            machine.record.provisioned_at = wall.at_timestamp(now, rented_at);
         }
         machine
     }
@@ -120,7 +120,7 @@
     /// Asks a machine for its proof that it is fenced by a direct command, unless the answer to its first heartbeat will do: that
     /// tells the worker our fencing token, and it says so at once.
     fn request_fencing_proof(&mut self, id: MachineId) {
-        if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_answered()) {
+        if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_sent_response()) {
             self.command_dispatch.request(id);
         }
     }
@@ -136,8 +136,8 @@
             // leader of a chain renewed it once, and the machine was out of reach before the next heartbeat.
             workers::stop_ended_jobs(heartbeat, &|job| self.jobs.terminal_state(job).is_some())
         };
-        machine.last_answer_at = now;
-        machine.last_answered_heartbeat = machine.last_heartbeat;
+        machine.lease_renewed_at = now;
+        machine.last_responded_heartbeat = machine.last_heartbeat;
         Some(HeartbeatResponse { fencing_token: self.token.0, commands })
     }
 
@@ -171,7 +171,7 @@
         let answered = matches!(reply.status, 200 | 409);
         self.command_dispatch.command_finished();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.command_finished(now, command, answered);
+            machine.record_command_outcome(now, command, answered);
             self.planning.changed_machines.insert(id);
         }
         if answered && let Some(message) = reply.parse::<Heartbeat>() {
@@ -220,7 +220,7 @@
                     self.fencing.machine_fenced(now, id);
                 }
                 MachineEvent::ImageCached(image) => self.log.append(LogRecord::ImageCached(id, image)),
-                MachineEvent::AttemptFound { id: attempt, has_ended } => {
+                MachineEvent::AttemptDiscovered { id: attempt, has_ended } => {
                     self.adopt_attempt(now, id, attempt, has_ended)
                 }
                 MachineEvent::AttemptRunning(attempt) => self.attempt_running(now, attempt),
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -41,7 +41,7 @@
         for event in events {
             match event {
                 LogEvent::Request(id, request) => {
-                    out.push(Effect::QueryStore(StoreCaller::WriteAheadLog(self.token.0), id, request));
+                    out.push(Effect::CallStore(StoreCaller::WriteAheadLog(self.token.0), id, request));
                 }
                 LogEvent::RecordLoaded(record) => self.restore_record(now, wall, &record),
                 LogEvent::LoadComplete => self.finish_loading(now, out),
@@ -59,13 +59,13 @@
     pub(super) fn restore_record(&mut self, now: Timestamp, wall: WallClock, record: &LogRecord) {
         match record {
             LogRecord::MachineRegistered(machine) => self.restore_machine(now, wall, machine),
-            LogRecord::MachineRented(machine) => self.restore_rental(now, wall, machine),
+            LogRecord::MachineProvisioned(machine) => self.restore_rental(now, wall, machine),
             LogRecord::ImageCached(id, image) => {
                 if let Some(machine) = self.machines.get_mut(id) {
                     machine.images.insert(image.clone());
                 }
             }
-            LogRecord::CorrectionLearnt(percent, executions) => {
+            LogRecord::CorrectionUpdated(percent, executions) => {
                 self.planning.correction = Correction { percent: *percent, executions: *executions };
             }
             LogRecord::MachineGone(id) => {
@@ -81,7 +81,7 @@
 
     fn restore_machine(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
         let mut machine = Machine::new(record.clone(), Resources::default(), Registration::Durable, now);
-        machine.known_since = wall.timestamp_of(now, record.rented_at);
+        machine.known_since = wall.timestamp_of(now, record.provisioned_at);
         self.cloud.instance_up(record.id);
         self.fencing.unfenced.insert(record.id);
         self.machines.insert(record.id, machine);
@@ -96,7 +96,7 @@
             machine_type: record.machine_type.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
-            requested_at: wall.timestamp_of(now, record.rented_at),
+            requested_at: wall.timestamp_of(now, record.provisioned_at),
         };
         self.cloud.adopt_pending(record.id, instance);
     }
@@ -133,9 +133,9 @@
         match record {
             LogRecord::MachineRegistered(machine) => self.registration_durable(machine.id),
             LogRecord::MachineGone(_)
-            | LogRecord::MachineRented(_)
+            | LogRecord::MachineProvisioned(_)
             | LogRecord::ImageCached(..)
-            | LogRecord::CorrectionLearnt(..) => {}
+            | LogRecord::CorrectionUpdated(..) => {}
             job_record => {
                 if let LogRecord::TasksDone(job, tasks) = job_record {
                     self.finishes_durable(*job, tasks);
@@ -211,7 +211,7 @@
         }
         records.extend(self.cloud.pending().map(|(id, instance)| rental_record(*id, instance, now, wall)));
         let correction = &self.planning.correction;
-        records.push(LogRecord::CorrectionLearnt(correction.percent, correction.executions));
+        records.push(LogRecord::CorrectionUpdated(correction.percent, correction.executions));
         records.extend(self.jobs.snapshot_records());
         records
     }
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -103,7 +103,7 @@
 
     /// Counts tasks for which no machine's queue has a place.
     fn count_unplanned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
-        let startable = self.jobs.waiting().filter(|job| self.is_startable(job, round.now));
+        let startable = self.jobs.pending_jobs().filter(|job| self.is_startable(job, round.now));
         for job in startable.filter(|job| round.now.since(job.last_planned_at) < RECENTLY_PLANNED) {
             let unplanned = job.pending.len().saturating_sub(self.planning.plans.planned_count(job.spec.id));
             if unplanned > 0 {
--- a/src/leader/provisioning/solver/tests.rs
+++ b/src/leader/provisioning/solver/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::jobs::tests::flavor;
+use crate::jobs::tests::sample_machine_type;
 
 /// Three replicas of a service that is spread over zones.
 fn replicas(job: u64) -> MachineDemand {
@@ -25,9 +25,9 @@
 /// Many services of a few replicas each fill a large machine that is cheaper per CPU.
 #[test]
 fn cost_per_task_counts_all_alike_demands() {
-    let mut large = flavor();
+    let mut large = sample_machine_type();
     (large.name, large.cpus, large.memory_gb, large.price_per_hour) = ("large".into(), 16.0, 64.0, 0.99);
-    let machine_types = [flavor(), large];
+    let machine_types = [sample_machine_type(), large];
     let rented_types = |job_count: u64| -> Vec<(String, u32)> {
         let demands: Vec<MachineDemand> = (0..job_count).map(replicas).collect();
         let counts = rented(&demands, &machine_types);
@@ -39,7 +39,7 @@
 
 #[test]
 fn replicas_with_a_zone_limit_are_rented_for_in_several_zones() {
-    let counts = rented(&[replicas(1)], &[flavor()]);
+    let counts = rented(&[replicas(1)], &[sample_machine_type()]);
     let by_zone: Vec<_> = counts.iter().map(|(pool, count)| (pool.zone.as_str(), pool.spot, *count)).collect();
     assert_eq!(by_zone, [("a", false, 1), ("b", false, 1)]);
 }
@@ -49,7 +49,7 @@
 fn colocated_tasks_are_rented_for_in_one_zone() {
     let gang = |job, count| MachineDemand { count, max_per_zone: u32::MAX, colocate_in_zone: true, ..replicas(job) };
     let single = MachineDemand { max_per_zone: u32::MAX, count: 1, ..replicas(1) };
-    let counts = rented(&[single, gang(2, 7), gang(3, 3)], &[flavor()]);
+    let counts = rented(&[single, gang(2, 7), gang(3, 3)], &[sample_machine_type()]);
     // The first takes one of four CPUs in `a`; seven do not fit beside it and go to `b`, where one is left; three go to `a`.
     let by_zone: Vec<_> = counts.iter().map(|(pool, count)| (pool.zone.as_str(), *count)).collect();
     assert_eq!(by_zone, [("a", 1), ("b", 2)]);
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -95,7 +95,7 @@
 
 /// Where a job's tasks stand in queues.
 pub(crate) fn queue_priority(job: &Job) -> QueuePriority {
-    QueuePriority { priority: job.effective_priority, sequence: job.queue_sequence }
+    QueuePriority { priority: job.effective_priority, sequence: job.queue_order }
 }
 
 /// Whether tasks of this job may start in headroom: what it is reserved for, services, and what has waited too long.
--- a/src/leader/scheduling/waiting_jobs.rs
+++ b/src/leader/scheduling/waiting_jobs.rs
@@ -69,7 +69,7 @@
     /// never start (docs/design.md, exception 8).
     pub(super) fn promote_starved(&mut self, now: Timestamp) {
         let starved: Vec<JobId> =
-            self.jobs.waiting().filter(|job| self.is_starved(job, now)).map(|job| job.spec.id).collect();
+            self.jobs.pending_jobs().filter(|job| self.is_starved(job, now)).map(|job| job.spec.id).collect();
         for id in starved {
             info!("job promoted job={id} reason=\"nothing of it has begun\"");
             self.planning.plans.unplan_job(id);
@@ -116,7 +116,7 @@
     /// with the most important one, some services that found no room anywhere kept everything else from being
     /// looked at, for as long as they waited.
     pub(super) fn plan_waiting(&mut self, now: Timestamp, usage: &TeamUsage) {
-        self.jobs.prune_waiting();
+        self.jobs.prune_pending_jobs();
         let waiting = self.unplanned_tasks(now, usage);
         let mut progress = RoundProgress::default();
         let budget = self.planning.pacing.evaluation_budget(self.planning.plans.machines().count());
@@ -136,7 +136,7 @@
     /// Tasks that may start and are in no queue, those of the most important job first.
     fn unplanned_tasks(&self, now: Timestamp, usage: &TeamUsage) -> Vec<UnplannedTasks> {
         self.jobs
-            .waiting()
+            .pending_jobs()
             .filter(|job| self.is_startable(job, now) && self.within_quota(usage, job, 1))
             .map(|job| UnplannedTasks { job: job.spec.id, count: self.unplanned_count(job) })
             .filter(|tasks| tasks.count > 0)
--- a/src/leader/tasks/exits.rs
+++ b/src/leader/tasks/exits.rs
@@ -105,7 +105,7 @@
         let correction = &mut self.planning.correction;
         correction.learn(actual, predicted);
         if correction.executions.is_multiple_of(LEARNT_EVERY) {
-            self.log.append(LogRecord::CorrectionLearnt(correction.percent, correction.executions));
+            self.log.append(LogRecord::CorrectionUpdated(correction.percent, correction.executions));
         }
     }
 
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -14,15 +14,15 @@
         machine_type: kind.clone(),
         zone: zone.clone(),
         spot: false,
-        rented_at: WallClock::default(),
+        provisioned_at: WallClock::default(),
     };
     let facts = [
         LogRecord::MachineRegistered(machine(1)),
         LogRecord::MachineRegistered(machine(2)),
         LogRecord::MachineGone(MachineId(2)),
-        LogRecord::MachineRented(machine(1)),
-        LogRecord::MachineRented(machine(2)),
-        LogRecord::MachineRented(machine(3)),
+        LogRecord::MachineProvisioned(machine(1)),
+        LogRecord::MachineProvisioned(machine(2)),
+        LogRecord::MachineProvisioned(machine(3)),
     ];
     for fact in &facts {
         term.restore_record(Timestamp::START, WallClock::default(), fact);
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use crate::api::{ApiResponse, UserRequest};
 use crate::effects::{Effect, RequestOrigin};
-use crate::jobs::{self, JobSpec, Refusal};
+use crate::jobs::{self, JobSpec, SubmissionError};
 use crate::types::{JobId, Timestamp, WallClock};
 use crate::wire::submission_field;
 use crate::write_ahead_log::LogRecord;
@@ -93,7 +93,7 @@
         self.drop_unknown_machine_types(&mut spec);
         if !self.log.fits_in_value(&LogRecord::JobAccepted(spec.clone())) {
             let problem = "the job's names are too long to be kept";
-            return Err(refused(&Refusal::Malformed { field: submission_field::IMAGE, problem }));
+            return Err(refused(&SubmissionError::Malformed { field: submission_field::IMAGE, problem }));
         }
         let submission = Submission { job: spec.id, team: &spec.team, class: &spec.class };
         if let Decision::Refuse { retry_after_s } = self.admission.decide(now, &submission, spec.task_count) {
@@ -190,10 +190,10 @@
     }
 }
 
-fn refused(refusal: &Refusal) -> ApiResponse {
+fn refused(refusal: &SubmissionError) -> ApiResponse {
     match refusal {
-        Refusal::Malformed { field, problem } => ApiResponse::field_error(400, problem, field),
-        Refusal::Infeasible(reason) => ApiResponse::error(422, reason),
-        Refusal::NotYet { reason, retry_after } => ApiResponse::unavailable_for(reason, *retry_after),
+        SubmissionError::Malformed { field, problem } => ApiResponse::field_error(400, problem, field),
+        SubmissionError::Infeasible(reason) => ApiResponse::error(422, reason),
+        SubmissionError::Unavailable { reason, retry_after } => ApiResponse::unavailable_for(reason, *retry_after),
     }
 }
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -95,10 +95,10 @@
     /// The highest fencing token of another node that was observed.
     highest_observed_token: FencingToken,
     /// Until then a vacancy is expected, and the key is read more often.
-    eager_until: Timestamp,
+    vacancy_expected_until: Timestamp,
     /// Until then the key is left to the other nodes.
     abstain_until: Timestamp,
-    last_store_answer_at: Option<Timestamp>,
+    last_store_response_at: Option<Timestamp>,
 }
 
 impl Leadership {
@@ -120,9 +120,9 @@
             lease_valid_until: Timestamp::ZERO,
             known_leader: None,
             highest_observed_token: FencingToken(0),
-            eager_until: Timestamp::ZERO,
+            vacancy_expected_until: Timestamp::ZERO,
             abstain_until: Timestamp::ZERO,
-            last_store_answer_at: None,
+            last_store_response_at: None,
         }
     }
 
@@ -152,15 +152,15 @@
     }
 
     /// Whether the store has answered within this time.
-    pub fn store_answered_within(&self, now: Timestamp, span: Duration) -> bool {
-        self.last_store_answer_at.is_some_and(|at| now.since(at) < span)
+    pub fn store_responded_within(&self, now: Timestamp, span: Duration) -> bool {
+        self.last_store_response_at.is_some_and(|at| now.since(at) < span)
     }
 
     /// Reads the key soon, because the leader's link broke.
-    pub fn campaign_soon(&mut self, now: Timestamp) {
+    pub fn expect_vacancy(&mut self, now: Timestamp) {
         if self.token.is_none() {
             self.next_action_at = self.next_action_at.min(now + VACANCY_READ_PAUSE);
-            self.eager_until = now + self.lease_duration + VACANCY_MARGIN;
+            self.vacancy_expected_until = now + self.lease_duration + VACANCY_MARGIN;
         }
     }
 
@@ -214,7 +214,7 @@
     ) {
         let Some(request) = self.in_flight.take_if(|request| request.id == id) else { return };
         if matches!(response.status, 200 | 404 | 409) {
-            self.last_store_answer_at = Some(now);
+            self.last_store_response_at = Some(now);
         }
         match request.kind {
             RequestKind::ReadKey => self.handle_key_read(now, response, out),
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -89,7 +89,7 @@
             self.set_known_leader(Some(node), out);
         }
         // With its link gone the leader is likely dead: its lease ends soon.
-        let vacancy_expected = self.eager_until > now;
+        let vacancy_expected = self.vacancy_expected_until > now;
         self.next_action_at = now + if vacancy_expected { self.jitter(50, 100) } else { self.jitter(200, 300) };
     }
 
--- a/src/runtime/load_report.rs
+++ b/src/runtime/load_report.rs
@@ -129,7 +129,7 @@
     pub fn count_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::SendCommands { .. } => self.commands += 1,
-            Effect::QueryStore(..) | Effect::CallCloud(..) | Effect::Forward(..) => self.requests += 1,
+            Effect::CallStore(..) | Effect::CallCloud(..) | Effect::Forward(..) => self.requests += 1,
             Effect::Respond(..)
             | Effect::AnnounceLeadership(_)
             | Effect::PublishAdmissionTable(_)
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -107,7 +107,7 @@
     pub fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Respond(origin, answer) => self.answer(origin, answer),
-            Effect::QueryStore(slot, id, call) => self.clients.state(slot, id, call),
+            Effect::CallStore(slot, id, call) => self.clients.state(slot, id, call),
             Effect::CallCloud(token, id, call) => self.clients.cloud(token, id, call),
             Effect::SendCommands { token, machine, endpoint, id, body } => {
                 self.clients.command(token, machine, &endpoint, id, &body);
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -89,7 +89,7 @@
 
 impl TaskAttempt {
     /// An attempt that a worker reports and this leader did not start. It is to be stopped unless its job adopts it.
-    pub(super) fn found(task: TaskId, phase: AttemptPhase, now: Timestamp) -> TaskAttempt {
+    pub(super) fn discovered(task: TaskId, phase: AttemptPhase, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             task,
             // The end is noted as a change of phase, like that of any other attempt.
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -109,9 +109,9 @@
     }
 
     /// Notes that a direct command was answered (`answered`), or got no answer and may still be executed.
-    pub fn command_finished(&mut self, now: Timestamp, command: u64, answered: bool) {
+    pub fn record_command_outcome(&mut self, now: Timestamp, command: u64, answered: bool) {
         if answered {
-            self.note_reached(now);
+            self.mark_reached(now);
         } else {
             self.unanswered_commands += 1;
         }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -44,16 +44,16 @@
     /// which is not newer is a late copy, whose answer nobody reads.
     pub last_heartbeat: MessagePosition,
     /// The last heartbeat that was answered.
-    pub last_answered_heartbeat: MessagePosition,
+    pub last_responded_heartbeat: MessagePosition,
     /// Whether it has come back to this node with the next heartbeat after an answered one.
-    pub heartbeats_regularly: bool,
+    pub sends_consecutive_heartbeats: bool,
     /// When its last message arrived.
     pub last_message_at: Timestamp,
     /// When it last proved that something of ours reached it. A machine whose heartbeats arrive while answers and commands do not
     /// reach it is treated as a silent one.
     pub last_reached_at: Timestamp,
     /// When a heartbeat of it was answered last: its lease counts from then.
-    pub last_answer_at: Timestamp,
+    pub lease_renewed_at: Timestamp,
     /// When it became known to this leader, or was rented.
     pub known_since: Timestamp,
     /// When the cloud reclaims it.
@@ -86,11 +86,11 @@
             last_message: MessagePosition::default(),
             fenced: false,
             last_heartbeat: MessagePosition::default(),
-            last_answered_heartbeat: MessagePosition::default(),
-            heartbeats_regularly: false,
+            last_responded_heartbeat: MessagePosition::default(),
+            sends_consecutive_heartbeats: false,
             last_message_at: now,
             last_reached_at: now,
-            last_answer_at: now,
+            lease_renewed_at: now,
             known_since: now,
             reclaim_at: None,
             attempts: BTreeMap::new(),
@@ -123,8 +123,8 @@
     }
 
     /// Whether a heartbeat of it was answered by this leader.
-    pub fn was_answered(&self) -> bool {
-        self.last_answered_heartbeat.epoch.0 > 0
+    pub fn was_sent_response(&self) -> bool {
+        self.last_responded_heartbeat.epoch.0 > 0
     }
 
     /// Whether an attempt takes resources here.
@@ -152,7 +152,7 @@
     }
 
     /// Notes that something of ours has surely reached the machine.
-    pub fn note_reached(&mut self, now: Timestamp) {
+    pub fn mark_reached(&mut self, now: Timestamp) {
         self.last_reached_at = now;
         self.unanswered_commands = 0;
     }
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, PartialEq)]
 pub enum MachineEvent {
     /// An attempt that this leader did not know; its job adopts it, or it is stopped.
-    AttemptFound {
+    AttemptDiscovered {
         /// The attempt.
         id: AttemptId,
         /// Whether it has ended already.
@@ -44,9 +44,9 @@
         self.last_heartbeat = position;
         // A worker whose heartbeat got no answer goes to another node: one that comes back at once with
         // the next heartbeat has received the last answer.
-        if has_peers && position == self.last_answered_heartbeat.next() {
-            self.note_reached(now);
-            self.heartbeats_regularly = true;
+        if has_peers && position == self.last_responded_heartbeat.next() {
+            self.mark_reached(now);
+            self.sends_consecutive_heartbeats = true;
         }
         true
     }
@@ -90,15 +90,15 @@
         }
         // The lease of an epoch counts from its beginning. Counting on from the last answer of the
         // epoch before gave up tasks that still ran, and started them twice.
-        self.last_answer_at = now;
+        self.lease_renewed_at = now;
     }
 
     /// Notes that the worker has seen this leader's fencing token.
     fn note_fenced(&mut self, now: Timestamp, events: &mut Vec<MachineEvent>) {
         self.fenced = true;
         // An earlier leader may have renewed the lease up to now, but no longer.
-        self.last_answer_at = now;
-        self.note_reached(now);
+        self.lease_renewed_at = now;
+        self.mark_reached(now);
         events.push(MachineEvent::Fenced);
     }
 
@@ -143,15 +143,15 @@
     ) {
         let phase = AttemptPhase::from(status.state);
         if let Entry::Vacant(entry) = self.attempts.entry(id) {
-            entry.insert(TaskAttempt::found(id.task, phase, now));
-            events.push(MachineEvent::AttemptFound { id, has_ended: phase == AttemptPhase::Exited });
+            entry.insert(TaskAttempt::discovered(id.task, phase, now));
+            events.push(MachineEvent::AttemptDiscovered { id, has_ended: phase == AttemptPhase::Exited });
         }
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         let newly_acknowledged = !std::mem::replace(&mut attempt.acknowledged, true);
         let phase_changed = std::mem::replace(&mut attempt.phase, phase) != phase;
         if newly_acknowledged {
             // It has received our command.
-            self.note_reached(now);
+            self.mark_reached(now);
         }
         if !phase_changed {
             return;
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -17,7 +17,7 @@
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        rented_at: WallClock::default(),
+        provisioned_at: WallClock::default(),
     };
     Machine::new(record, Resources { cpus: 4000, gpus: 0, memory: 16_000 }, Registration::Durable, Timestamp::ZERO)
 }
@@ -55,12 +55,12 @@
 fn the_lease_of_a_new_epoch_counts_from_its_beginning() {
     let (mut machine, mut events) = (machine(), Vec::new());
     machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), FencingToken(7), &mut events);
-    assert_eq!((machine.fenced, machine.last_answer_at), (true, Timestamp::from_millis(100)));
+    assert_eq!((machine.fenced, machine.lease_renewed_at), (true, Timestamp::from_millis(100)));
     machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::None));
     events.clear();
     machine.apply_message(Timestamp::from_millis(16_500), &heartbeat(2, 1, 7, json!([])), FencingToken(7), &mut events);
     assert_eq!(events, [MachineEvent::AttemptLost("job-000001/0".parse().unwrap())]);
-    assert_eq!(machine.last_answer_at, Timestamp::from_millis(16_500));
+    assert_eq!(machine.lease_renewed_at, Timestamp::from_millis(16_500));
 }
 
 #[test]
@@ -100,13 +100,13 @@
     let mut receive = |machine: &mut Machine, at: u64, heartbeat: &Heartbeat| {
         assert!(machine.accept_heartbeat(Timestamp::from_millis(at), heartbeat, true));
         machine.apply_message(Timestamp::from_millis(at), heartbeat, FencingToken(7), &mut events);
-        machine.last_answered_heartbeat = machine.last_heartbeat;
+        machine.last_responded_heartbeat = machine.last_heartbeat;
     };
     receive(&mut machine, 100, &heartbeat(1, 5, 7, json!([])));
     assert_eq!(machine.last_reached_at, Timestamp::from_millis(100), "it has seen our token");
     receive(&mut machine, 2100, &heartbeat(1, 6, 7, json!([])));
     assert_eq!(machine.last_reached_at, Timestamp::from_millis(2100), "it came back with the next one");
-    machine.command_finished(Timestamp::from_millis(4000), 1, false);
+    machine.record_command_outcome(Timestamp::from_millis(4000), 1, false);
     receive(&mut machine, 12_100, &heartbeat(1, 8, 7, json!([])));
     assert_eq!(
         (machine.last_reached_at, machine.unanswered_commands),
@@ -171,7 +171,7 @@
 fn a_directly_started_attempt_is_forgotten_only_when_no_late_copy_can_come() {
     let mut machine = machine();
     machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::InFlight(3)));
-    machine.command_finished(Timestamp::from_millis(10), 3, true);
+    machine.record_command_outcome(Timestamp::from_millis(10), 3, true);
     machine.fenced = true;
     let exited = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "exited", "Cause": "done"}]);
     machine.apply_message(Timestamp::from_millis(1000), &heartbeat(1, 1, 7, exited), FencingToken(7), &mut Vec::new());
@@ -192,5 +192,8 @@
     );
     assert!(events.is_empty() && !machine.fenced);
     machine.apply_message(Timestamp::from_millis(101), &heartbeat(1, 6, 7, running), FencingToken(7), &mut events);
-    assert_eq!(events, [MachineEvent::Fenced, MachineEvent::AttemptFound { id: first_attempt(), has_ended: false }]);
+    assert_eq!(
+        events,
+        [MachineEvent::Fenced, MachineEvent::AttemptDiscovered { id: first_attempt(), has_ended: false }]
+    );
 }
--- a/src/write_ahead_log/record.rs
+++ b/src/write_ahead_log/record.rs
@@ -30,7 +30,7 @@
     pub spot: bool,
     /// When it was rented, or first heard of.
     #[serde(rename = "a", default)]
-    pub rented_at: WallClock,
+    pub provisioned_at: WallClock,
 }
 
 /// One record of the log. Applying a record twice is the same as applying it once.
@@ -51,13 +51,13 @@
     /// A machine was rented and has not sent a heartbeat yet. Nothing waits for this record: without it the
     /// next leader would rent again what the cloud's list shows only later.
     #[serde(rename = "r")]
-    MachineRented(MachineRecord),
+    MachineProvisioned(MachineRecord),
     /// A machine holds an image.
     #[serde(rename = "i")]
     ImageCached(MachineId, String),
     /// What CorrecFAST has learnt: its value in percent and how many executions it saw.
     #[serde(rename = "l")]
-    CorrectionLearnt(f64, u64),
+    CorrectionUpdated(f64, u64),
     /// A machine is gone for ever.
     #[serde(rename = "g")]
     MachineGone(MachineId),
--- a/src/write_ahead_log/tests.rs
+++ b/src/write_ahead_log/tests.rs
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_job_too_large_for_lowered_values_is_kept_in_fragments() {
-    let facts = [LogRecord::JobCancelled(JobId(1)), large_job(), LogRecord::CorrectionLearnt(90.0, 3)];
+    let facts = [LogRecord::JobCancelled(JobId(1)), large_job(), LogRecord::CorrectionUpdated(90.0, 3)];
     let mut records = lowered(Format::Two);
     records.begin_snapshot(facts.clone().into_iter());
     // All that the snapshot writes, as the next leader reads it.
--- a/tests/characterization/answers.rs
+++ b/tests/characterization/answers.rs
@@ -115,7 +115,7 @@
         match effect {
             Effect::Respond(origin, answer) => self.answers.push((origin, answer)),
             Effect::Forward(..) => self.forwarded += 1,
-            Effect::QueryStore(slot, id, call) if self.state_answers => {
+            Effect::CallStore(slot, id, call) if self.state_answers => {
                 return Some(Input::StoreResponse(slot, id, stored(&call)));
             }
             Effect::CallCloud(token, id, call) if self.cloud_answers => {
--- a/tests/characterization/messages.rs
+++ b/tests/characterization/messages.rs
@@ -1,7 +1,7 @@
 //! Every message of PROTOCOL, in both directions: as it is written, and as it is read again with and without optional fields.
 
 use crate::fixture::{self, Example, example, examples};
-use caperstile::jobs::{Refusal, parse_submission};
+use caperstile::jobs::{SubmissionError, parse_submission};
 use caperstile::types::{JobId, TaskId, WallClock};
 use caperstile::wire::{
     CommandBatch, CompareAndSwap, CompareAndSwapResponse, ExitReason, GrantLeaseRequest, GrantLeaseResponse, Heartbeat,
@@ -223,7 +223,7 @@
     let refused: Vec<Example> = examples("wire/malformed.txt")
         .into_iter()
         .map(|(name, text)| match parse_submission(text.as_bytes(), WallClock::from_millis(0)) {
-            Err(Refusal::Malformed { field, problem }) => example(name, format!("{field}: {problem}")),
+            Err(SubmissionError::Malformed { field, problem }) => example(name, format!("{field}: {problem}")),
             _ => example(name, "taken"),
         })
         .collect();
--- a/tests/characterization/stored_log.rs
+++ b/tests/characterization/stored_log.rs
@@ -68,7 +68,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot,
-        rented_at: WallClock::from_millis(1_700_000_000_123),
+        provisioned_at: WallClock::from_millis(1_700_000_000_123),
     }
 }
 
@@ -89,9 +89,9 @@
         ("done", LogRecord::TasksDone(JobId(412), ranges(&[0, 1, 2, 5]))),
         ("cancelled", LogRecord::JobCancelled(JobId(412))),
         ("machine-up", LogRecord::MachineRegistered(machine(231, true))),
-        ("machine-rented", LogRecord::MachineRented(machine(232, false))),
+        ("machine-rented", LogRecord::MachineProvisioned(machine(232, false))),
         ("image", LogRecord::ImageCached(MachineId(231), "img-1".into())),
-        ("correction", LogRecord::CorrectionLearnt(92.5, 17)),
+        ("correction", LogRecord::CorrectionUpdated(92.5, 17)),
         ("machine-gone", LogRecord::MachineGone(MachineId(231))),
         ("ended-jobs", LogRecord::EndedJobs(vec![(1, 3), (411, 8)], vec![7, 2])),
         ("part", serde_json::from_str(part).expect("a fact")),
@@ -105,9 +105,9 @@
         | LogRecord::TasksDone(..)
         | LogRecord::JobCancelled(_)
         | LogRecord::MachineRegistered(_)
-        | LogRecord::MachineRented(_) => true,
+        | LogRecord::MachineProvisioned(_) => true,
         LogRecord::ImageCached(..)
-        | LogRecord::CorrectionLearnt(..)
+        | LogRecord::CorrectionUpdated(..)
         | LogRecord::MachineGone(_)
         | LogRecord::EndedJobs(..)
         | LogRecord::Fragment(_) => true,
@@ -132,7 +132,7 @@
         "m":"img-1","g":1500,"e":30000,"a":1700000000123}}"#;
     assert!(serde_json::from_str::<LogRecord>(job).expect("a fact") == LogRecord::JobAccepted(service()));
     let machine_up = r#"{"m":{"i":231,"e":"10.1.0.232:9000","k":"g8","z":"a","s":true}}"#;
-    let without_time = MachineRecord { rented_at: WallClock::from_millis(0), ..machine(231, true) };
+    let without_time = MachineRecord { provisioned_at: WallClock::from_millis(0), ..machine(231, true) };
     assert!(
         serde_json::from_str::<LogRecord>(machine_up).expect("a fact") == LogRecord::MachineRegistered(without_time)
     );
@@ -271,7 +271,7 @@
     assert!(Leader::new(44, Format::Two, &mut keys_of(&[log, first])).read == small);
 
     leader.written.clear();
-    let large = [LogRecord::JobCancelled(JobId(1)), large_job(), LogRecord::CorrectionLearnt(92.5, 17)];
+    let large = [LogRecord::JobCancelled(JobId(1)), large_job(), LogRecord::CorrectionUpdated(92.5, 17)];
     leader.log.begin_snapshot(large.clone().into_iter());
     leader.write_all(&mut keys);
     assert_written(second, &leader);
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -223,7 +223,7 @@
                     self.schedule(delay, Event::ControllerInput(to, its_epoch, Box::new(input)));
                 }
             }
-            Effect::QueryStore(caller, id, request) => {
+            Effect::CallStore(caller, id, request) => {
                 if let Some(late) = self.duplicate_delay() {
                     self.schedule(late, Event::DuplicateStoreRequest(Box::new(request.clone())));
                 }
--- a/tests/support/effect_log.rs
+++ b/tests/support/effect_log.rs
@@ -142,7 +142,7 @@
         Effect::Respond(origin, answer) => {
             ("answer", format!("{} {} {} {}", origin_text(origin), answer.status, answer.retry_after, answer.body))
         }
-        Effect::QueryStore(slot, id, call) => {
+        Effect::CallStore(slot, id, call) => {
             let (kind, text) = state_text(call);
             (kind, format!("{} {id} {text}", slot_text(slot)))
         }
--- a/tests/support/leader_harness.rs
+++ b/tests/support/leader_harness.rs
@@ -43,7 +43,7 @@
         machine_type: "big".into(),
         zone: ZONES[(id % 4) as usize].into(),
         spot: true,
-        rented_at: WallClock::default(),
+        provisioned_at: WallClock::default(),
     };
     let enrolled = (1..=machines).map(|id| LogRecord::MachineRegistered(record(id)));
     let jobs = (1..=machines)
@@ -92,7 +92,7 @@
     fn answer(&self, effect: Effect) -> Option<Input> {
         let reply = |status, body: Value| ServiceResponse { status, body: body.to_string().into() };
         match effect {
-            Effect::QueryStore(slot, id, call) => {
+            Effect::CallStore(slot, id, call) => {
                 let answer = match call {
                     StoreRequest::Get(_) => reply(404, json!({"Ledger": 3})),
                     StoreRequest::GrantLease(_) => reply(200, json!({"Permit": 4})),
