--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -1,8 +1,9 @@
-//! Leader election: one key of the key-value store, held by a lease.
+//! Leader election through one key of the state service that is bound to a lease.
 //!
-//! The fencing token is the revision at which the key was won, so it grows and never repeats. The key's value names the node and a
-//! random incarnation: a node whose campaign got no response settles it by reading the key, and a restarted node replaces its own dead
-//! predecessor's key at once.
+//! The node that creates the key is the leader, and its fencing token is the revision of that write: tokens increase
+//! with every election and are never reused. The key's value holds the node's name and a random incarnation. With these
+//! a node whose campaign got no response finds out by reading the key whether it was elected, and a restarted node
+//! recognizes the key of its own previous process and replaces it without waiting for the lease to expire.
 
 mod election;
 mod keys;
@@ -17,38 +18,40 @@
 use rand::{Rng, rngs::SmallRng};
 pub use step_down::StepDownReason;
 
-/// Without a response for so long, a request counts as failed.
+/// Time after which a request without a response is considered failed.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before a renewal is repeated: it is urgent.
-const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// How long a node that yielded the leadership leaves the key to the others.
-const ABSTENTION: Duration = Duration::from_secs(10);
-/// Pause before the key is read after the leader's link broke.
-const VACANCY_READ_PAUSE: Duration = Duration::from_millis(20);
-/// For so much longer than a lease lives, a vacancy is expected after the leader's link broke.
+/// Delay before a failed lease renewal or key relocation is retried. It is shorter than that of other requests, because
+/// the lease expires in the meantime.
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// How long a node that yielded leadership does not campaign, so that another node is elected.
+const ABSTENTION_PERIOD: Duration = Duration::from_secs(10);
+/// Delay between the loss of the link to the leader and the next read of the leader key.
+const VACANCY_READ_DELAY: Duration = Duration::from_millis(20);
+/// After the link to the leader is lost, the leader key is expected to expire within one lease duration plus this
+/// margin.
 const VACANCY_MARGIN: Duration = Duration::from_millis(500);
 
-/// What leader election wants done or made known.
+/// An action that leader election requests from its owner, or a change that it reports.
 #[derive(Debug, PartialEq)]
 pub enum LeadershipEvent {
-    /// Send a request to the store; the number comes back with the response.
+    /// Send a request to the state service; the response must be passed to `handle_response` under the same number.
     Request(u64, StoreRequest),
-    /// This node leads from now on, holding the key of this format.
+    /// This node has become the leader under this fencing token and holds the leader key of this format.
     Elected(FencingToken, Format),
-    /// This node no longer leads.
+    /// This node has stopped being the leader.
     SteppedDown(StepDownReason),
-    /// Another node leads, as far as is known; `None`: nobody.
+    /// The leader known to this node has changed: the name of another node, or `None` if no leader is known.
     LeaderChanged(Option<String>),
 }
 
-/// What the request in flight is for.
+/// The purpose of the request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestKind {
     ReadKey,
     GrantLease,
     Campaign,
     RenewLease,
-    /// Relocates the leader key to the next format's name.
+    /// Moves the leader key to the name that the next format uses.
     RelocateKey,
 }
 
@@ -59,15 +62,15 @@
     sent_at: Timestamp,
 }
 
-/// The lease that holds, or is to hold, the leader key.
+/// The lease that the leader key is bound to, or will be bound to by the next campaign.
 #[derive(Debug, Clone, Copy)]
 struct LeadershipLease {
     id: LeaseId,
-    /// When it was asked for: its life counts from then at the earliest.
+    /// When the lease was requested. The state service starts its expiry timer no earlier than this.
     granted_at: Timestamp,
 }
 
-/// A node's part in leader elections.
+/// The leader election state of one node.
 #[derive(Debug)]
 pub struct Leadership {
     identity: LeaderRecord,
@@ -78,31 +81,34 @@
     /// When the next request is due.
     next_action_at: Timestamp,
     lease: Option<LeadershipLease>,
-    /// The format whose key leaders hold, as far as is known.
+    /// The format whose leader key this node reads and campaigns for. It changes to `Format::Two` once the key is seen
+    /// relocated.
     format: Format,
-    /// The key is to be relocated after the next renewal.
+    /// Whether the leader key is to be relocated after the next successful lease renewal.
     relocation_pending: bool,
-    /// The key's revision to replace when campaigning; 0: the key must not exist.
+    /// The revision of the leader key that a campaign replaces; 0 if the key must not exist.
     replaced_revision: Revision,
-    /// Set while a campaign without response is settled: the key names this node at this revision.
+    /// Set after a campaign without a response, once a read has shown that the leader key holds this node's identity at
+    /// this revision. The election takes effect when a renewal confirms that the lease still exists.
     unconfirmed_revision: Option<Revision>,
-    /// The fencing token, while this node leads.
+    /// The fencing token; `None` unless this node is the leader.
     token: Option<FencingToken>,
-    /// Until then no other node can have been elected.
+    /// Time before which the lease cannot have expired, and so no other node can have been elected.
     lease_valid_until: Timestamp,
-    /// Another node that leads, as far as is known.
+    /// The last known leader, if it is another node.
     known_leader: Option<String>,
-    /// The highest fencing token of another node that was observed.
+    /// The highest fencing token of another node that this node has read or received.
     highest_observed_token: FencingToken,
-    /// Until then a vacancy is expected, and the key is read more often.
+    /// Time until which the leader key is expected to expire soon and is therefore read more often.
     vacancy_expected_until: Timestamp,
-    /// Until then the key is left to the other nodes.
+    /// Time until which this node does not campaign.
     abstain_until: Timestamp,
     last_store_response_at: Option<Timestamp>,
 }
 
 impl Leadership {
-    /// A node that has just started; `incarnation` must be random.
+    /// Creates the election state of a process that has just started. `incarnation` identifies the process among all
+    /// processes of this node and must be random.
     pub fn new(node: &str, incarnation: u64, lease_duration: Duration, rng: SmallRng) -> Self {
         Leadership {
             identity: LeaderRecord { node: node.to_string(), incarnation },
@@ -126,46 +132,49 @@
         }
     }
 
-    /// The fencing token, while this node leads (perhaps in doubt).
+    /// Returns the fencing token while this node is the leader, even if its lease may have expired (see
+    /// `holds_valid_lease`).
     pub fn token(&self) -> Option<FencingToken> {
         self.token
     }
 
-    /// Whether no other node can have been elected yet, by this node's own clock.
+    /// Whether this node is the leader and its lease cannot have expired yet by the local clock, so that no other node
+    /// can have been elected.
     pub fn holds_valid_lease(&self, now: Timestamp) -> bool {
         self.token.is_some() && now < self.lease_valid_until
     }
 
-    /// The format whose leader key is in force, as far as is known.
+    /// The format of the leader key that this node reads and campaigns for.
     pub fn format(&self) -> Format {
         self.format
     }
 
-    /// The leader's name as far as is known.
+    /// Returns the name of the last known leader, which may be this node; `None` if no leader is known.
     pub fn leader(&self) -> Option<&str> {
         if self.token.is_some() { Some(&self.identity.node) } else { self.known_leader.as_deref() }
     }
 
-    /// The highest fencing token of another node that was observed.
+    /// Returns the highest fencing token of another node that this node has read or received; 0 if there was none.
     pub fn highest_observed_token(&self) -> FencingToken {
         self.highest_observed_token
     }
 
-    /// Whether the store has answered within this time.
+    /// Whether the state service has responded to a request of leader election within the last `span`.
     pub fn store_responded_within(&self, now: Timestamp, span: Duration) -> bool {
         self.last_store_response_at.is_some_and(|at| now.since(at) < span)
     }
 
-    /// Reads the key soon, because the leader's link broke.
+    /// Schedules an early read of the leader key and more frequent reads after it. Called when the link to the leader
+    /// is lost, because the leader has then probably failed and its key will expire.
     pub fn expect_vacancy(&mut self, now: Timestamp) {
         if self.token.is_none() {
-            self.next_action_at = self.next_action_at.min(now + VACANCY_READ_PAUSE);
+            self.next_action_at = self.next_action_at.min(now + VACANCY_READ_DELAY);
             self.vacancy_expected_until = now + self.lease_duration + VACANCY_MARGIN;
         }
     }
 
-    /// Another node announces that it leads. It may know sooner than the store tells, or this node may have no answer from there at
-    /// all.
+    /// Handles another node's announcement that it has been elected, unless the token is stale. The announcement may
+    /// arrive before this node reads the leader key, or while this node cannot reach the state service at all.
     pub fn observe_announcement(
         &mut self,
         now: Timestamp,
@@ -173,8 +182,8 @@
         token: FencingToken,
         out: &mut Vec<LeadershipEvent>,
     ) {
-        let outdated = token <= self.highest_observed_token || self.token.is_some_and(|own| own > token);
-        if outdated || node == self.identity.node {
+        let is_stale = token <= self.highest_observed_token || self.token.is_some_and(|own| own > token);
+        if is_stale || node == self.identity.node {
             return;
         }
         self.highest_observed_token = token;
@@ -184,7 +193,7 @@
         self.set_known_leader(Some(node), out);
     }
 
-    /// Lets time pass.
+    /// Times out the request in flight and sends the next request when it is due. Called periodically.
     pub fn tick(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         if let Some(request) = self.in_flight {
             if now.since(request.sent_at) < REQUEST_TIMEOUT {
@@ -204,7 +213,8 @@
         }
     }
 
-    /// Takes the store's response to the request with this number.
+    /// Handles the state service's response to the request with this number. A response to a request that has timed out
+    /// is ignored.
     pub fn handle_response(
         &mut self,
         now: Timestamp,
@@ -237,19 +247,20 @@
         out.push(LeadershipEvent::Request(self.request_counter, request));
     }
 
-    /// A random pause between two bounds in milliseconds, so that nodes do not act in step.
-    fn jitter(&mut self, least_ms: u64, most_ms: u64) -> Duration {
-        Duration::from_millis(self.rng.random_range(least_ms..=most_ms))
+    /// Returns a random duration between two bounds in milliseconds, so that nodes do not send their requests at the
+    /// same time.
+    fn jitter(&mut self, min_ms: u64, max_ms: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(min_ms..=max_ms))
     }
 
-    /// A request failed: the next one is sent after a pause.
+    /// Schedules the next request after one of this kind has failed.
     fn schedule_retry(&mut self, now: Timestamp, failed: RequestKind) {
         let urgent = matches!(failed, RequestKind::RenewLease | RequestKind::RelocateKey);
-        let pause = if urgent { RENEWAL_RETRY_PAUSE } else { self.jitter(200, 500) };
-        self.next_action_at = now + pause;
+        let delay = if urgent { RENEWAL_RETRY_DELAY } else { self.jitter(200, 500) };
+        self.next_action_at = now + delay;
     }
 
-    /// Gives the leadership up.
+    /// Steps down without revoking the lease: the leader key expires together with it.
     pub fn step_down(&mut self, now: Timestamp, reason: StepDownReason, out: &mut Vec<LeadershipEvent>) {
         self.unconfirmed_revision = None;
         self.lease = None;
@@ -258,10 +269,10 @@
         self.next_action_at = now + self.jitter(50, 150);
     }
 
-    /// Yields the leadership to another node, which most likely reaches what this one does not: the lease is revoked, so that nobody
-    /// has to wait until it expires.
+    /// Steps down in favour of another node, which probably reaches the workers that this node cannot reach. The lease
+    /// is revoked, so that the other nodes can elect a leader without waiting for it to expire.
     pub fn yield_leadership(&mut self, now: Timestamp, reason: StepDownReason, out: &mut Vec<LeadershipEvent>) {
-        self.abstain_until = now + ABSTENTION;
+        self.abstain_until = now + ABSTENTION_PERIOD;
         if let Some(lease) = self.lease {
             self.request_counter += 1;
             out.push(LeadershipEvent::Request(self.request_counter, StoreRequest::RevokeLease(lease.id)));
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -1,4 +1,4 @@
-//! Elections: reading the leader key, campaigning for it, and what the responses mean.
+//! Reads of the leader key, campaigns for it, lease renewals, and the handling of their responses.
 
 use super::keys::{LeaderRecord, RelocatedKey};
 use super::{Leadership, LeadershipEvent, LeadershipLease, RequestKind, StepDownReason};
@@ -8,13 +8,13 @@
 use crate::wire::{CompareAndSwap, CompareAndSwapResponse, GrantLeaseResponse, KeyValue, StoreWrite};
 use log::info;
 
-/// Clocks differ by 0.05 %, and a process may be late; this much of the lease is not relied on.
+/// Safety margin subtracted from the lease duration: clock rates differ by 0.05 %, and a process may be scheduled late.
 const LEASE_MARGIN: Duration = Duration::from_millis(200);
-/// A lease is renewed this many times in its life.
+/// Number of renewals per lease duration.
 const RENEWALS_PER_LEASE: u64 = 4;
 
 impl Leadership {
-    /// The response to a read of the leader key.
+    /// Handles the response to a read of the leader key.
     pub(super) fn handle_key_read(
         &mut self,
         now: Timestamp,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Nobody holds the leader key.
+    /// Campaigns for a leader key that does not exist, unless this node is abstaining.
     fn handle_vacancy(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         self.set_known_leader(None, out);
         if now < self.abstain_until {
@@ -38,7 +38,8 @@
         }
     }
 
-    /// The key exists: it is this node's, its predecessor's, or another node's.
+    /// Handles an existing leader key, which belongs to this process, to an earlier process of this node, or to another
+    /// node, or which has been relocated to the name that the next format uses.
     fn handle_leader_key(&mut self, now: Timestamp, item: KeyValue, out: &mut Vec<LeadershipEvent>) {
         if RelocatedKey::points_to(&item.value, Format::Two) {
             self.format = Format::Two;
@@ -58,8 +59,9 @@
         }
     }
 
-    /// An election whose response was lost. Only the lease that this node still holds counts: a late copy of an older campaign
-    /// hangs on a lease that nobody renews, and ends by itself.
+    /// Confirms an election whose response was lost, by renewing the lease that the key is bound to. A key that is
+    /// bound to another lease was written by a delayed duplicate of an earlier campaign; nobody renews that lease, so
+    /// the key expires without intervention.
     fn handle_own_key(
         &mut self,
         now: Timestamp,
@@ -83,21 +85,24 @@
         token: FencingToken,
         out: &mut Vec<LeadershipEvent>,
     ) {
-        // What the key said may be older than what its next holder announced.
+        // The value that was read may be older than an announcement received since from the next leader.
         if token >= self.highest_observed_token {
             self.highest_observed_token = token;
             self.set_known_leader(Some(node), out);
         }
-        // With its link gone the leader is likely dead: its lease ends soon.
+        // The link to the leader is lost, so the leader has probably failed and its lease will expire soon: poll more
+        // often.
         let vacancy_expected = self.vacancy_expected_until > now;
         self.next_action_at = now + if vacancy_expected { self.jitter(50, 100) } else { self.jitter(200, 300) };
     }
 
-    /// Campaigns for the key, which must have this revision; 0: it must not exist.
+    /// Campaigns for the leader key on condition that it has this revision, or does not exist if the revision is 0.
+    /// Requests a lease first unless the current one is recent enough.
     fn campaign(&mut self, now: Timestamp, replaced_revision: Revision, out: &mut Vec<LeadershipEvent>) {
         self.replaced_revision = replaced_revision;
-        // The lease must live until the campaign is carried out. With a quarter of its life as the limit nobody was elected for as
-        // long as the store took 0.4 s over a response: each lease was old when it was granted.
+        // The lease must not expire before the campaign is executed. With a limit of a quarter of the lease duration no
+        // node was elected while the state service took 0.4 s per response: each lease exceeded the limit by the time
+        // it was granted.
         let fresh = self.lease.filter(|lease| now.since(lease.granted_at) < self.lease_duration / 2);
         let Some(lease) = fresh else {
             self.lease = None;
@@ -111,7 +116,7 @@
         self.send_request(now, RequestKind::Campaign, StoreRequest::CompareAndSwap(swap), out);
     }
 
-    /// The response to the request for a lease; `sent_at`: when it was sent.
+    /// Handles the response to a lease request that was sent at `sent_at`, and campaigns with the new lease.
     pub(super) fn handle_lease_grant(
         &mut self,
         now: Timestamp,
@@ -120,15 +125,16 @@
         out: &mut Vec<LeadershipEvent>,
     ) {
         match (response.status, response.parse::<GrantLeaseResponse>()) {
-            (200, Some(answer)) => {
-                self.lease = Some(LeadershipLease { id: LeaseId(answer.lease), granted_at: sent_at });
+            (200, Some(granted)) => {
+                self.lease = Some(LeadershipLease { id: LeaseId(granted.lease), granted_at: sent_at });
                 self.campaign(now, self.replaced_revision, out);
             }
             _ => self.schedule_retry(now, RequestKind::GrantLease),
         }
     }
 
-    /// The response to a campaign.
+    /// Handles the response to a campaign. On a conflict (409) the key is read again; on a bad request (400) the lease
+    /// has expired.
     pub(super) fn handle_campaign(
         &mut self,
         now: Timestamp,
@@ -136,9 +142,9 @@
         out: &mut Vec<LeadershipEvent>,
     ) {
         match (response.status, response.parse::<CompareAndSwapResponse>(), self.lease) {
-            (200, Some(answer), Some(lease)) => {
+            (200, Some(committed), Some(lease)) => {
                 self.lease_valid_until = lease.granted_at + self.usable_lease();
-                self.elected(now, Revision(answer.revision), out);
+                self.become_leader(now, Revision(committed.revision), out);
             }
             (409, ..) => self.next_action_at = now,
             (400, ..) => {
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Renews the lease.
+    /// Renews the lease; steps down if there is none.
     pub(super) fn renew(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         match self.lease {
             Some(lease) => self.send_request(now, RequestKind::RenewLease, StoreRequest::RenewLease(lease.id), out),
@@ -157,7 +163,7 @@
         }
     }
 
-    /// The response to a renewal; `sent_at`: when it was sent.
+    /// Handles the response to a lease renewal that was sent at `sent_at`.
     pub(super) fn handle_renewal(
         &mut self,
         now: Timestamp,
@@ -169,9 +175,10 @@
             200 => {
                 self.lease_valid_until = sent_at + self.usable_lease();
                 match self.unconfirmed_revision.take() {
-                    Some(revision) => self.elected(now, revision, out),
+                    Some(revision) => self.become_leader(now, revision, out),
                     None if self.relocation_pending => self.relocate_key(now, out),
-                    // Counted from the sending, so that slow responses do not leave a leader in doubt in between.
+                    // The interval starts when the request was sent: otherwise slow responses would delay the next
+                    // renewal until after the lease may have expired.
                     None => self.next_action_at = sent_at + self.lease_duration / RENEWALS_PER_LEASE,
                 }
             }
@@ -180,12 +187,13 @@
         }
     }
 
-    /// How long a lease is relied on.
+    /// The part of the lease duration during which this node considers the lease valid.
     fn usable_lease(&self) -> Duration {
         self.lease_duration.saturating_sub(LEASE_MARGIN)
     }
 
-    /// The write by which this node holds the leader key of a format.
+    /// Returns the write that creates or replaces the leader key of this format with this node's identity, bound to the
+    /// lease.
     pub(super) fn leader_key_write(&self, format: Format, lease: LeaseId) -> StoreWrite {
         StoreWrite::Put {
             key: format.leader_key().into(),
@@ -194,8 +202,8 @@
         }
     }
 
-    /// This node leads: the revision at which it won the key is its fencing token.
-    pub(super) fn elected(&mut self, now: Timestamp, revision: Revision, out: &mut Vec<LeadershipEvent>) {
+    /// Becomes the leader; the revision at which the leader key was written is the fencing token.
+    pub(super) fn become_leader(&mut self, now: Timestamp, revision: Revision, out: &mut Vec<LeadershipEvent>) {
         let token = FencingToken(revision.0);
         self.token = Some(token);
         self.unconfirmed_revision = None;
--- a/src/leadership/keys.rs
+++ b/src/leadership/keys.rs
@@ -1,33 +1,34 @@
-//! What is stored under the leader keys.
+//! The values stored under the leader keys.
 
 use crate::upgrade::Format;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The holder of the leader key.
+/// The value of a held leader key: the process that is the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The node's name.
+    /// Name of the leader's node.
     pub node: String,
-    /// One run of that node's process; random.
+    /// Random number that distinguishes this process from earlier and later processes of the same node.
     pub incarnation: u64,
 }
 
-/// What stands under a leader key that was relocated. It has no lease, so that it stays for ever; a version that does not know it
-/// cannot read it as a [`LeaderRecord`], reads the key again and again, and never campaigns while it is there.
+/// The value of a leader key that was relocated. It is not bound to a lease and therefore never expires. A version that
+/// does not know this value cannot parse it as a [`LeaderRecord`]: it keeps polling the key and never campaigns while
+/// the value exists.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RelocatedKey {
-    /// The key that leaders hold from now on.
+    /// Name of the leader key that replaces this one.
     moved_to: String,
 }
 
 impl RelocatedKey {
-    /// Points to the leader key of this format.
+    /// Creates a value that refers to the leader key of this format.
     pub(super) fn to(format: Format) -> RelocatedKey {
         RelocatedKey { moved_to: format.leader_key().into() }
     }
 
-    /// Whether a value says that the leader key was relocated to that of this format.
+    /// Whether a stored value says that the leader key was relocated to the name that this format uses.
     pub(super) fn points_to(value: &Value, format: Format) -> bool {
         let relocated = serde_json::from_value::<RelocatedKey>(value.clone());
         relocated.is_ok_and(|relocated| relocated.moved_to == format.leader_key())
--- a/src/leadership/relocation.rs
+++ b/src/leadership/relocation.rs
@@ -1,4 +1,4 @@
-//! Relocation of the leader key, by which a rolling upgrade is completed.
+//! Relocation of the leader key, the last step of a rolling upgrade.
 
 use super::keys::RelocatedKey;
 use super::{Leadership, LeadershipEvent, RequestKind, StepDownReason};
@@ -8,17 +8,21 @@
 use crate::wire::{CompareAndSwap, CompareAndSwapResponse, StoreWrite};
 
 impl Leadership {
-    /// Relocates the leader key, so that only nodes that read the new format can lead from then on.
+    /// Schedules the relocation of the leader key to the name that the new format uses, after which only nodes that
+    /// read the new format can be elected. Has no effect unless this node is the leader under the old format.
     ///
-    /// It is done right after a renewal, whose lease holds the new key. This node leads on, under a new fencing token.
+    /// The relocation is sent right after the next successful lease renewal, and the new key is bound to the same
+    /// lease. This node remains the leader, under a new fencing token.
     pub fn request_key_relocation(&mut self) {
         self.relocation_pending = self.token.is_some() && self.format == Format::One;
     }
 
-    /// Relocates the key on condition that this node still holds it and that nobody has relocated it.
+    /// Sends the transaction that relocates the leader key, on condition that this node still holds the old key and
+    /// that the new one does not exist.
     ///
-    /// Carried out late it changes nothing, or it is this node's own relocation: the conditions name this leader's revision, and the
-    /// new key hangs on its lease.
+    /// The transaction is safe even if it is executed late: its conditions contain the revision at which this node was
+    /// elected, so it either has no effect or completes this node's own relocation, and the new key is bound to this
+    /// node's lease.
     pub(super) fn relocate_key(&mut self, now: Timestamp, out: &mut Vec<LeadershipEvent>) {
         let (Some(token), Some(lease)) = (self.token, self.lease) else { return };
         let (old_key, new_key) = (Format::One.leader_key(), Format::Two.leader_key());
@@ -33,7 +37,7 @@
         self.send_request(now, RequestKind::RelocateKey, StoreRequest::CompareAndSwap(swap), out);
     }
 
-    /// The response to a relocation.
+    /// Handles the response to a relocation.
     pub(super) fn handle_relocation(
         &mut self,
         now: Timestamp,
@@ -41,14 +45,14 @@
         out: &mut Vec<LeadershipEvent>,
     ) {
         match (response.status, response.parse::<CompareAndSwapResponse>()) {
-            (200, Some(answer)) => {
+            (200, Some(committed)) => {
                 self.end_leadership(StepDownReason::LeaderKeyRelocated, out);
                 self.format = Format::Two;
-                self.elected(now, Revision(answer.revision), out);
+                self.become_leader(now, Revision(committed.revision), out);
             }
             (409, _) => {
-                // Another node leads, or an earlier try was carried out and its response lost. Reading the key tells; the lease is
-                // kept, since the relocated key may hang on it.
+                // Either another node was elected, or an earlier attempt was executed and its response was lost;
+                // reading the key tells which. The lease is kept, since the relocated key may be bound to it.
                 self.end_leadership(StepDownReason::LeaderKeyChanged, out);
                 self.next_action_at = now;
             }
--- a/src/leadership/step_down.rs
+++ b/src/leadership/step_down.rs
@@ -1,23 +1,23 @@
-//! Why a node gives its leadership up.
+//! The reasons for which a leader steps down.
 
 use std::fmt;
 
-/// Why a node no longer leads.
+/// The reason why a leader stepped down, as given in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepDownReason {
-    /// Another node announced that it leads, under a higher fencing token.
+    /// Another node announced its election under a higher fencing token.
     AnotherNodeLeads,
-    /// A worker obeys a later leader.
+    /// A worker's message contained a higher fencing token than that of this leader.
     HigherFencingToken,
-    /// The leader key has another revision or another holder.
+    /// A write failed because the leader key no longer has the revision at which this node was elected.
     LeaderKeyChanged,
-    /// The leader key was relocated; this node leads on under the new one.
+    /// The leader key was relocated. This node remains the leader, under the fencing token of the new key.
     LeaderKeyRelocated,
-    /// The lease has expired or was revoked.
+    /// The state service reports that the lease has expired or was revoked.
     LeaseLost,
-    /// There is no lease that could be renewed.
+    /// This node has no lease that it could renew.
     NoLease,
-    /// This node reaches no worker.
+    /// This node cannot reach any worker, while another node probably can.
     NoWorkerReachable,
 }
 
--- a/src/leadership/tests.rs
+++ b/src/leadership/tests.rs
@@ -7,89 +7,89 @@
     Leadership::new(name, incarnation, Duration::from_millis(2500), SmallRng::seed_from_u64(1))
 }
 
-fn only_call(out: &mut Vec<LeadershipEvent>) -> (u64, StoreRequest) {
+fn last_request(out: &mut Vec<LeadershipEvent>) -> (u64, StoreRequest) {
     match out.drain(..).next_back() {
-        Some(LeadershipEvent::Request(id, call)) => (id, call),
-        other => panic!("no call but {other:?}"),
+        Some(LeadershipEvent::Request(id, request)) => (id, request),
+        other => panic!("no request; last event: {other:?}"),
     }
 }
 
-fn answer(status: u16, body: serde_json::Value) -> ServiceResponse {
+fn response(status: u16, body: serde_json::Value) -> ServiceResponse {
     ServiceResponse { status, body: body.to_string().into() }
 }
 
-/// A node that has just won the key at revision 9.
+/// A node that has just been elected at revision 9.
 fn leader() -> Leadership {
     let (mut n, mut out) = (node("n0", 7), Vec::new());
     n.tick(Timestamp::ZERO, &mut out);
     for body in [(404, json!({})), (200, json!({"Permit": 4})), (200, json!({"Ledger": 9}))] {
         let id = n.in_flight.unwrap().id;
-        n.handle_response(Timestamp::from_millis(1), id, &answer(body.0, body.1), &mut out);
+        n.handle_response(Timestamp::from_millis(1), id, &response(body.0, body.1), &mut out);
     }
     n
 }
 
 #[test]
-fn an_election_whose_answer_is_lost_is_settled_by_reading_the_key() {
+fn election_with_lost_response_is_confirmed_by_reading_the_key() {
     let (mut n, mut out) = (node("n0", 7), Vec::new());
     n.tick(Timestamp::ZERO, &mut out);
-    let (id, _) = only_call(&mut out);
-    n.handle_response(Timestamp::from_millis(5), id, &answer(404, json!({"Ledger": 3})), &mut out);
-    let (id, call) = only_call(&mut out);
-    assert_eq!(call, StoreRequest::GrantLease(Duration::from_millis(2500)));
-    n.handle_response(Timestamp::from_millis(10), id, &answer(200, json!({"Permit": 4})), &mut out);
-    assert!(matches!(only_call(&mut out).1, StoreRequest::CompareAndSwap(_)));
-    n.tick(Timestamp::from_millis(1100), &mut out); // no answer
+    let (id, _) = last_request(&mut out);
+    n.handle_response(Timestamp::from_millis(5), id, &response(404, json!({"Ledger": 3})), &mut out);
+    let (id, request) = last_request(&mut out);
+    assert_eq!(request, StoreRequest::GrantLease(Duration::from_millis(2500)));
+    n.handle_response(Timestamp::from_millis(10), id, &response(200, json!({"Permit": 4})), &mut out);
+    assert!(matches!(last_request(&mut out).1, StoreRequest::CompareAndSwap(_)));
+    n.tick(Timestamp::from_millis(1100), &mut out); // the campaign times out
     n.tick(Timestamp::from_millis(1700), &mut out);
-    let (id, call) = only_call(&mut out);
-    assert_eq!(call, StoreRequest::Get(Format::One.leader_key().into()));
+    let (id, request) = last_request(&mut out);
+    assert_eq!(request, StoreRequest::Get(Format::One.leader_key().into()));
     let key = json!({"K": "leader", "V": {"node": "n0", "incarnation": 7}, "Stamp": 9, "Permit": 4});
-    n.handle_response(Timestamp::from_millis(1705), id, &answer(200, key), &mut out);
-    let (id, call) = only_call(&mut out);
-    assert_eq!(call, StoreRequest::RenewLease(LeaseId(4)));
-    assert_eq!(n.token(), None, "not before the lease is known to live");
-    n.handle_response(Timestamp::from_millis(1710), id, &answer(200, json!({})), &mut out);
+    n.handle_response(Timestamp::from_millis(1705), id, &response(200, key), &mut out);
+    let (id, request) = last_request(&mut out);
+    assert_eq!(request, StoreRequest::RenewLease(LeaseId(4)));
+    assert_eq!(n.token(), None, "the lease must be confirmed first");
+    n.handle_response(Timestamp::from_millis(1710), id, &response(200, json!({})), &mut out);
     assert_eq!(out, [LeadershipEvent::Elected(FencingToken(9), Format::One)]);
     assert!(n.holds_valid_lease(Timestamp::from_millis(4000)) && !n.holds_valid_lease(Timestamp::from_millis(4010)));
 }
 
 #[test]
-fn a_late_copy_of_an_election_under_an_older_lease_does_not_count() {
+fn delayed_campaign_bound_to_an_older_lease_is_ignored() {
     let (mut n, mut out) = (node("n0", 7), Vec::new());
     n.tick(Timestamp::ZERO, &mut out);
-    let (id, _) = only_call(&mut out);
+    let (id, _) = last_request(&mut out);
     let key = json!({"K": "leader", "V": {"node": "n0", "incarnation": 7}, "Stamp": 9, "Permit": 4});
-    n.handle_response(Timestamp::from_millis(5), id, &answer(200, key), &mut out);
+    n.handle_response(Timestamp::from_millis(5), id, &response(200, key), &mut out);
     assert_eq!((n.token(), out.len()), (None, 0));
 }
 
 #[test]
-fn a_restarted_node_replaces_its_own_key_and_leaves_others_alone() {
+fn restarted_node_replaces_the_key_of_its_previous_process_only() {
     let (mut n, mut out) = (node("n0", 8), Vec::new());
     n.tick(Timestamp::ZERO, &mut out);
-    let (id, _) = only_call(&mut out);
+    let (id, _) = last_request(&mut out);
     let key = json!({"K": "leader", "V": {"node": "n0", "incarnation": 7}, "Stamp": 9, "Permit": 4});
-    n.handle_response(Timestamp::from_millis(5), id, &answer(200, key), &mut out);
-    let (id, _) = only_call(&mut out);
-    n.handle_response(Timestamp::from_millis(6), id, &answer(200, json!({"Permit": 5})), &mut out);
-    let (id, call) = only_call(&mut out);
-    let StoreRequest::CompareAndSwap(txn) = call else { panic!("{call:?}") };
-    assert_eq!(txn.conditions[0].revision, 9);
+    n.handle_response(Timestamp::from_millis(5), id, &response(200, key), &mut out);
+    let (id, _) = last_request(&mut out);
+    n.handle_response(Timestamp::from_millis(6), id, &response(200, json!({"Permit": 5})), &mut out);
+    let (id, request) = last_request(&mut out);
+    let StoreRequest::CompareAndSwap(swap) = request else { panic!("{request:?}") };
+    assert_eq!(swap.conditions[0].revision, 9);
     n.handle_response(
         Timestamp::from_millis(7),
         id,
-        &answer(409, json!({"failed": ["leader"], "Ledger": 10})),
+        &response(409, json!({"failed": ["leader"], "Ledger": 10})),
         &mut out,
     );
     n.tick(Timestamp::from_millis(8), &mut out);
-    let (id, _) = only_call(&mut out);
+    let (id, _) = last_request(&mut out);
     let key = json!({"K": "leader", "V": {"node": "n1", "incarnation": 1}, "Stamp": 10, "Permit": 6});
-    n.handle_response(Timestamp::from_millis(9), id, &answer(200, key), &mut out);
+    n.handle_response(Timestamp::from_millis(9), id, &response(200, key), &mut out);
     assert_eq!(out, [LeadershipEvent::LeaderChanged(Some("n1".into()))]);
 }
 
-/// A leader without the key-value store learns from its successor that it leads no more, and a node
-/// that hears both believes the later one, in whatever order the words come.
+/// A leader that cannot reach the state service steps down when its successor announces itself. A node that receives
+/// announcements of both accepts the one with the higher token, in whichever order they arrive.
 #[test]
 fn the_announcement_of_a_later_leader_counts_and_that_of_an_earlier_one_does_not() {
     let (mut n, mut out) = (leader(), Vec::new());
@@ -116,8 +116,8 @@
     for (at, campaigns) in [(1000, false), (12_000, true)] {
         out.clear();
         n.tick(Timestamp::from_millis(at), &mut out);
-        let (id, _) = only_call(&mut out);
-        n.handle_response(Timestamp::from_millis(at), id, &answer(404, json!({"Ledger": 10})), &mut out);
+        let (id, _) = last_request(&mut out);
+        n.handle_response(Timestamp::from_millis(at), id, &response(404, json!({"Ledger": 10})), &mut out);
         assert_eq!(!out.is_empty(), campaigns, "{out:?}");
     }
 }
@@ -126,96 +126,97 @@
 fn an_outage_leaves_the_leader_in_doubt_and_a_lost_lease_ends_it() {
     let (mut n, mut out) = (leader(), Vec::new());
     n.tick(Timestamp::from_millis(2), &mut out);
-    let (id, _) = only_call(&mut out);
-    n.handle_response(Timestamp::from_millis(3), id, &answer(503, json!({})), &mut out);
+    let (id, _) = last_request(&mut out);
+    n.handle_response(Timestamp::from_millis(3), id, &response(503, json!({})), &mut out);
     assert!(n.holds_valid_lease(Timestamp::from_millis(2000)) && !n.holds_valid_lease(Timestamp::from_millis(2400)));
-    assert_eq!(n.token(), Some(FencingToken(9)), "in doubt it still leads");
+    assert_eq!(n.token(), Some(FencingToken(9)), "an uncertain lease alone does not end leadership");
     n.tick(Timestamp::from_millis(30_000), &mut out);
-    let (id, _) = only_call(&mut out);
-    n.handle_response(Timestamp::from_millis(30_001), id, &answer(404, json!({})), &mut out);
+    let (id, _) = last_request(&mut out);
+    n.handle_response(Timestamp::from_millis(30_001), id, &response(404, json!({})), &mut out);
     assert_eq!(out, [LeadershipEvent::SteppedDown(StepDownReason::LeaseLost)]);
 }
 
-/// A leader whose key is to move, with its request to move it on the way.
-fn moving() -> (Leadership, u64, CompareAndSwap) {
+/// A leader whose relocation of the leader key is in flight, with the request's number and transaction.
+fn leader_relocating_key() -> (Leadership, u64, CompareAndSwap) {
     let (mut n, mut out) = (leader(), Vec::new());
     n.request_key_relocation();
     n.tick(Timestamp::from_millis(2), &mut out);
-    let (id, call) = only_call(&mut out);
-    assert_eq!(call, StoreRequest::RenewLease(LeaseId(4)), "the lease is renewed first");
-    n.handle_response(Timestamp::from_millis(3), id, &answer(200, json!({})), &mut out);
-    match only_call(&mut out) {
-        (id, StoreRequest::CompareAndSwap(txn)) => (n, id, txn),
+    let (id, request) = last_request(&mut out);
+    assert_eq!(request, StoreRequest::RenewLease(LeaseId(4)), "the lease is renewed first");
+    n.handle_response(Timestamp::from_millis(3), id, &response(200, json!({})), &mut out);
+    match last_request(&mut out) {
+        (id, StoreRequest::CompareAndSwap(swap)) => (n, id, swap),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
 fn the_key_moves_in_one_transaction_and_its_leader_leads_on_in_a_new_term() {
-    let (mut n, id, txn) = moving();
-    let conditions: Vec<_> = txn.conditions.iter().map(|c| (c.key.as_str(), c.revision)).collect();
+    let (mut n, id, swap) = leader_relocating_key();
+    let conditions: Vec<_> = swap.conditions.iter().map(|c| (c.key.as_str(), c.revision)).collect();
     assert_eq!(conditions, [("leader", 9), ("leader-2", 0)]);
-    let shown = serde_json::to_value(&txn.writes).unwrap();
-    let me = json!({"node": "n0", "incarnation": 7});
-    let left = json!({"Write": "leader", "V": {"moved_to": "leader-2"}});
-    assert_eq!(shown, json!([left, {"Write": "leader-2", "V": me, "Permit": 4}]));
+    let writes = serde_json::to_value(&swap.writes).unwrap();
+    let holder = json!({"node": "n0", "incarnation": 7});
+    let relocated = json!({"Write": "leader", "V": {"moved_to": "leader-2"}});
+    assert_eq!(writes, json!([relocated, {"Write": "leader-2", "V": holder, "Permit": 4}]));
     let mut out = Vec::new();
-    n.handle_response(Timestamp::from_millis(6), id, &answer(200, json!({"Ledger": 12})), &mut out);
+    n.handle_response(Timestamp::from_millis(6), id, &response(200, json!({"Ledger": 12})), &mut out);
     assert!(
         matches!(out[..], [LeadershipEvent::SteppedDown(_), LeadershipEvent::Elected(FencingToken(12), Format::Two)]),
         "{out:?}"
     );
 }
 
-/// The move is carried out and its answer lost: the next try fails, and the key tells that it hangs on the lease that is still held.
+/// The relocation is executed but its response is lost. The retry fails with a conflict, and reading the key shows that
+/// it is bound to the lease that this node still holds.
 #[test]
-fn a_move_whose_answer_is_lost_is_settled_by_reading_the_key() {
-    let (mut n, _, _) = moving();
+fn relocation_with_lost_response_is_confirmed_by_reading_the_key() {
+    let (mut n, _, _) = leader_relocating_key();
     let mut out = Vec::new();
-    n.tick(Timestamp::from_millis(1100), &mut out); // no answer
+    n.tick(Timestamp::from_millis(1100), &mut out); // the relocation times out
     n.tick(Timestamp::from_millis(1300), &mut out);
-    let (id, call) = only_call(&mut out);
-    assert_eq!(call, StoreRequest::RenewLease(LeaseId(4)), "still a leader by its lease");
-    n.handle_response(Timestamp::from_millis(1302), id, &answer(200, json!({})), &mut out);
-    let (id, _) = only_call(&mut out);
+    let (id, request) = last_request(&mut out);
+    assert_eq!(request, StoreRequest::RenewLease(LeaseId(4)), "it is still the leader and renews its lease");
+    n.handle_response(Timestamp::from_millis(1302), id, &response(200, json!({})), &mut out);
+    let (id, _) = last_request(&mut out);
     n.handle_response(
         Timestamp::from_millis(1305),
         id,
-        &answer(409, json!({"failed": ["leader", "leader-2"], "Ledger": 12})),
+        &response(409, json!({"failed": ["leader", "leader-2"], "Ledger": 12})),
         &mut out,
     );
     assert_eq!(std::mem::take(&mut out), [LeadershipEvent::SteppedDown(StepDownReason::LeaderKeyChanged)]);
     n.tick(Timestamp::from_millis(1306), &mut out);
-    let (id, _) = only_call(&mut out);
-    let left = json!({"K": "leader", "V": {"moved_to": "leader-2"}, "Stamp": 12});
-    n.handle_response(Timestamp::from_millis(1308), id, &answer(200, left), &mut out);
+    let (id, _) = last_request(&mut out);
+    let relocated = json!({"K": "leader", "V": {"moved_to": "leader-2"}, "Stamp": 12});
+    n.handle_response(Timestamp::from_millis(1308), id, &response(200, relocated), &mut out);
     n.tick(Timestamp::from_millis(1309), &mut out);
-    let (id, call) = only_call(&mut out);
-    assert_eq!(call, StoreRequest::Get("leader-2".into()));
+    let (id, request) = last_request(&mut out);
+    assert_eq!(request, StoreRequest::Get("leader-2".into()));
     let key = json!({"K": "leader-2", "V": {"node": "n0", "incarnation": 7}, "Stamp": 12, "Permit": 4});
-    n.handle_response(Timestamp::from_millis(1311), id, &answer(200, key), &mut out);
-    let (id, _) = only_call(&mut out);
-    n.handle_response(Timestamp::from_millis(1313), id, &answer(200, json!({})), &mut out);
+    n.handle_response(Timestamp::from_millis(1311), id, &response(200, key), &mut out);
+    let (id, _) = last_request(&mut out);
+    n.handle_response(Timestamp::from_millis(1313), id, &response(200, json!({})), &mut out);
     assert_eq!(out, [LeadershipEvent::Elected(FencingToken(12), Format::Two)]);
 }
 
-/// Once it has read that the key has moved, a node contends for the new one only.
+/// After reading that the leader key was relocated, a node campaigns for the new key only.
 #[test]
-fn a_node_that_reads_a_moved_key_contends_for_the_new_one() {
+fn follower_campaigns_for_the_relocated_key() {
     let (mut n, mut out) = (node("n1", 3), Vec::new());
     n.tick(Timestamp::ZERO, &mut out);
-    let (id, _) = only_call(&mut out);
+    let (id, _) = last_request(&mut out);
     n.handle_response(
         Timestamp::from_millis(1),
         id,
-        &answer(200, json!({"K": "leader", "V": {"moved_to": "leader-2"}, "Stamp": 12})),
+        &response(200, json!({"K": "leader", "V": {"moved_to": "leader-2"}, "Stamp": 12})),
         &mut out,
     );
     for body in [(404, json!({})), (200, json!({"Permit": 6}))] {
         n.tick(Timestamp::from_millis(2), &mut out);
         let id = n.in_flight.unwrap().id;
-        n.handle_response(Timestamp::from_millis(3), id, &answer(body.0, body.1), &mut out);
+        n.handle_response(Timestamp::from_millis(3), id, &response(body.0, body.1), &mut out);
     }
-    let StoreRequest::CompareAndSwap(txn) = only_call(&mut out).1 else { panic!("no campaign") };
-    assert_eq!((txn.conditions[0].key.as_str(), txn.conditions[0].revision), ("leader-2", 0));
+    let StoreRequest::CompareAndSwap(swap) = last_request(&mut out).1 else { panic!("no campaign") };
+    assert_eq!((swap.conditions[0].key.as_str(), swap.conditions[0].revision), ("leader-2", 0));
 }
--- a/src/write_ahead_log.rs
+++ b/src/write_ahead_log.rs
@@ -1,8 +1,8 @@
-//! The write-ahead log: what must outlive every process.
+//! The leader's write-ahead log in the state service: all state that must survive the loss of every controller process.
 //!
-//! Records that became due since the last commit are written as entries of the log, on condition that the leader key still has the
-//! revision at which this node won it and that the entries do not exist. One commit is in flight; a repeat or a late copy of it changes
-//! nothing.
+//! A commit writes the records queued since the last one as new log entries in one transaction, on condition that the
+//! leader key still has the revision at which this node was elected and that the entries do not exist. At most one
+//! commit is in flight, and its conditions make it idempotent: a retry or a delayed duplicate has no effect.
 
 mod commit;
 mod fragments;
@@ -16,7 +16,7 @@
 use crate::types::{Duration, FencingToken, LogIndex, Revision, TaskId, TaskIndexSet, Timestamp, TokenBucket};
 use crate::upgrade::Format;
 use crate::wire::{CompareAndSwapResponse, KeyPage, KeyValue};
-use commit::LIST_BYTES;
+use commit::LIST_OVERHEAD_BYTES;
 use fragments::FragmentAssembly;
 pub use fragments::RecordFragment;
 use loading::LoadProgress;
@@ -27,96 +27,102 @@
 
 /// Prefix of the entries' keys.
 const LOG_PREFIX: &str = "log/";
-/// Largest body of a request to the store, in bytes.
+/// Largest request body that the state service accepts, in bytes.
 const STORE_REQUEST_BYTES: usize = 64 * 1024;
-/// Bytes of a request that are not values, generously.
+/// Upper estimate of the bytes of a request that are not values.
 const REQUEST_OVERHEAD_BYTES: usize = 2048;
-/// Bytes of all values in one request.
+/// Maximum total size of the values in one request, in bytes.
 const MAX_REQUEST_BYTES: usize = STORE_REQUEST_BYTES - REQUEST_OVERHEAD_BYTES;
-/// Bytes of a value that are not used.
+/// Bytes by which values are kept below the size limit.
 const VALUE_MARGIN_BYTES: usize = 64;
-/// Share of the store's writes that the log may make; the rest is left to the other nodes' elections.
+/// Share of the state service's write rate limit that the log may use; the rest is reserved for leader election on the
+/// other nodes.
 const WRITE_RATE_SHARE: f64 = 0.75;
-/// The write budget of a new leader, in seconds of the store's reduced rate.
+/// The write budget that a new leader starts with, in seconds at the reduced write rate.
 const INITIAL_BUDGET_S: f64 = 0.5;
-/// Least capacity of the write budget.
-const LEAST_WRITE_BUDGET: f64 = 2.0;
-/// Waiting records that are looked through for one that a finish can join.
-const JOIN_LOOKBACK: usize = 64;
-/// Pause before a request without response is repeated.
-const LOST_RESPONSE_PAUSE: Duration = Duration::from_millis(50);
-/// Pause after a refusal because of too many writes, for snapshots: users' commits go first.
-const THROTTLED_SNAPSHOT_PAUSE: Duration = Duration::from_secs(1);
-/// Pause after any other refusal.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Minimum capacity of the write budget, in writes.
+const MIN_WRITE_BUDGET: f64 = 2.0;
+/// How many of the most recently queued records are searched for one that a finished task can be merged into.
+const MERGE_LOOKBACK: usize = 64;
+/// Delay before a request that got no response is retried.
+const LOST_RESPONSE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay before a snapshot write is retried that was refused because of the write rate limit (429). It is longer than
+/// that of commits, which users wait for.
+const THROTTLED_SNAPSHOT_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay before a request is retried that failed in any other way.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What the log wants done or made known.
+/// An action that the log requests from the leader, or a change that it reports.
 #[derive(Debug, PartialEq)]
 pub enum LogEvent {
-    /// Send a request to the store; the number comes back with the response.
+    /// Send a request to the state service; the response must be passed to `handle_response` under the same number.
     Request(u64, StoreRequest),
-    /// A record was read back after an election.
+    /// A record of an earlier leader was read after an election. Records are reported in log order.
     RecordLoaded(LogRecord),
-    /// All records were read back.
+    /// All records of earlier leaders have been read.
     LoadComplete,
-    /// These records are durable now.
+    /// These records are committed: they survive the loss of every controller.
     RecordsDurable(Vec<LogRecord>),
-    /// The leader key has another revision: another node leads.
+    /// A write failed because the leader key no longer has the revision at which this node was elected: it is not the
+    /// leader any more.
     LeaderKeyLost,
 }
 
-/// The log of a leader; made anew at each election.
+/// The write-ahead log of one leader. A new one is created at each election.
 #[derive(Debug)]
 pub struct WriteAheadLog {
     token: FencingToken,
-    /// What may be written, and which leader key every write is conditional on.
+    /// Determines which kinds of records may be written, and which leader key the writes are conditional on.
     format: Format,
-    /// Largest value that is written.
-    value_bytes: usize,
-    /// Most writes in one request.
+    /// Maximum size of a value, in bytes.
+    max_value_bytes: usize,
+    /// Maximum number of writes in one request.
     max_writes: usize,
     commit_interval: Duration,
-    /// Writes that may be made now; a part of the store's rate is left to the other nodes' elections.
+    /// Limits the write rate to the log's share, so that the other nodes can still write for leader election.
     write_budget: TokenBucket,
-    /// What the rate falls to when the store says that there are too many writes.
+    /// The write rate, in writes per second, that is used after the state service has refused a write because of its
+    /// rate limit.
     reduced_write_rate: f64,
     in_flight: InFlightRequests,
     loaded: bool,
     load_progress: LoadProgress,
-    /// Records that are read in fragments.
+    /// Fragments of records that were read so far and are not complete.
     fragments: FragmentAssembly,
-    /// The snapshot in force.
+    /// The manifest of the latest snapshot, including one that is still being written.
     manifest: Option<Manifest>,
-    /// Revision of the manifest's key, 0 if there is none; `None`: it has to be read.
+    /// Revision of the manifest's key; 0 if the key does not exist, `None` if the revision is not known and must be
+    /// read.
     ///
-    /// The manifest is the only key that is written over, so its write is conditional on this. Without, a repeat
-    /// of a write that was carried out came late, put an earlier manifest back, which names chunks and log
-    /// entries that were removed since, and the next leader read an empty log.
+    /// The manifest is the only key that is overwritten, so its write is conditional on this revision. Without the
+    /// condition a delayed duplicate of an executed write restored an earlier manifest, which referred to chunks and
+    /// log entries that had been deleted since, and the next leader read an empty log.
     manifest_revision: Option<Revision>,
-    /// Chunks of the snapshot in force; the next one makes them obsolete.
+    /// Keys of the latest snapshot's chunks, which the next snapshot deletes.
     snapshot_keys: Vec<String>,
-    /// The index of the next entry.
+    /// Index of the next entry to be written.
     next_index: LogIndex,
-    /// The index of the oldest entry that no snapshot covers.
+    /// Index of the oldest entry that is not covered by a snapshot.
     oldest_index: LogIndex,
-    /// What users, finished tasks and new machines wait for; a machine that is gone would hold the next leader up.
+    /// Records that delay something else until they are durable: responses to users, the completion of tasks, the use
+    /// of new machines, and, for a machine that is gone, the next leader, which would wait to fence it.
     urgent_queue: VecDeque<LogRecord>,
-    /// What nobody waits for: it goes along where room is left. When a thousand machines came up together, their
-    /// images and rentals held submissions up for seconds.
+    /// Records that nothing waits for. They are written only after all urgent records: when a thousand machines started
+    /// together, their records of cached images and provisioned machines delayed submissions by seconds.
     background_queue: VecDeque<LogRecord>,
     /// Records of the commit in flight.
     committing: Vec<LogRecord>,
     last_commit_at: Timestamp,
-    /// A snapshot that is being written.
+    /// The remaining steps of a snapshot or of the deletion of obsolete keys, if one is in progress.
     snapshot_write: Option<SnapshotWrite>,
     entries_since_snapshot: u64,
     snapshot_interval_entries: u64,
-    /// Snapshots that this leader has begun.
+    /// Number of snapshots that this leader has begun; part of their generation's name.
     snapshot_counter: u64,
 }
 
 fn write_budget_capacity(rate_per_s: f64) -> f64 {
-    rate_per_s.max(LEAST_WRITE_BUDGET)
+    rate_per_s.max(MIN_WRITE_BUDGET)
 }
 
 fn log_key(index: LogIndex) -> String {
@@ -124,7 +130,7 @@
 }
 
 impl WriteAheadLog {
-    /// The log of a new leader, which has not read anything back yet.
+    /// Creates the log of a new leader. `start` must be called to read the records of earlier leaders.
     pub fn new(
         token: FencingToken,
         format: Format,
@@ -132,16 +138,16 @@
         limits: &StateLimits,
         tuning: &Tuning,
     ) -> WriteAheadLog {
-        // Sized for the smaller of both limits, since they may be lowered at any moment: a commit that is too large would be
-        // rejected each time it is repeated.
-        let value_bytes = ((limits.guaranteed_value_kb() * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES);
+        // The smaller of the current and the announced limit is used from the beginning, since the state service may
+        // lower its limits at any time: a commit that exceeds them would be rejected at each retry.
+        let max_value_bytes = ((limits.guaranteed_value_kb() * 1024.0) as usize).saturating_sub(VALUE_MARGIN_BYTES);
         let (full_rate, reduced_rate) = limits.write_rates();
         let rate = full_rate * WRITE_RATE_SHARE;
         let initial_budget = reduced_rate * INITIAL_BUDGET_S;
         WriteAheadLog {
             token,
             format,
-            value_bytes: value_bytes.min(MAX_REQUEST_BYTES - REQUEST_OVERHEAD_BYTES),
+            max_value_bytes: max_value_bytes.min(MAX_REQUEST_BYTES - REQUEST_OVERHEAD_BYTES),
             max_writes: limits.guaranteed_txn_ops(),
             commit_interval: tuning.commit_interval,
             write_budget: TokenBucket::new(now, rate, write_budget_capacity(rate), initial_budget),
@@ -166,19 +172,20 @@
         }
     }
 
-    /// Whether everything was read back.
+    /// Whether all records of earlier leaders have been read.
     pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
-    /// How many records that somebody waits for are not durable yet.
+    /// Returns the number of records that are not durable yet and that something waits for. Background records in the
+    /// queue are not counted.
     pub fn backlog(&self) -> usize {
         self.urgent_queue.len() + self.committing.len()
     }
 
-    /// Whether a record can be kept: it must fit into one value.
+    /// Whether a record fits into one value under the current limits.
     pub fn fits_in_value(&self, record: &LogRecord) -> bool {
-        serde_json::to_string(record).is_ok_and(|json| json.len() + LIST_BYTES <= self.value_bytes)
+        serde_json::to_string(record).is_ok_and(|json| json.len() + LIST_OVERHEAD_BYTES <= self.max_value_bytes)
     }
 
     /// Queues a record for the next commit.
@@ -193,9 +200,10 @@
         }
     }
 
-    /// Queues the finish of a task; finishes of one job share a record.
+    /// Queues the completion of a task. Completions of the same job are merged into one record while it has few enough
+    /// ranges.
     pub fn append_task_done(&mut self, task: TaskId) {
-        for record in self.urgent_queue.iter_mut().rev().take(JOIN_LOOKBACK) {
+        for record in self.urgent_queue.iter_mut().rev().take(MERGE_LOOKBACK) {
             if let LogRecord::TasksDone(job, tasks) = record
                 && *job == task.job
                 && tasks.range_count() < MAX_TASK_RANGES
@@ -209,17 +217,19 @@
         self.urgent_queue.push_back(LogRecord::TasksDone(task.job, tasks));
     }
 
-    /// Lets time pass: repeats what got no response, commits what is due, goes on with a snapshot.
+    /// Retries requests without a response, commits queued records if a commit is due, and continues a snapshot. Called
+    /// periodically and after each input.
     pub fn tick(&mut self, now: Timestamp, out: &mut Vec<LogEvent>) {
         self.write_budget.refill(now);
-        self.in_flight.repeat_due(now, out);
+        self.in_flight.resend_due(now, out);
         if self.loaded {
             self.commit_if_due(now, out);
             self.advance_snapshot(now, out);
         }
     }
 
-    /// Takes the store's response to the request with this number.
+    /// Handles the state service's response to the request with this number. A response to an attempt that was retried
+    /// since is ignored.
     pub fn handle_response(&mut self, now: Timestamp, id: u64, response: &ServiceResponse, out: &mut Vec<LogEvent>) {
         let Some(purpose) = self.in_flight.purpose(id) else { return };
         let handled = match (purpose, response.status) {
@@ -227,7 +237,7 @@
                 self.handle_load_response(now, id, purpose, response, out)
             }
             (RequestPurpose::Commit | RequestPurpose::Snapshot, 200) => {
-                self.handle_written(now, id, response, out);
+                self.handle_write_success(now, id, response, out);
                 true
             }
             (RequestPurpose::Commit | RequestPurpose::Snapshot, 409) => {
@@ -244,11 +254,11 @@
             self.throttle();
         }
         if !handled {
-            self.in_flight.retry_at(id, now + retry_pause(purpose, response.status));
+            self.in_flight.retry_at(id, now + retry_delay(purpose, response.status));
         }
     }
 
-    /// A page was read; false if it is not readable.
+    /// Handles a page of the log or snapshot; returns false if the page cannot be parsed, so that it is read again.
     fn handle_load_response(
         &mut self,
         now: Timestamp,
@@ -263,16 +273,17 @@
         true
     }
 
-    fn handle_written(&mut self, now: Timestamp, id: u64, response: &ServiceResponse, out: &mut Vec<LogEvent>) {
+    fn handle_write_success(&mut self, now: Timestamp, id: u64, response: &ServiceResponse, out: &mut Vec<LogEvent>) {
         let Some(request) = self.in_flight.take(id) else { return };
         if request.writes_manifest() {
-            let answer = response.parse::<CompareAndSwapResponse>();
-            self.manifest_revision = answer.map(|answer| Revision(answer.revision));
+            let committed = response.parse::<CompareAndSwapResponse>();
+            self.manifest_revision = committed.map(|committed| Revision(committed.revision));
         }
-        self.write_done(now, request.purpose, out);
+        self.complete_write(now, request.purpose, out);
     }
 
-    /// A condition does not hold: another node leads, or this is our own earlier try.
+    /// Handles a write whose conditions do not hold: this node is no longer the leader, or an earlier attempt of the
+    /// same write was executed and its response was lost.
     fn handle_conflict(&mut self, now: Timestamp, id: u64, response: &ServiceResponse, out: &mut Vec<LogEvent>) {
         let Some(request) = self.in_flight.take(id) else { return };
         if request.writes_manifest() {
@@ -282,8 +293,9 @@
         if failed_keys.is_empty() || failed_keys.iter().any(|key| key == self.format.leader_key()) {
             out.push(LogEvent::LeaderKeyLost);
         } else {
-            // Only this node writes under its token, so the entry or manifest is our own earlier try whose response was lost.
-            self.write_done(now, request.purpose, out);
+            // The leader key is unchanged, and only this node writes under its revision: the entry or manifest was
+            // written by an earlier attempt of this request, whose response was lost.
+            self.complete_write(now, request.purpose, out);
         }
     }
 
@@ -296,16 +308,17 @@
         self.manifest_revision = revision.map(Revision);
     }
 
-    fn write_done(&mut self, now: Timestamp, purpose: RequestPurpose, out: &mut Vec<LogEvent>) {
+    fn complete_write(&mut self, now: Timestamp, purpose: RequestPurpose, out: &mut Vec<LogEvent>) {
         if purpose == RequestPurpose::Commit {
             out.push(LogEvent::RecordsDurable(std::mem::take(&mut self.committing)));
             self.tick(now, out);
         } else if let Some(snapshot) = &mut self.snapshot_write {
-            snapshot.step_done();
+            snapshot.complete_step();
         }
     }
 
-    /// The store says that there are too many writes.
+    /// Lowers the write rate and empties the write budget after the state service has refused a request because of its
+    /// rate limit.
     fn throttle(&mut self) {
         let rate = self.write_budget.rate_per_s().min(self.reduced_write_rate);
         self.write_budget.set_rate(rate, write_budget_capacity(rate));
@@ -313,11 +326,11 @@
     }
 }
 
-fn retry_pause(purpose: RequestPurpose, status: u16) -> Duration {
+fn retry_delay(purpose: RequestPurpose, status: u16) -> Duration {
     match (status, purpose) {
-        (0, _) => LOST_RESPONSE_PAUSE,
-        (429, RequestPurpose::Snapshot) => THROTTLED_SNAPSHOT_PAUSE,
-        _ => RETRY_PAUSE,
+        (0, _) => LOST_RESPONSE_RETRY_DELAY,
+        (429, RequestPurpose::Snapshot) => THROTTLED_SNAPSHOT_RETRY_DELAY,
+        _ => RETRY_DELAY,
     }
 }
 
--- a/src/write_ahead_log/fragments.rs
+++ b/src/write_ahead_log/fragments.rs
@@ -1,39 +1,40 @@
-//! Records that are larger than a value of the key-value store may be.
+//! Fragmentation of records that exceed the size limit of a value in the state service.
 //!
-//! No such record is accepted, but one may be stored from a time at which values could be larger. In a snapshot it is written in
-//! fragments, which are put together again when they are read.
+//! Such records are not accepted, but one may have been stored before the limit was lowered. A snapshot writes it in
+//! fragments, which are reassembled when the snapshot is loaded.
 
 use super::LogRecord;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bytes of a fragment that are not its text, generously.
+/// Upper estimate of the bytes of an encoded fragment that are not its text.
 const FRAGMENT_OVERHEAD_BYTES: usize = 64;
-/// A character of JSON takes at most so many times its bytes when it is written as part of a string: an escape.
+/// Maximum factor by which JSON text grows when it is embedded in a JSON string, where quotes and backslashes are
+/// escaped.
 const ESCAPE_FACTOR: usize = 2;
-/// A fragment holds at least one character.
-const LEAST_TEXT_BYTES: usize = 4;
+/// Minimum text size of a fragment: the longest character in UTF-8.
+const MIN_TEXT_BYTES: usize = 4;
 
-/// A piece of a record's JSON.
+/// One part of a record's JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordFragment {
-    /// Number of the record among those of the snapshot that are written in fragments.
+    /// Number of the record among the fragmented records of the snapshot, from 0.
     #[serde(rename = "n")]
     pub record: u32,
-    /// Position of the fragment, from 0.
+    /// Position of the fragment within the record, from 0.
     #[serde(rename = "i")]
     pub index: u32,
-    /// How many fragments there are.
+    /// Number of fragments of the record.
     #[serde(rename = "c")]
     pub count: u32,
-    /// The piece of JSON.
+    /// This part of the record's JSON.
     #[serde(rename = "t")]
     pub text: String,
 }
 
-/// A record's JSON in fragments of which each fits into a value of `value_bytes`.
-pub(super) fn split(record: u32, json: &str, value_bytes: usize) -> Vec<LogRecord> {
-    let text_bytes = (value_bytes.saturating_sub(FRAGMENT_OVERHEAD_BYTES) / ESCAPE_FACTOR).max(LEAST_TEXT_BYTES);
+/// Splits a record's JSON into fragments that each fit into a value of `max_value_bytes`.
+pub(super) fn split(record: u32, json: &str, max_value_bytes: usize) -> Vec<LogRecord> {
+    let text_bytes = (max_value_bytes.saturating_sub(FRAGMENT_OVERHEAD_BYTES) / ESCAPE_FACTOR).max(MIN_TEXT_BYTES);
     let mut pieces: Vec<String> = vec![String::new()];
     for character in json.chars() {
         if pieces.last().is_some_and(|piece| piece.len() + character.len_utf8() > text_bytes) {
@@ -48,15 +49,15 @@
     fragments.map(LogRecord::Fragment).collect()
 }
 
-/// Fragments that were read, until their records are complete.
+/// Collects fragments until their records are complete.
 #[derive(Debug, Default)]
 pub(super) struct FragmentAssembly {
-    /// By record, and by position within it.
+    /// Text of the fragments, by record and by position within the record.
     fragments: BTreeMap<u32, BTreeMap<u32, String>>,
 }
 
 impl FragmentAssembly {
-    /// Takes a fragment; the record, if this was its last one.
+    /// Adds a fragment; returns the record if all its fragments are there now and its JSON can be parsed.
     pub(super) fn add(&mut self, fragment: RecordFragment) -> Option<LogRecord> {
         let pieces = self.fragments.entry(fragment.record).or_default();
         pieces.insert(fragment.index, fragment.text);
--- a/src/write_ahead_log/loading.rs
+++ b/src/write_ahead_log/loading.rs
@@ -1,4 +1,5 @@
-//! Reading back what earlier leaders wrote: the snapshot first, then the entries that it does not cover.
+//! Loading of the records of earlier leaders after an election: the snapshot first, then the log entries that it does
+//! not cover.
 
 use super::requests::RequestPurpose;
 use super::snapshot::{MANIFEST_KEY, Manifest, SNAPSHOT_PREFIX, SnapshotWrite};
@@ -8,17 +9,17 @@
 use crate::wire::{KeyPage, KeyValue};
 use serde_json::Value;
 
-/// What is known while the log is read back.
+/// Intermediate state while the log is being loaded.
 #[derive(Debug, Default)]
 pub(super) struct LoadProgress {
-    /// Chunks of all snapshots, until the manifest is known.
+    /// Keys and values of the chunks of all snapshots, kept until the manifest has been read.
     chunks: Vec<(String, Value)>,
-    /// Keys that no reader needs any more.
+    /// Keys of chunks and entries that are not needed any more and are deleted after loading.
     obsolete_keys: Vec<String>,
 }
 
 impl WriteAheadLog {
-    /// Begins reading.
+    /// Starts to load the log.
     pub fn start(&mut self, now: Timestamp, out: &mut Vec<LogEvent>) {
         self.read_page(now, RequestPurpose::LoadSnapshot, None, out);
     }
@@ -28,7 +29,7 @@
         self.in_flight.send(now, purpose, StoreRequest::Scan { prefix: prefix.into(), after }, out);
     }
 
-    /// Takes a page of the snapshot or of the entries.
+    /// Handles a page of snapshot keys or log entries and requests the next one.
     pub(super) fn handle_page(
         &mut self,
         now: Timestamp,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Reads the chunks that the manifest names. Those of other generations were left by a crash in mid-snapshot.
+    /// Loads the chunks of the snapshot that the manifest refers to. Chunks of other generations remain from a snapshot
+    /// that was interrupted by the loss of its leader; they are deleted later.
     fn finish_snapshot(&mut self, out: &mut Vec<LogEvent>) {
         let prefix = self.manifest.as_ref().map(Manifest::chunk_prefix);
         for (key, value) in std::mem::take(&mut self.load_progress.chunks) {
@@ -97,7 +99,7 @@
         self.loaded = true;
         let obsolete_keys = std::mem::take(&mut self.load_progress.obsolete_keys);
         if !obsolete_keys.is_empty() {
-            self.snapshot_write = Some(SnapshotWrite::removal_of(obsolete_keys, self.writes_per_snapshot_step()));
+            self.snapshot_write = Some(SnapshotWrite::deletion_of(obsolete_keys, self.writes_per_snapshot_step()));
         }
         out.push(LogEvent::LoadComplete);
     }
--- a/src/write_ahead_log/record.rs
+++ b/src/write_ahead_log/record.rs
@@ -1,71 +1,75 @@
-//! The records of the log. Their stored names are short, since the log is written often and kept in small values.
+//! The records of the write-ahead log. Their stored names are single letters, since the log is written often and the
+//! size of values is limited.
 
 use super::fragments::RecordFragment;
 use crate::job_spec::JobSpec;
 use crate::types::{JobId, MachineId, TaskIndexSet, WallClock};
 use serde::{Deserialize, Serialize};
 
-/// Most ranges of tasks in one record: it fits into a value of 2 KiB.
+/// Maximum number of task ranges in one record, so that it fits into a value of 2 KiB.
 pub const MAX_TASK_RANGES: usize = 60;
-/// Most ended jobs in one record, likewise.
+/// Maximum number of ended jobs in one record, so that it fits into a value of 2 KiB.
 pub const MAX_ENDED_JOBS: usize = 60;
 
-/// A machine as it is remembered.
+/// The durable state of a machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Name.
+    /// Id of the machine, by which the cloud and its worker name it.
     #[serde(rename = "i")]
     pub id: MachineId,
-    /// Where its worker takes commands.
+    /// Address at which its worker accepts direct commands; empty until the first heartbeat.
     #[serde(rename = "e")]
     pub endpoint: String,
-    /// Type.
+    /// Name of the machine type.
     #[serde(rename = "k")]
     pub machine_type: String,
-    /// Zone.
+    /// Availability zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance; otherwise it is an on-demand instance.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// When it was rented, or first heard of.
+    /// When its instance was requested from the cloud, or when its first heartbeat arrived if the request is not known.
     #[serde(rename = "a", default)]
     pub provisioned_at: WallClock,
 }
 
-/// One record of the log. Applying a record twice is the same as applying it once.
+/// A log record. Applying a record is idempotent: a second application has no further effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A job was accepted.
+    /// A job was accepted, and stays accepted under every later leader.
     #[serde(rename = "j")]
     JobAccepted(JobSpec),
-    /// Tasks of a job finished.
+    /// These tasks of a job finished successfully.
     #[serde(rename = "d")]
     TasksDone(JobId, TaskIndexSet),
-    /// A job was cancelled.
+    /// A job was cancelled by a user.
     #[serde(rename = "c")]
     JobCancelled(JobId),
-    /// A machine may get tasks from now on.
+    /// A machine was registered. Tasks are started on it only once this record is durable, so that every later leader
+    /// fences it.
     #[serde(rename = "m")]
     MachineRegistered(MachineRecord),
-    /// A machine was rented and has not sent a heartbeat yet. Nothing waits for this record: without it the
-    /// next leader would rent again what the cloud's list shows only later.
+    /// A machine was provisioned and has not sent a heartbeat yet. Nothing waits for this record to be durable; it
+    /// keeps the next leader from provisioning the same capacity again before the instance appears in the cloud's list,
+    /// which lags behind.
     #[serde(rename = "r")]
     MachineProvisioned(MachineRecord),
-    /// A machine holds an image.
+    /// A machine has an image in its cache.
     #[serde(rename = "i")]
     ImageCached(MachineId, String),
-    /// What CorrecFAST has learnt: its value in percent and how many executions it saw.
+    /// The state of the run time correction (CorrecFAST): its value in percent and the number of executions that it is
+    /// based on.
     #[serde(rename = "l")]
     CorrectionUpdated(f64, u64),
-    /// A machine is gone for ever.
+    /// A machine does not exist any more and will never send a heartbeat again.
     #[serde(rename = "g")]
     MachineGone(MachineId),
-    /// Jobs that have ended (snapshots only): those done with their number of tasks, those cancelled;
-    /// ids as differences from the one before.
+    /// Jobs that have ended, in snapshots only: finished jobs with their number of tasks, and cancelled jobs. Ids are
+    /// delta-encoded: each is stored as the difference from the previous one.
     #[serde(rename = "f")]
     EndedJobs(Vec<(u64, u32)>, Vec<u64>),
-    /// A piece of a record that is too large for a value (snapshots of format two only).
+    /// A fragment of a record that is too large for one value, in snapshots of `Format::Two` only.
     #[serde(rename = "p")]
     Fragment(RecordFragment),
 }
--- a/src/write_ahead_log/requests.rs
+++ b/src/write_ahead_log/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the log to the key-value store that have not been answered yet.
+//! Requests of the write-ahead log to the state service that are in flight, and their retries.
 
 use super::LogEvent;
 use super::snapshot::MANIFEST_KEY;
@@ -6,37 +6,38 @@
 use crate::types::{Duration, Timestamp};
 use crate::wire::StoreWrite;
 
-/// Without a response for so long, a request is repeated.
+/// Time after which a request without a response is retried.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a request is for.
+/// The purpose of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestPurpose {
     /// Reads a page of the snapshot.
     LoadSnapshot,
-    /// Reads a page of the log's entries.
+    /// Reads a page of log entries.
     LoadEntries,
-    /// Writes entries.
+    /// Writes log entries.
     Commit,
-    /// Makes a step of a snapshot.
+    /// Executes a step of a snapshot, or of the deletion of obsolete keys.
     Snapshot,
-    /// Reads the manifest's revision after a write of it got no response.
+    /// Reads the manifest's revision when it is not known, after a write of it failed or its response could not be
+    /// parsed.
     ReadManifestRevision,
 }
 
-/// A request that has not been answered.
+/// A request without a response.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
     id: u64,
     pub(super) purpose: RequestPurpose,
     request: StoreRequest,
     sent_at: Timestamp,
-    /// When it is repeated after a response that asks for that.
+    /// When it is retried, if an attempt has failed; `None` while the response is pending.
     retry_at: Option<Timestamp>,
 }
 
 impl InFlightRequest {
-    /// Whether it writes the manifest.
+    /// Whether it is a transaction that writes the manifest.
     pub(super) fn writes_manifest(&self) -> bool {
         matches!(&self.request, StoreRequest::CompareAndSwap(swap) if writes_manifest(&swap.writes))
     }
@@ -49,21 +50,22 @@
     }
 }
 
-/// Whether the manifest is among these writes.
+/// Whether these writes include the manifest.
 pub(super) fn writes_manifest(writes: &[StoreWrite]) -> bool {
     writes.iter().any(|write| matches!(write, StoreWrite::Put { key, .. } if key == MANIFEST_KEY))
 }
 
-/// All requests that have not been answered. Each gets a new number whenever it is sent.
+/// All requests in flight. A request gets a new number with each attempt, so that responses to earlier attempts are
+/// ignored.
 #[derive(Debug, Default)]
 pub(super) struct InFlightRequests {
     requests: Vec<InFlightRequest>,
-    /// Numbers that were given to requests so far.
+    /// The last number given to a request.
     counter: u64,
 }
 
 impl InFlightRequests {
-    /// Sends a request.
+    /// Sends a request and tracks it until its response is taken.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -77,8 +79,8 @@
         out.push(LogEvent::Request(id, request));
     }
 
-    /// Repeats, as they were, the requests that got no response or are due for a retry.
-    pub(super) fn repeat_due(&mut self, now: Timestamp, out: &mut Vec<LogEvent>) {
+    /// Resends, unchanged, the requests that have timed out or are due for a retry.
+    pub(super) fn resend_due(&mut self, now: Timestamp, out: &mut Vec<LogEvent>) {
         for in_flight in self.requests.iter_mut().filter(|in_flight| in_flight.is_due(now)) {
             self.counter += 1;
             in_flight.id = self.counter;
@@ -88,25 +90,25 @@
         }
     }
 
-    /// What the request with this number is for, if it waits for a response.
+    /// Returns the purpose of the request with this number; `None` if no such request is in flight.
     pub(super) fn purpose(&self, id: u64) -> Option<RequestPurpose> {
         self.requests.iter().find(|in_flight| in_flight.id == id).map(|in_flight| in_flight.purpose)
     }
 
-    /// Takes an answered request out.
+    /// Removes the request with this number after its response was handled.
     pub(super) fn take(&mut self, id: u64) -> Option<InFlightRequest> {
         let position = self.requests.iter().position(|in_flight| in_flight.id == id)?;
         Some(self.requests.remove(position))
     }
 
-    /// Repeats a request at this time.
+    /// Schedules a retry of a request whose attempt has failed.
     pub(super) fn retry_at(&mut self, id: u64, at: Timestamp) {
         if let Some(in_flight) = self.requests.iter_mut().find(|in_flight| in_flight.id == id) {
             in_flight.retry_at = Some(at);
         }
     }
 
-    /// Whether a request for this purpose waits for a response.
+    /// Whether a request with this purpose is in flight.
     pub(super) fn has(&self, purpose: RequestPurpose) -> bool {
         self.requests.iter().any(|in_flight| in_flight.purpose == purpose)
     }
