--- a/src/workers.rs
+++ b/src/workers.rs
@@ -1,17 +1,18 @@
-//! Machines, the task attempts on them, and the exchange with their workers.
+//! The leader's view of machines and the task attempts on them, and the protocol with their workers.
 //!
-//! A worker sends heartbeats with the status of all its tasks; the leader answers with commands and may also send commands
-//! directly. A machine is *fenced* once one of its own messages says that it has seen this leader's fencing token: from then on
-//! nothing that an earlier leader sent can start or stop a task there.
+//! A worker sends heartbeats that contain the status of all its tasks. The leader puts commands into the heartbeat
+//! responses, and may also send commands directly. A machine is *fenced* once one of its messages contains this
+//! leader's fencing token: from then on its worker rejects commands of earlier leaders, so that none of them can start
+//! or stop a task there.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `attempt` | one task attempt on a machine |
-//! | `machine` | the state of a machine |
-//! | `message_position` | which of two messages of a worker is newer |
-//! | `reconciliation` | updates a machine from its worker's messages |
-//! | `commands` | builds commands and follows direct ones |
-//! | `drain_reason` | why a machine gets no new tasks |
+//! | `attempt` | state of one task attempt on a machine |
+//! | `machine` | state of a machine |
+//! | `message_position` | order of the messages of a worker |
+//! | `reconciliation` | updates the state of a machine from its worker's messages |
+//! | `commands` | builds commands and tracks direct commands |
+//! | `drain_reason` | reasons for which a machine gets no new tasks |
 
 mod attempt;
 mod commands;
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -1,25 +1,25 @@
-//! A task attempt on a machine.
+//! The leader's view of a task attempt on a machine.
 
 use crate::types::{AttemptId, Duration, Resources, TaskId, Timestamp};
 use crate::wire::{ExitReason, TaskState};
 
-/// Priority of an attempt whose job is not known: the lowest.
+/// Priority of an attempt whose job is not known to this leader: the lowest priority.
 const UNKNOWN_JOB_PRIORITY: u8 = 3;
 
-/// How far a task is on its machine.
+/// The phase of an attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptPhase {
-    /// Its start was requested; the worker has not reported it yet.
+    /// The leader has requested its start, and the worker has not reported it yet.
     StartRequested,
-    /// Waiting for its image.
+    /// The worker is fetching its image.
     Fetching,
-    /// Waiting for the other tasks of its gang.
+    /// The image is cached, and the task waits for the other tasks of its gang to be ready.
     AwaitingGang,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Saving its progress after it was told to stop.
+    /// The task is saving a checkpoint after a request to stop.
     Checkpointing,
-    /// Ended.
+    /// The attempt has ended, for any reason.
     Exited,
 }
 
@@ -35,64 +35,66 @@
     }
 }
 
-/// Whether a direct command that starts the attempt may still be executed late.
+/// Whether a direct command that starts the attempt may still be executed by the worker, later than expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartUncertainty {
-    /// No.
+    /// No such command was sent, or the worker has responded to it.
     None,
     /// The command with this number is in flight.
     InFlight(u64),
-    /// The command got no answer and may be executed until the agent's epoch changes.
+    /// The command got no response and may be executed until the worker agent begins a new epoch.
     Lost,
 }
 
-/// An attempt that a machine holds, or may hold.
+/// An attempt that is known to be on a machine, or whose start was requested there.
 #[derive(Debug, Clone)]
 pub struct TaskAttempt {
-    /// The task.
+    /// The task that it executes.
     pub task: TaskId,
-    /// How far it is.
+    /// Its phase as last reported, or `StartRequested` before the first report.
     pub phase: AttemptPhase,
-    /// Whether the worker has reported it.
+    /// Whether the worker has reported it, and so has received its start.
     pub acknowledged: bool,
-    /// Whether a direct start may be executed late.
+    /// Whether a direct command that starts it may still be executed.
     pub start_uncertainty: StartUncertainty,
-    /// Seconds that it has for its checkpoint if it is to stop; `None` while it may go on.
+    /// Grace period in seconds that it gets for a checkpoint when it is stopped; `None` unless it is to be stopped.
     pub stop_grace_s: Option<f64>,
-    /// Whether the start was sent, directly or with the answer to a heartbeat.
+    /// Whether its start was sent, in a direct command or a heartbeat response.
     pub start_sent: bool,
-    /// Whether the stop was sent, directly or with the answer to a heartbeat.
+    /// Whether the current stop request was sent, in a direct command or a heartbeat response.
     pub stop_sent: bool,
-    /// Whether a direct command started it, of which a copy may be executed late.
+    /// Whether its start was sent in a direct command, of which a delayed duplicate may be executed.
     pub started_directly: bool,
-    /// When it ended.
+    /// When it ended; meaningful only in phase `Exited`.
     pub ended_at: Timestamp,
-    /// Whether the worker may forget it, because its end is durable or does not matter.
+    /// Whether the worker may forget it once it has ended: its end is durable, or the leader does not need its result.
     pub forgettable: bool,
-    /// Whether its job counts the task as placed on this machine.
+    /// Whether its job considers the task placed on this machine under this attempt.
     pub assigned: bool,
-    /// The resources that it takes.
+    /// The resources that it occupies until it has ended.
     pub resources: Resources,
-    /// The priority of its job, 0 first.
+    /// The priority of its job; 0 is the highest.
     pub priority: u8,
-    /// Its image.
+    /// Name of its image; empty if its job is not known.
     pub image: String,
-    /// When its start was requested, or when this leader found it.
+    /// When its start was requested, or when this leader discovered it.
     pub requested_at: Timestamp,
     /// When it was first reported running.
     pub running_since: Option<Timestamp>,
-    /// Predicted time from request to end; `None` for services.
+    /// Predicted time from the start request to the end; `None` for services.
     pub predicted_duration: Option<Duration>,
-    /// Whether it is a task of a gang.
+    /// Whether its job is a gang.
     pub in_gang: bool,
 }
 
 impl TaskAttempt {
-    /// An attempt that a worker reports and this leader did not start. It is to be stopped unless its job adopts it.
+    /// Creates an attempt that a worker reports and that this leader did not start. It is stopped unless its job adopts
+    /// it.
     pub(super) fn discovered(task: TaskId, phase: AttemptPhase, now: Timestamp) -> TaskAttempt {
         TaskAttempt {
             task,
-            // The end is noted as a change of phase, like that of any other attempt.
+            // The end of an attempt is processed when its phase changes to `Exited`, so it must have another phase
+            // before.
             phase: if phase == AttemptPhase::Exited { AttemptPhase::StartRequested } else { phase },
             acknowledged: true,
             start_uncertainty: StartUncertainty::None,
@@ -113,23 +115,23 @@
         }
     }
 
-    /// Whether it takes resources on the machine.
+    /// Whether it occupies resources on the machine: it has not ended, as far as is known.
     pub fn occupies_resources(&self) -> bool {
         self.phase != AttemptPhase::Exited
     }
 }
 
-/// The end of an attempt, as a worker reported it.
+/// The end of an attempt as reported by its worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptExit {
-    /// The attempt.
+    /// Id of the attempt.
     pub id: AttemptId,
-    /// Why it ended.
+    /// Why it ended; `ExitReason::Other` if the worker gave no known reason.
     pub reason: ExitReason,
-    /// When its start was requested.
+    /// When its start was requested, or when this leader discovered it.
     pub requested_at: Timestamp,
-    /// When it was first reported running.
+    /// When it was first reported running; `None` if it never was.
     pub running_since: Option<Timestamp>,
-    /// Predicted time from request to end.
+    /// Predicted time from the start request to the end; `None` for services.
     pub predicted_duration: Option<Duration>,
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,16 +1,18 @@
-//! Commands to a machine's worker: with the answers to its heartbeats, and directly.
+//! Commands to a machine's worker, sent in heartbeat responses and in direct messages.
 
 use super::attempt::{AttemptPhase, StartUncertainty, TaskAttempt};
 use super::machine::Machine;
 use crate::types::{AttemptId, Duration, JobId, Timestamp};
 use crate::wire::{Heartbeat, TaskState, WorkerCommand};
 
-/// Most commands in one message, which must stay far below 64 KiB.
+/// Maximum number of commands in one message, which must stay far below 64 KiB.
 const MAX_COMMANDS_PER_MESSAGE: usize = 300;
-/// Ended attempts that a machine is left with: its heartbeats must stay far below 64 KiB.
+/// Maximum number of ended attempts that a worker has to keep, because its heartbeats list them and must stay far below
+/// 64 KiB.
 const MAX_ENDED_ATTEMPTS: usize = 200;
 
-/// Commands that stop every task which a heartbeat shows of jobs that have ended.
+/// Returns commands that stop every task in a heartbeat whose job has ended. They are sent to a machine that is not
+/// fenced yet, whose attempts this leader does not track.
 pub fn stop_ended_jobs(heartbeat: &Heartbeat, has_ended: &dyn Fn(JobId) -> bool) -> Vec<WorkerCommand> {
     let live = heartbeat.tasks.iter().flatten().filter(|status| status.state != TaskState::Exited);
     live.filter_map(|status| Some((status.task?, status.attempt)))
@@ -20,7 +22,7 @@
         .collect()
 }
 
-// Most attempts need no command, so their names are written out only where one is made.
+// The functions below format an id only when a command is created: most attempts need none.
 
 fn start_command(id: &AttemptId) -> WorkerCommand {
     WorkerCommand::Start { task: id.task.to_string(), attempt: id.attempt.0 }
@@ -35,23 +37,25 @@
 }
 
 impl TaskAttempt {
-    /// Whether the worker may be told to forget this ended attempt: its end is settled, and no direct start of it can be executed
-    /// late any more. A copy of an answered command may come within `duplicate_delay_limit` after the end; `is_excess` attempts do not
-    /// wait for that.
+    /// Whether a command to forget this ended attempt may be sent to the worker: its result is not needed any more, and
+    /// no direct command can start it again. A delayed duplicate of a command that was responded to may arrive until
+    /// `duplicate_delay_limit` after the end; an `is_excess` attempt is forgotten regardless of that.
     fn may_be_forgotten(&self, now: Timestamp, duplicate_delay_limit: Duration, is_excess: bool) -> bool {
-        let late_copy_possible = self.started_directly && now.since(self.ended_at) < duplicate_delay_limit;
-        self.forgettable && self.start_uncertainty == StartUncertainty::None && (is_excess || !late_copy_possible)
+        let duplicate_possible = self.started_directly && now.since(self.ended_at) < duplicate_delay_limit;
+        self.forgettable && self.start_uncertainty == StartUncertainty::None && (is_excess || !duplicate_possible)
     }
 }
 
 impl Machine {
-    /// The commands for a heartbeat's answer, which is never executed late.
+    /// Returns the commands for the response to a heartbeat. Unlike a direct command, a heartbeat response is never
+    /// executed late.
     ///
-    /// A start that the worker has not acknowledged is sent again: `Start` of an attempt that it holds has no effect. An attempt
-    /// that is to be stopped before it was acknowledged gets `Start` before `Stop`, so that the worker knows it, and a late copy of
-    /// the direct `Start` finds it exited. For the same reason the worker is left with an ended attempt that was started directly
-    /// for `duplicate_delay_limit`: once it has forgotten it, a copy of the command, executed late although the command was answered,
-    /// would start it anew.
+    /// A start that the worker has not acknowledged is sent again, since `Start` of an attempt that the worker already
+    /// has is a no-op. An attempt that is to be stopped before it was acknowledged gets `Start` followed by `Stop`: the
+    /// worker then has a record of the attempt, and a delayed direct `Start` has no effect because the attempt has
+    /// exited. For the same reason the worker keeps an ended attempt that was started directly for
+    /// `duplicate_delay_limit`: after forgetting it, the worker would start it again if a delayed duplicate of the
+    /// command arrived, even though it had responded to the command.
     pub fn heartbeat_commands(&mut self, now: Timestamp, duplicate_delay_limit: Duration) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         let ended = self.attempts.values().filter(|attempt| !attempt.occupies_resources()).count();
@@ -68,7 +72,8 @@
                 attempt.start_sent = true;
                 commands.push(start_command(id));
             }
-            // One that saves its progress is ended by a second stop, when there is nothing to save it for any more.
+            // A checkpointing attempt gets a second stop only if its grace period is 0: the checkpoint is not needed
+            // any more.
             if let Some(grace_s) = attempt.stop_grace_s
                 && (attempt.phase != AttemptPhase::Checkpointing || grace_s == 0.0)
             {
@@ -82,9 +87,10 @@
         commands
     }
 
-    /// The commands for a direct message: starts that were not sent yet, and stops of acknowledged attempts.
+    /// Returns the commands for the direct message with this number: starts that were not sent yet, and stops of
+    /// acknowledged attempts.
     ///
-    /// What went with the answer to a heartbeat is not sent again: the next answer repeats it if need be.
+    /// Commands that were sent in a heartbeat response are not included: the next response repeats them if necessary.
     pub fn direct_commands(&mut self, command: u64) -> Vec<WorkerCommand> {
         let mut commands = Vec::new();
         for (id, attempt) in &mut self.attempts {
@@ -108,9 +114,10 @@
         commands
     }
 
-    /// Notes that a direct command was answered (`answered`), or got no answer and may still be executed.
-    pub fn record_command_outcome(&mut self, now: Timestamp, command: u64, answered: bool) {
-        if answered {
+    /// Updates the machine when its worker has responded to a direct command (`responded`), or when the command has
+    /// failed without a response, in which case it may still be executed.
+    pub fn record_command_outcome(&mut self, now: Timestamp, command: u64, responded: bool) {
+        if responded {
             self.mark_reached(now);
         } else {
             self.unanswered_commands += 1;
@@ -119,14 +126,15 @@
             self.in_flight_command = None;
         }
         let in_flight = StartUncertainty::InFlight(command);
-        let outcome = if answered { StartUncertainty::None } else { StartUncertainty::Lost };
+        let outcome = if responded { StartUncertainty::None } else { StartUncertainty::Lost };
         for attempt in self.attempts.values_mut().filter(|attempt| attempt.start_uncertainty == in_flight) {
             attempt.start_uncertainty = outcome;
         }
     }
 
-    /// Requests that an attempt stops, with this many seconds for its checkpoint; true if the worker is to be told, false if
-    /// the attempt is stopping as soon already or is not there.
+    /// Requests that an attempt stops within a grace period for its checkpoint, in seconds. Returns whether a command
+    /// must be sent to the worker: false if the attempt has ended, does not exist, or was already requested to stop at
+    /// least as soon.
     pub fn request_stop(&mut self, id: AttemptId, grace_s: f64) -> bool {
         if let Some(attempt) = self.attempts.get_mut(&id)
             && attempt.occupies_resources()
--- a/src/workers/drain_reason.rs
+++ b/src/workers/drain_reason.rs
@@ -1,25 +1,26 @@
-//! Why a machine gets no new tasks.
+//! The reasons for which a machine gets no new tasks and is released.
 
 use std::fmt;
 
-/// Why a machine is drained and given back to the cloud.
+/// The reason why a machine is drained and then released to the cloud, as given in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainReason {
-    /// The cloud reports that it has failed.
+    /// The cloud reports that the machine has failed.
     CloudFailure,
-    /// Its tasks of different jobs fail.
+    /// Tasks of several different jobs failed on it.
     FailingTasks,
-    /// Nothing is heard of it.
+    /// Its worker sends no messages.
     Silent,
-    /// Its heartbeats arrive, but neither answers nor commands reach it.
+    /// Its heartbeats arrive, but neither responses nor commands reach it.
     Unreachable,
-    /// The cloud reclaims it.
+    /// The cloud has announced that it reclaims the machine.
     Reclaimed,
-    /// The drain coordinator empties it, for operators or to consolidate within the disruption budgets.
+    /// The drain coordinator evicts its tasks, for an operator's drain or for a consolidation within the disruption
+    /// budgets.
     Drained,
-    /// Its services were moved to other machines.
+    /// Its services are moved to other machines to save its cost.
     Consolidated,
-    /// It has been idle for long.
+    /// It has had no tasks for the idle timeout.
     Idle,
 }
 
@@ -27,12 +28,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             DrainReason::CloudFailure => "failed",
-            DrainReason::FailingTasks => "fails its tasks",
+            DrainReason::FailingTasks => "tasks of several jobs failed",
             DrainReason::Silent => "silent",
             DrainReason::Unreachable => "takes nothing in",
-            DrainReason::Reclaimed => "is taken back",
+            DrainReason::Reclaimed => "reclaimed by the cloud",
             DrainReason::Drained => "drained",
-            DrainReason::Consolidated => "its services fit elsewhere",
+            DrainReason::Consolidated => "services fit on other machines",
             DrainReason::Idle => "idle",
         })
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,4 +1,4 @@
-//! The state of a machine, as far as this leader knows it.
+//! The leader's view of a machine.
 
 use super::attempt::TaskAttempt;
 use super::drain_reason::DrainReason;
@@ -7,77 +7,79 @@
 use crate::write_ahead_log::MachineRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether the log holds the machine, so that every later leader waits until it is fenced.
+/// Progress of a machine's registration in the write-ahead log. Every later leader waits until all registered machines
+/// are fenced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registration {
-    /// Not written yet.
+    /// No registration record has been appended.
     NotRequested,
-    /// Being written.
+    /// The registration record has been appended and is not durable yet.
     Pending,
-    /// Durable: the machine may get tasks.
+    /// The registration is durable, so tasks may be started on the machine.
     Durable,
 }
 
-/// A direct command that has not been answered.
+/// A direct command without a response.
 #[derive(Debug, Clone, Copy)]
 pub struct InFlightCommand {
-    /// Its number.
+    /// Number of the command, unique under this leader.
     pub id: u64,
     /// When it was sent.
     pub sent_at: Timestamp,
 }
 
-/// A machine whose worker has sent a heartbeat, or that an earlier leader registered.
+/// A machine whose worker has sent a heartbeat to this leader, or that an earlier leader registered.
 #[derive(Debug)]
 pub struct Machine {
-    /// What the log holds of it.
+    /// Its durable state in the write-ahead log.
     pub record: MachineRecord,
-    /// Its resources in all.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Whether its registration is durable.
+    /// Whether its registration in the write-ahead log is durable.
     pub registration: Registration,
-    /// Position of its last message.
+    /// Position of its newest message, a heartbeat or the response to a direct command.
     pub last_message: MessagePosition,
-    /// Whether it has seen this leader's fencing token.
+    /// Whether one of its messages contained this leader's fencing token.
     pub fenced: bool,
-    /// Its last heartbeat; answers to direct commands do not count. A worker has one heartbeat in flight at a time, so that one
-    /// which is not newer is a late copy, whose answer nobody reads.
+    /// Position of its newest heartbeat, not counting responses to direct commands. A worker has only one heartbeat in
+    /// flight, so a heartbeat that is not newer than this one is a delayed duplicate, whose response nobody reads.
     pub last_heartbeat: MessagePosition,
-    /// The last heartbeat that was answered.
+    /// Position of the last heartbeat that this leader responded to.
     pub last_responded_heartbeat: MessagePosition,
-    /// Whether it has come back to this node with the next heartbeat after an answered one.
+    /// Whether it has sent two consecutive heartbeats to this node, the second after the response to the first.
     pub sends_consecutive_heartbeats: bool,
     /// When its last message arrived.
     pub last_message_at: Timestamp,
-    /// When it last proved that something of ours reached it. A machine whose heartbeats arrive while answers and commands do not
-    /// reach it is treated as a silent one.
+    /// When a response or command of this leader was last known to have reached it. A machine whose heartbeats arrive
+    /// but that no response or command reaches is treated like a silent one.
     pub last_reached_at: Timestamp,
-    /// When a heartbeat of it was answered last: its lease counts from then.
+    /// When the leader last responded to one of its heartbeats, which renewed its lease.
     pub lease_renewed_at: Timestamp,
-    /// When it became known to this leader, or was rented.
+    /// When its instance was requested, or, if the request is not known to this leader, when the machine was
+    /// discovered.
     pub known_since: Timestamp,
-    /// When the cloud reclaims it.
+    /// When the cloud will reclaim it, if it has announced that.
     pub reclaim_at: Option<Timestamp>,
-    /// Attempts that it holds or may hold.
+    /// Attempts that are on the machine, or whose start was requested there.
     pub attempts: BTreeMap<AttemptId, TaskAttempt>,
-    /// Images that it is believed to hold.
+    /// Images that are assumed to be in its cache.
     pub images: BTreeSet<String>,
-    /// The direct command in flight to it.
+    /// The direct command in flight to it; at most one is sent at a time.
     pub in_flight_command: Option<InFlightCommand>,
-    /// When a direct command was last sent to it.
+    /// When a direct command was last sent to it, with or without commands in it.
     pub last_probe_at: Timestamp,
-    /// Direct commands without an answer since something reached it.
+    /// Number of direct commands that have failed without a response since the machine was last reached.
     pub unanswered_commands: u32,
-    /// Why it gets no new tasks, if so.
+    /// Why it gets no new tasks; `None` unless it is draining.
     pub draining: Option<DrainReason>,
-    /// Since when it has been idle.
+    /// Since when it has been idle; `None` if it is not.
     pub idle_since: Option<Timestamp>,
-    /// Different jobs that failed here since the last success.
+    /// Different jobs of which a task failed here since a task last succeeded.
     pub failed_jobs: BTreeSet<JobId>,
 }
 
 impl Machine {
-    /// A machine of which no message has arrived yet.
+    /// Creates a machine that no message has been received from yet.
     pub fn new(record: MachineRecord, capacity: Resources, registration: Registration, now: Timestamp) -> Machine {
         Machine {
             record,
@@ -104,12 +106,13 @@
         }
     }
 
-    /// Its name.
+    /// Returns the id of the machine.
     pub fn id(&self) -> MachineId {
         self.record.id
     }
 
-    /// Whether tasks may be started here, as far as the machine itself is concerned.
+    /// Whether tasks may be started here: the machine is fenced and durably registered, and neither drained nor
+    /// reclaimed. Free resources are not considered.
     pub fn accepts_tasks(&self) -> bool {
         self.fenced
             && self.registration == Registration::Durable
@@ -117,22 +120,22 @@
             && self.reclaim_at.is_none()
     }
 
-    /// Whether something of ours reached it within this time.
+    /// Whether a response or command of this leader is known to have reached it within the last `within`.
     pub fn reached_within(&self, now: Timestamp, within: Duration) -> bool {
         now.since(self.last_reached_at) <= within
     }
 
-    /// Whether a heartbeat of it was answered by this leader.
+    /// Whether this leader has responded to any of its heartbeats.
     pub fn was_sent_response(&self) -> bool {
         self.last_responded_heartbeat.epoch.0 > 0
     }
 
-    /// Whether an attempt takes resources here.
+    /// Whether any attempt occupies resources here.
     pub fn is_occupied(&self) -> bool {
         self.attempts.values().any(TaskAttempt::occupies_resources)
     }
 
-    /// The resources that no attempt takes.
+    /// Returns the resources that no attempt occupies.
     pub fn free_resources(&self) -> Resources {
         let mut free = self.capacity;
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_resources()) {
@@ -141,17 +144,17 @@
         free
     }
 
-    /// Whether it holds an attempt of this task, in any phase.
+    /// Whether there is an attempt of this task here, in any phase.
     pub fn holds_task(&self, task: TaskId) -> bool {
         self.attempts.values().any(|attempt| attempt.task == task)
     }
 
-    /// Whether it holds an attempt of any task of this job, in any phase.
+    /// Whether there is an attempt of any task of this job here, in any phase.
     pub fn holds_job(&self, job: JobId) -> bool {
         self.attempts.keys().any(|id| id.task.job == job)
     }
 
-    /// Notes that something of ours has surely reached the machine.
+    /// Records that a response or command of this leader has reached the machine.
     pub fn mark_reached(&mut self, now: Timestamp) {
         self.last_reached_at = now;
         self.unanswered_commands = 0;
--- a/src/workers/message_position.rs
+++ b/src/workers/message_position.rs
@@ -1,20 +1,20 @@
-//! Which of two messages of a worker is newer.
+//! The order of a worker's messages.
 
 use crate::types::{AgentEpoch, MessageSequence};
 use crate::wire::Heartbeat;
 
-/// Where a message stands among those of its worker: heartbeats and answers to direct commands are numbered together within an
-/// epoch of the agent.
+/// The position of a message in the sequence of its worker's messages, by which delayed and duplicate messages are
+/// recognized. Heartbeats and responses to direct commands share one sequence within an epoch of the worker agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct MessagePosition {
-    /// The agent's epoch.
+    /// Epoch of the worker agent; 0 if no message was received.
     pub epoch: AgentEpoch,
-    /// The message's number within the epoch.
+    /// Sequence number of the message within the epoch.
     pub sequence: MessageSequence,
 }
 
 impl MessagePosition {
-    /// The position of the message that follows this one.
+    /// Returns the position of the next message in the same epoch.
     #[must_use]
     pub fn next(self) -> MessagePosition {
         MessagePosition { epoch: self.epoch, sequence: MessageSequence(self.sequence.0 + 1) }
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Updates a machine's state from the messages of its worker.
+//! Reconciliation of a machine's state with the messages of its worker.
 
 use super::attempt::{AttemptExit, AttemptPhase, TaskAttempt};
 use super::machine::Machine;
@@ -7,34 +7,35 @@
 use crate::wire::{ExitReason, Heartbeat, TaskStatus};
 use std::collections::btree_map::Entry;
 
-/// What a message of a worker has shown.
+/// A change that a worker's message has revealed.
 #[derive(Debug, PartialEq)]
 pub enum MachineEvent {
-    /// An attempt that this leader did not know; its job adopts it, or it is stopped.
+    /// The worker reports an attempt that this leader did not know. Either its job adopts it, or it is stopped.
     AttemptDiscovered {
-        /// The attempt.
+        /// Id of the attempt.
         id: AttemptId,
-        /// Whether it has ended already.
+        /// Whether the attempt had already ended when it was discovered.
         has_ended: bool,
     },
-    /// An assigned attempt began to run.
+    /// An assigned attempt is running.
     AttemptRunning(AttemptId),
-    /// The machine now holds this image.
+    /// The machine has this image in its cache now.
     ImageCached(String),
-    /// An attempt ended.
+    /// An attempt has ended and its result is known.
     AttemptExited(AttemptExit),
-    /// An assigned attempt is surely gone without an end.
+    /// The assigned attempt of this task does not exist any more, and no result was reported.
     AttemptLost(TaskId),
-    /// The machine has now seen this leader's fencing token.
+    /// The machine is fenced: one of its messages contained this leader's fencing token.
     Fenced,
 }
 
 impl Machine {
-    /// Notes a heartbeat's position among the others; false for a late copy of one, which shows nothing, renews nothing and needs
-    /// no answer.
+    /// Checks and records the position of a heartbeat. Returns false for a delayed duplicate, which must not be
+    /// applied, does not renew the lease and needs no response.
     ///
-    /// A heartbeat that is older than the answer to a direct command is no copy: its worker may be waiting for the answer, which
-    /// would renew the worker's lease. `has_peers`: there are other nodes that the worker could go to.
+    /// A heartbeat that is newer than the last heartbeat but older than the response to a direct command is not a
+    /// duplicate: its worker may be waiting for the response, which renews its lease. `has_peers` tells whether there
+    /// are other controllers that the worker could send its heartbeats to.
     #[must_use]
     pub fn accept_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat, has_peers: bool) -> bool {
         let position = MessagePosition::from(heartbeat);
@@ -42,8 +43,8 @@
             return false;
         }
         self.last_heartbeat = position;
-        // A worker whose heartbeat got no answer goes to another node: one that comes back at once with
-        // the next heartbeat has received the last answer.
+        // A worker whose heartbeat got no response sends the next one to another node. If the next heartbeat comes to
+        // this node, the worker has received the previous response.
         if has_peers && position == self.last_responded_heartbeat.next() {
             self.mark_reached(now);
             self.sends_consecutive_heartbeats = true;
@@ -51,9 +52,9 @@
         true
     }
 
-    /// Applies a message (a heartbeat or the answer to a command) and tells what it showed.
+    /// Applies a message (a heartbeat or the response to a direct command) and reports the changes that it reveals.
     ///
-    /// A message that is not newer than the last one changes nothing: its task list is as old as itself.
+    /// A message that is not newer than the last one is ignored, since its task list is out of date.
     pub fn apply_message(
         &mut self,
         now: Timestamp,
@@ -73,36 +74,37 @@
         self.record.endpoint.clone_from(&message.endpoint);
         self.reclaim_at = message.reclaim_in_s.map(|seconds| now + Duration::from_secs_f64(seconds));
         if message.fencing_token == token.0 && !self.fenced {
-            self.note_fenced(now, events);
+            self.mark_fenced(now, events);
         }
         if self.fenced {
             self.reconcile_attempts(now, message.tasks.as_deref().unwrap_or_default(), events);
         }
-        // Until it is fenced, a command of an earlier leader can still change what is on it.
+        // The tasks of a machine that is not fenced are ignored: a command of an earlier leader could still change
+        // them.
     }
 
-    /// Notes that the agent has begun a new epoch.
+    /// Handles the start of a new epoch of the worker agent.
     fn begin_epoch(&mut self, now: Timestamp, events: &mut Vec<MachineEvent>) {
         if self.last_message.epoch.0 > 0 {
-            // The lease expired: the worker has killed and forgotten every task, and no direct
-            // command of the earlier epoch is executed any more.
+            // The worker's lease expired: the worker has killed and forgotten every task, and it executes no direct
+            // commands of earlier epochs.
             self.drop_attempts(events);
         }
-        // The lease of an epoch counts from its beginning. Counting on from the last answer of the
-        // epoch before gave up tasks that still ran, and started them twice.
+        // A new epoch begins with a new lease. When the expiry was still computed from the last response in the
+        // previous epoch, running tasks were considered lost and were started a second time.
         self.lease_renewed_at = now;
     }
 
-    /// Notes that the worker has seen this leader's fencing token.
-    fn note_fenced(&mut self, now: Timestamp, events: &mut Vec<MachineEvent>) {
+    /// Marks the machine as fenced after a message with this leader's fencing token.
+    fn mark_fenced(&mut self, now: Timestamp, events: &mut Vec<MachineEvent>) {
         self.fenced = true;
-        // An earlier leader may have renewed the lease up to now, but no longer.
+        // An earlier leader may have renewed the lease until this moment; from now on only this leader can.
         self.lease_renewed_at = now;
         self.mark_reached(now);
         events.push(MachineEvent::Fenced);
     }
 
-    /// Applies the complete list of tasks on the machine.
+    /// Applies the worker's complete list of task attempts.
     fn reconcile_attempts(&mut self, now: Timestamp, tasks: &[TaskStatus], events: &mut Vec<MachineEvent>) {
         let mut reported = Vec::with_capacity(tasks.len());
         for status in tasks {
@@ -115,16 +117,16 @@
         self.remove_unreported_attempts(&reported, events);
     }
 
-    /// Removes attempts that the worker has reported before and does not report any more. It was told to forget them; an
-    /// assigned one that vanished without that is lost.
+    /// Removes attempts that the worker reported before and does not report any more. Usually it was commanded to
+    /// forget them; an attempt that is still assigned is lost.
     fn remove_unreported_attempts(&mut self, reported: &[AttemptId], events: &mut Vec<MachineEvent>) {
-        let gone: Vec<AttemptId> = self
+        let unreported: Vec<AttemptId> = self
             .attempts
             .iter()
             .filter(|(id, attempt)| attempt.acknowledged && reported.binary_search(id).is_err())
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in unreported {
             if let Some(attempt) = self.attempts.remove(&id)
                 && attempt.assigned
             {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Applies the status of one task.
+    /// Applies the status of one task attempt.
     fn apply_task_status(
         &mut self,
         now: Timestamp,
@@ -150,33 +152,33 @@
         let newly_acknowledged = !std::mem::replace(&mut attempt.acknowledged, true);
         let phase_changed = std::mem::replace(&mut attempt.phase, phase) != phase;
         if newly_acknowledged {
-            // It has received our command.
+            // The worker has received this leader's start command.
             self.mark_reached(now);
         }
         if !phase_changed {
             return;
         }
         match phase {
-            AttemptPhase::AwaitingGang => self.note_image(id, events),
+            AttemptPhase::AwaitingGang => self.mark_image_cached(id, events),
             AttemptPhase::Running => {
-                self.note_image(id, events);
-                self.note_running(now, id, events);
+                self.mark_image_cached(id, events);
+                self.mark_running(now, id, events);
             }
-            AttemptPhase::Exited => self.note_exited(now, id, status.exit_reason, events),
+            AttemptPhase::Exited => self.mark_exited(now, id, status.exit_reason, events),
             AttemptPhase::StartRequested | AttemptPhase::Fetching | AttemptPhase::Checkpointing => {}
         }
     }
 
-    /// Notes that the machine holds the attempt's image.
-    fn note_image(&mut self, id: AttemptId, events: &mut Vec<MachineEvent>) {
+    /// Records that the attempt's image is in the machine's cache.
+    fn mark_image_cached(&mut self, id: AttemptId, events: &mut Vec<MachineEvent>) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         if !attempt.image.is_empty() && self.images.insert(attempt.image.clone()) {
             events.push(MachineEvent::ImageCached(attempt.image.clone()));
         }
     }
 
-    /// Notes that the attempt runs.
-    fn note_running(&mut self, now: Timestamp, id: AttemptId, events: &mut Vec<MachineEvent>) {
+    /// Records that the attempt is running.
+    fn mark_running(&mut self, now: Timestamp, id: AttemptId, events: &mut Vec<MachineEvent>) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.running_since = Some(now);
         if attempt.assigned {
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Notes that the attempt ended.
-    fn note_exited(
+    /// Records the end of the attempt.
+    fn mark_exited(
         &mut self,
         now: Timestamp,
         id: AttemptId,
@@ -203,7 +205,8 @@
         }));
     }
 
-    /// Removes all attempts because they are surely gone: the lease has expired, or the machine is gone.
+    /// Removes all attempts because they cannot exist any more: the worker's lease has expired, or the machine is gone.
+    /// Assigned attempts are reported as lost.
     pub fn drop_attempts(&mut self, events: &mut Vec<MachineEvent>) {
         for (_, attempt) in std::mem::take(&mut self.attempts) {
             if attempt.assigned {
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -26,7 +26,7 @@
     AttemptId { attempt: AttemptNumber(1), task: "job-000001/0".parse().unwrap() }
 }
 
-fn requested_attempt(task: &str, start_uncertainty: StartUncertainty) -> TaskAttempt {
+fn attempt_with_requested_start(task: &str, start_uncertainty: StartUncertainty) -> TaskAttempt {
     TaskAttempt {
         task: task.parse().unwrap(),
         phase: AttemptPhase::StartRequested,
@@ -49,14 +49,14 @@
     }
 }
 
-/// Found by random faults: an epoch that was seen only through direct commands inherited the
-/// lease of the one before.
+/// Guards against considering a lease expired too early: an epoch that the leader knew only from responses to direct
+/// commands inherited the lease of the previous epoch. Found by random faults.
 #[test]
 fn the_lease_of_a_new_epoch_counts_from_its_beginning() {
     let (mut machine, mut events) = (machine(), Vec::new());
     machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), FencingToken(7), &mut events);
     assert_eq!((machine.fenced, machine.lease_renewed_at), (true, Timestamp::from_millis(100)));
-    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::None));
+    machine.attempts.insert(first_attempt(), attempt_with_requested_start("job-000001/0", StartUncertainty::None));
     events.clear();
     machine.apply_message(Timestamp::from_millis(16_500), &heartbeat(2, 1, 7, json!([])), FencingToken(7), &mut events);
     assert_eq!(events, [MachineEvent::AttemptLost("job-000001/0".parse().unwrap())]);
@@ -74,26 +74,33 @@
     assert!(events.is_empty() && machine.attempts.len() == 1);
 }
 
-/// A late copy of a heartbeat shows nothing and counts as no answered one; a heartbeat that was passed
-/// by the answer to a direct command is no copy, since its worker may be waiting for the answer.
+/// A delayed duplicate of a heartbeat is rejected. A heartbeat that was overtaken by the response to a direct command
+/// is accepted, since its worker may be waiting for the heartbeat response.
 #[test]
 fn only_a_newer_heartbeat_counts() {
     let (mut machine, mut events) = (machine(), Vec::new());
     assert!(machine.accept_heartbeat(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), true));
     machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), FencingToken(7), &mut events);
-    machine.apply_message(Timestamp::from_millis(110), &heartbeat(1, 7, 7, json!([])), FencingToken(7), &mut events); // answer to a command
+    machine.apply_message(Timestamp::from_millis(110), &heartbeat(1, 7, 7, json!([])), FencingToken(7), &mut events); // response to a direct command
     assert!(machine.accept_heartbeat(Timestamp::from_millis(120), &heartbeat(1, 6, 7, json!([])), true));
-    assert!(!machine.accept_heartbeat(Timestamp::from_millis(130), &heartbeat(1, 6, 7, json!([])), true), "once more");
-    assert!(!machine.accept_heartbeat(Timestamp::from_millis(140), &heartbeat(1, 4, 7, json!([])), true), "an old one");
+    assert!(
+        !machine.accept_heartbeat(Timestamp::from_millis(130), &heartbeat(1, 6, 7, json!([])), true),
+        "a duplicate"
+    );
+    assert!(
+        !machine.accept_heartbeat(Timestamp::from_millis(140), &heartbeat(1, 4, 7, json!([])), true),
+        "an older heartbeat"
+    );
     machine.apply_message(Timestamp::from_millis(150), &heartbeat(2, 1, 7, json!([])), FencingToken(7), &mut events);
     assert!(
         !machine.accept_heartbeat(Timestamp::from_millis(160), &heartbeat(1, 9, 7, json!([])), true),
-        "of an epoch that is over"
+        "from an earlier epoch"
     );
 }
 
-/// Heartbeats alone do not show that anything of ours arrives: only the next heartbeat after an answered
-/// one, a command that took effect, our token, or the answer to a command do.
+/// Heartbeats alone do not prove that responses and commands reach the machine. Proof is a message with the leader's
+/// token, the next heartbeat after one that was responded to, a command that took effect, or the response to a direct
+/// command.
 #[test]
 fn heartbeats_alone_do_not_prove_that_a_machine_is_reached() {
     let (mut machine, mut events) = (machine(), Vec::new());
@@ -103,17 +110,17 @@
         machine.last_responded_heartbeat = machine.last_heartbeat;
     };
     receive(&mut machine, 100, &heartbeat(1, 5, 7, json!([])));
-    assert_eq!(machine.last_reached_at, Timestamp::from_millis(100), "it has seen our token");
+    assert_eq!(machine.last_reached_at, Timestamp::from_millis(100), "its message contains the leader's token");
     receive(&mut machine, 2100, &heartbeat(1, 6, 7, json!([])));
-    assert_eq!(machine.last_reached_at, Timestamp::from_millis(2100), "it came back with the next one");
+    assert_eq!(machine.last_reached_at, Timestamp::from_millis(2100), "it sent the next heartbeat to the same node");
     machine.record_command_outcome(Timestamp::from_millis(4000), 1, false);
     receive(&mut machine, 12_100, &heartbeat(1, 8, 7, json!([])));
     assert_eq!(
         (machine.last_reached_at, machine.unanswered_commands),
         (Timestamp::from_millis(2100), 1),
-        "it went elsewhere in between"
+        "it sent a heartbeat to another node in between"
     );
-    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::Lost));
+    machine.attempts.insert(first_attempt(), attempt_with_requested_start("job-000001/0", StartUncertainty::Lost));
     receive(&mut machine, 22_100, &heartbeat(1, 10, 7, json!([])));
     assert_eq!(machine.last_reached_at, Timestamp::from_millis(2100), "the command had no effect");
     let fetching = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "fetching"}]);
@@ -126,9 +133,9 @@
 }
 
 #[test]
-fn an_uncertain_start_is_resolved_by_start_and_stop_and_not_forgotten() {
+fn stop_of_an_unacknowledged_start_sends_start_and_stop_and_the_attempt_is_kept() {
     let mut machine = machine();
-    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::Lost));
+    machine.attempts.insert(first_attempt(), attempt_with_requested_start("job-000001/0", StartUncertainty::Lost));
     machine.request_stop(first_attempt(), 0.0);
     let (task, attempt) = ("job-000001/0".to_string(), 1);
     let stop = WorkerCommand::Stop { task: task.clone(), attempt, grace_s: 0.0 };
@@ -136,21 +143,22 @@
         machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO),
         [WorkerCommand::Start { task, attempt }, stop]
     );
-    assert!(machine.direct_commands(9).is_empty(), "only answers to heartbeats are never executed late");
+    assert!(machine.direct_commands(9).is_empty(), "only heartbeat responses are never executed late");
     machine.fenced = true;
     let exited = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "exited", "Cause": "halted"}]);
     machine.apply_message(Timestamp::from_millis(1), &heartbeat(1, 1, 7, exited), FencingToken(7), &mut Vec::new());
     assert!(
         machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(),
-        "a late copy would start it anew"
+        "a delayed duplicate of the start command would start it again"
     );
 }
 
-/// A task that was checkpointing when its job was cancelled got no second stop, and went on for as long as its checkpoint took.
+/// Guards against slow cancellation: a task that was checkpointing when its job was cancelled got no second stop and
+/// occupied its machine until the checkpoint was complete.
 #[test]
 fn a_checkpointing_task_is_ended_by_a_second_stop() {
     let mut machine = machine();
-    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::None));
+    machine.attempts.insert(first_attempt(), attempt_with_requested_start("job-000001/0", StartUncertainty::None));
     machine.fenced = true;
     machine.request_stop(first_attempt(), 10.0);
     let checkpointing = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "flushing"}]);
@@ -160,17 +168,23 @@
         FencingToken(7),
         &mut Vec::new(),
     );
-    assert!(machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(), "it may save");
+    assert!(
+        machine.heartbeat_commands(Timestamp::from_millis(1), Duration::ZERO).is_empty(),
+        "the checkpoint may complete"
+    );
     machine.request_stop(first_attempt(), 0.0);
     let stop = WorkerCommand::Stop { task: "job-000001/0".into(), attempt: 1, grace_s: 0.0 };
     assert_eq!(machine.heartbeat_commands(Timestamp::from_millis(2), Duration::ZERO), [stop]);
 }
 
-/// A copy of an answered command, executed late, started a task anew that had been forgotten.
+/// Guards against a second execution: a delayed duplicate of a start command that had been responded to started a task
+/// again after the worker had forgotten it.
 #[test]
 fn a_directly_started_attempt_is_forgotten_only_when_no_late_copy_can_come() {
     let mut machine = machine();
-    machine.attempts.insert(first_attempt(), requested_attempt("job-000001/0", StartUncertainty::InFlight(3)));
+    machine
+        .attempts
+        .insert(first_attempt(), attempt_with_requested_start("job-000001/0", StartUncertainty::InFlight(3)));
     machine.record_command_outcome(Timestamp::from_millis(10), 3, true);
     machine.fenced = true;
     let exited = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "exited", "Cause": "done"}]);
@@ -181,7 +195,7 @@
 }
 
 #[test]
-fn a_heartbeat_before_fencing_changes_no_attempts() {
+fn heartbeat_before_fencing_does_not_change_attempts() {
     let (mut machine, mut events) = (machine(), Vec::new());
     let running = json!([{"Piece": "job-000001/0", "Try": 1, "Status": "running"}]);
     machine.apply_message(
