--- a/src/leader.rs
+++ b/src/leader.rs
@@ -50,11 +50,11 @@
 /// Direct commands are given up after this time; they may still be executed later.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Executions between two records of what CorrecFAST has learnt.
-const LEARNT_EVERY: u64 = 20;
+const CORRECTION_RECORD_INTERVAL: u64 = 20;
 /// How often machines are looked after.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest time that one tick counts for: a process that stood still has not watched meanwhile.
-const LONGEST_TICK: Duration = Duration::from_millis(200);
+const MAX_TICK_DURATION: Duration = Duration::from_millis(200);
 
 /// The state of a node while it leads. It is made anew at each election, and lasts until the node steps down.
 pub struct Leader {
@@ -73,7 +73,7 @@
     zones: ZoneHealth,
     reachability: WorkerReachability,
     command_dispatch: CommandDispatch,
-    pending: PendingRequests,
+    pending_requests: PendingRequests,
     admission: AdmissionControl,
     admission_status: admission::StatusWriter,
     drain_state: DrainState,
@@ -104,7 +104,7 @@
             zones: ZoneHealth::default(),
             reachability: WorkerReachability::default(),
             command_dispatch: CommandDispatch::default(),
-            pending: PendingRequests::default(),
+            pending_requests: PendingRequests::default(),
             admission: AdmissionControl::new(token, now, settings.admission.clone()),
             admission_status: admission::StatusWriter::default(),
             drain_state: DrainState::new(settings, now),
@@ -178,7 +178,7 @@
 
     /// Refuses the requests that wait for a commit, because this node no longer leads.
     pub fn reject_pending_requests(self, out: &mut Vec<Effect>) {
-        self.pending.refuse_all(out);
+        self.pending_requests.reject_all(out);
     }
 
     /// Lets time pass.
@@ -186,12 +186,12 @@
         let mut events = Vec::new();
         self.log.tick(now, &mut events);
         self.apply_log_events(now, wall, events, out);
-        let passed = now.since(self.last_tick_at).min(LONGEST_TICK);
+        let elapsed = now.since(self.last_tick_at).min(MAX_TICK_DURATION);
         self.last_tick_at = now;
         if !self.is_loaded() {
             return;
         }
-        self.reachability.time_passed(passed);
+        self.reachability.advance(elapsed);
         self.write_snapshot_if_due(now, wall);
         if lease_valid {
             self.tick_cloud(now, wall, out);
@@ -200,8 +200,8 @@
             self.last_health_check_at = now;
             self.check_machine_health(now, lease_valid, out);
         }
-        self.pending.expire(now, out);
-        self.note_fencing_complete(now);
+        self.pending_requests.expire(now, out);
+        self.detect_fencing_completion(now);
         self.schedule_if_due(now, wall, lease_valid, out);
         self.sync_drain_records(now, lease_valid, out);
         self.flush(now, out);
@@ -214,7 +214,7 @@
     }
 
     /// Jobs of earlier leaders may start from the moment at which the last machine is fenced.
-    fn note_fencing_complete(&mut self, now: Timestamp) {
+    fn detect_fencing_completion(&mut self, now: Timestamp) {
         if self.fencing.completion_logged || !self.all_machines_fenced() {
             return;
         }
@@ -233,7 +233,7 @@
                 out.push(Effect::QueryStore(StoreCaller::WriteAheadLog(self.token.0), id, request));
             }
         }
-        self.send_waiting_commands(now, out);
+        self.send_queued_commands(now, out);
     }
 }
 
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -14,9 +14,9 @@
 use std::collections::BTreeMap;
 
 /// Jobs of a class with an objective for finishing may wait for this share of its time; the rest is for running.
-const WAIT_SHARE: f64 = 1.0 / 3.0;
+const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
 /// How long jobs of other classes may wait.
-const DEFAULT_LONGEST_WAIT: Duration = Duration::from_secs(120);
+const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(120);
 /// How often what operators can read is written, while something is refused.
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 /// Bytes of a value that are not the status.
@@ -63,26 +63,26 @@
             let waiting = self.backlog_by_pair(now);
             self.admission.observe_backlog(now, waiting);
         }
-        let made = self.admission.tick(now).is_some();
+        let updated = self.admission.tick(now).is_some();
         for change in self.admission.take_changes() {
             match self.admission.status_of(now, &change.pair).filter(|_| change.refused) {
                 Some(status) => info!("submissions refused {status}"),
                 None => info!("submissions admitted pair={}", change.pair),
             }
         }
-        if made && log::log_enabled!(log::Level::Debug) {
+        if updated && log::log_enabled!(log::Level::Debug) {
             for pair in self.admission.status(now).iter().filter(|pair| pair.refused_since.is_some()) {
                 debug!("admission {pair}");
             }
         }
-        made.then(|| self.admission.table())
+        updated.then(|| self.admission.table())
     }
 
     /// Writes what operators can read, now and then while something is refused and once when that has ended. Nobody waits for it: what is
     /// lost is written again, or is old enough to be told from a refusal that goes on.
     pub(crate) fn write_admission_status(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
-        let nothing_to_tell = !self.admission.is_refusing() && !self.admission_status.refusing;
-        if nothing_to_tell || now.since(self.admission_status.written_at) < STATUS_INTERVAL {
+        let nothing_to_report = !self.admission.is_refusing() && !self.admission_status.refusing;
+        if nothing_to_report || now.since(self.admission_status.written_at) < STATUS_INTERVAL {
             return;
         }
         let status = self.admission.status(now);
@@ -123,7 +123,7 @@
                 continue;
             }
             let (team, class) = (job.spec.team.as_str(), job.spec.class.as_str());
-            let none = || PairBacklog { waiting_tasks: 0, oldest: None, longest_wait: self.longest_wait(class) };
+            let none = || PairBacklog { waiting_tasks: 0, oldest: None, longest_wait: self.max_wait(class) };
             let entry = waiting.entry((team, class)).or_insert_with(none);
             entry.waiting_tasks += u64::from(job.pending.len());
             if job.placements.is_empty() && job.finished.is_empty() {
@@ -133,9 +133,9 @@
         waiting.into_iter().map(|((team, class), backlog)| (Pair::new(team, class), backlog)).collect()
     }
 
-    fn longest_wait(&self, class: &str) -> Duration {
+    fn max_wait(&self, class: &str) -> Duration {
         let of_class = self.settings.deployment.objectives.iter().filter(|o| o.kind == "finished" && o.class == class);
         let longest = of_class.filter_map(|o| o.within_s).reduce(f64::max);
-        longest.map_or(DEFAULT_LONGEST_WAIT, |within| Duration::from_secs_f64(within * WAIT_SHARE))
+        longest.map_or(DEFAULT_MAX_WAIT, |within| Duration::from_secs_f64(within * MAX_WAIT_SHARE))
     }
 }
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -43,7 +43,7 @@
             match event {
                 CloudEvent::Request(id, request) => out.push(Effect::CallCloud(self.token.0, id, request)),
                 CloudEvent::MachineFailed(id) => self.machine_failed(id),
-                CloudEvent::MachinesRented(ids) => self.machines_rented(now, wall, &ids),
+                CloudEvent::MachinesRented(ids) => self.machines_provisioned(now, wall, &ids),
                 CloudEvent::MachinesGone(ids) => self.machines_gone(now, &ids),
             }
         }
@@ -57,10 +57,10 @@
         self.cloud.release(id, DrainReason::CloudFailure);
     }
 
-    fn machines_rented(&mut self, now: Timestamp, wall: WallClock, ids: &[MachineId]) {
+    fn machines_provisioned(&mut self, now: Timestamp, wall: WallClock, ids: &[MachineId]) {
         for id in ids {
             if let Some(instance) = self.cloud.pending_instance(*id) {
-                self.log.append(rental_record(*id, instance, now, wall));
+                self.log.append(provisioning_record(*id, instance, now, wall));
             }
         }
     }
@@ -82,7 +82,12 @@
 }
 
 /// The record that a machine was rented. The address of its worker is learnt from its first heartbeat.
-pub(super) fn rental_record(id: MachineId, instance: &PendingInstance, now: Timestamp, wall: WallClock) -> LogRecord {
+pub(super) fn provisioning_record(
+    id: MachineId,
+    instance: &PendingInstance,
+    now: Timestamp,
+    wall: WallClock,
+) -> LogRecord {
     LogRecord::MachineRented(MachineRecord {
         id,
         endpoint: String::new(),
--- a/src/leader/command_dispatch.rs
+++ b/src/leader/command_dispatch.rs
@@ -16,22 +16,22 @@
 #[derive(Debug, Default)]
 pub(crate) struct CommandDispatch {
     /// Machines to which a command should be sent soon.
-    waiting: BTreeSet<MachineId>,
+    queued: BTreeSet<MachineId>,
     /// Commands that were sent and have neither an answer nor timed out.
     in_flight: usize,
     /// Commands that were sent by this leader; numbers them.
-    issued: u64,
+    last_command_id: u64,
 }
 
 impl CommandDispatch {
     /// Requests that a command is sent to a machine soon.
-    pub(super) fn request(&mut self, id: MachineId) {
-        self.waiting.insert(id);
+    pub(super) fn enqueue(&mut self, id: MachineId) {
+        self.queued.insert(id);
     }
 
     /// Requests that a command is sent to each of these machines soon.
-    pub(super) fn request_all(&mut self, ids: impl IntoIterator<Item = MachineId>) {
-        self.waiting.extend(ids);
+    pub(super) fn enqueue_all(&mut self, ids: impl IntoIterator<Item = MachineId>) {
+        self.queued.extend(ids);
     }
 
     /// How many commands are in flight.
@@ -41,8 +41,8 @@
 
     /// The number of the next command.
     fn next_id(&mut self) -> u64 {
-        self.issued += 1;
-        self.issued
+        self.last_command_id += 1;
+        self.last_command_id
     }
 
     /// Notes that a command was answered or has timed out.
@@ -61,10 +61,10 @@
     }
 
     /// Sends commands to the machines that wait for one, as many as may be in flight.
-    pub(super) fn send_waiting_commands(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+    pub(super) fn send_queued_commands(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let max_commands = self.max_commands_in_flight();
         while self.command_dispatch.in_flight < max_commands
-            && let Some(id) = self.command_dispatch.waiting.pop_first()
+            && let Some(id) = self.command_dispatch.queued.pop_first()
         {
             self.send_direct_command(now, id, false, out);
         }
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -14,7 +14,7 @@
 /// The least time between two probes of a machine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(800);
 /// While machines were fenced within this time, those that are not yet may only be slow, or this process is.
-const FENCING_QUIET_TIME: Duration = Duration::from_secs(1);
+const FENCING_QUIET_PERIOD: Duration = Duration::from_secs(1);
 /// How long the machines of a zone that is out of reach are kept.
 const UNREACHABLE_ZONE_RETENTION: Duration = Duration::from_secs(60);
 
@@ -24,8 +24,8 @@
     lease_valid: bool,
     leader_since: Timestamp,
     last_fenced_at: Timestamp,
-    unreached_after: Duration,
-    release_unreached_after: Duration,
+    unreachable_after: Duration,
+    release_unreachable_after: Duration,
     lease_expired_after: Duration,
     /// Most machines are out of reach at once, and not because of a zone: it is this node that is cut off.
     node_isolated: bool,
@@ -36,8 +36,8 @@
 
 impl HealthCheck<'_> {
     /// Whether nothing of ours has reached the machine for longer than between two heartbeats.
-    fn is_unreached(&self, machine: &Machine) -> bool {
-        self.now.since(machine.last_reached_at) >= self.unreached_after
+    fn is_unreachable(&self, machine: &Machine) -> bool {
+        self.now.since(machine.last_reached_at) >= self.unreachable_after
     }
 
     /// Whether the machine does not answer a new leader while the others of its zone did, so that it alone holds older jobs
@@ -45,7 +45,7 @@
     fn is_fencing_straggler(&self, machine: &Machine) -> bool {
         !machine.fenced
             && !self.mostly_unfenced_zones.contains(&machine.record.zone)
-            && self.now.since(self.last_fenced_at) >= FENCING_QUIET_TIME
+            && self.now.since(self.last_fenced_at) >= FENCING_QUIET_PERIOD
     }
 
     /// Whether nothing in the machine's zone has answered a new leader. Such a zone is out of reach: to ask each of its machines
@@ -86,26 +86,26 @@
         } else if self.node_isolated {
             self.lease_expired_after
         } else {
-            self.release_unreached_after
+            self.release_unreachable_after
         }
     }
 
     /// Why a suspected machine is to be given back, if it is. One that nothing reaches is most likely dead, or its network
     /// is; its services wait for this verdict.
-    fn unreachable_verdict(&self, machine: &Machine) -> Option<DrainReason> {
+    fn unreachable_release_reason(&self, machine: &Machine) -> Option<DrainReason> {
         let timed_out = self.now.since(machine.last_reached_at) >= self.release_timeout(machine);
         let left_unanswered = machine.unanswered_commands >= UNREACHABLE_AFTER_COMMANDS;
         let unanswered = left_unanswered || self.is_in_unresponsive_zone(machine);
         if !timed_out || !unanswered || self.is_retained(machine) {
             return None;
         }
-        let is_silent = !machine.fenced || self.now.since(machine.last_message_at) >= self.unreached_after;
+        let is_silent = !machine.fenced || self.now.since(machine.last_message_at) >= self.unreachable_after;
         Some(if is_silent { DrainReason::Silent } else { DrainReason::Unreachable })
     }
 }
 
 /// Why an empty machine is to be given back, if it is. What is on a machine that is not fenced is not known.
-fn drained_verdict(machine: &Machine) -> Option<DrainReason> {
+fn drained_release_reason(machine: &Machine) -> Option<DrainReason> {
     let is_leaving = machine.draining.is_some() || machine.reclaim_at.is_some();
     let is_empty = is_leaving && machine.fenced && !machine.is_occupied();
     is_empty.then(|| machine.draining.unwrap_or(DrainReason::Reclaimed))
@@ -164,11 +164,11 @@
     fn inspect(&mut self, check: &HealthCheck<'_>, machine: &mut Machine) {
         expire_command(check.now, machine);
         let id = machine.id();
-        let is_unreached = check.is_unreached(machine);
-        if is_unreached || machine.unanswered_commands > 0 {
+        let is_unreachable = check.is_unreachable(machine);
+        if is_unreachable || machine.unanswered_commands > 0 {
             self.probes.add(check.now, machine);
         }
-        if is_unreached || check.is_fencing_straggler(machine) {
+        if is_unreachable || check.is_fencing_straggler(machine) {
             self.suspected.push(id);
             if check.lease_expired(machine) && !machine.attempts.is_empty() {
                 info!("lease expired machine={id}");
@@ -176,9 +176,9 @@
                 machine.drop_attempts(&mut events);
                 self.lost.push((id, events));
             }
-            self.releases.extend(check.unreachable_verdict(machine).map(|reason| (id, reason)));
+            self.releases.extend(check.unreachable_release_reason(machine).map(|reason| (id, reason)));
         }
-        self.releases.extend(drained_verdict(machine).map(|reason| (id, reason)));
+        self.releases.extend(drained_release_reason(machine).map(|reason| (id, reason)));
     }
 }
 
@@ -193,8 +193,8 @@
             lease_valid,
             leader_since: self.leader_since,
             last_fenced_at: self.fencing.last_fenced_at,
-            unreached_after: times.unreached_after(),
-            release_unreached_after: times.release_unreached_after(),
+            unreachable_after: times.unreached_after(),
+            release_unreachable_after: times.release_unreached_after(),
             lease_expired_after: times.lease_expired_after(),
             node_isolated,
             mostly_unfenced_zones: self.mostly_unfenced_zones(),
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -13,20 +13,20 @@
 pub(in crate::leader) struct WorkerReachability {
     /// How long nothing of ours has reached any worker, counted in ticks, so that a process that was suspended
     /// does not take its own absence for silence.
-    pub(super) unreached_for: Duration,
+    pub(super) unreachable_for: Duration,
     /// Whether anything has reached a worker since the election.
     ever_reached: bool,
 }
 
 impl WorkerReachability {
     /// Notes that this much time passed.
-    pub(in crate::leader) fn time_passed(&mut self, passed: Duration) {
-        self.unreached_for = self.unreached_for + passed;
+    pub(in crate::leader) fn advance(&mut self, elapsed: Duration) {
+        self.unreachable_for = self.unreachable_for + elapsed;
     }
 
     /// Notes that something of ours reached a worker.
     fn worker_reached(&mut self) {
-        self.unreached_for = Duration::ZERO;
+        self.unreachable_for = Duration::ZERO;
         self.ever_reached = true;
     }
 }
@@ -47,11 +47,11 @@
         if significant().nth(MIN_SIGNIFICANT_MACHINES - 1).is_none() {
             // Without workers there is no silence: the first ones that came up together ended the leadership of a node that had
             // waited for them.
-            self.reachability.unreached_for = Duration::ZERO;
+            self.reachability.unreachable_for = Duration::ZERO;
             return;
         }
         let times = &self.settings.deployment.workers;
-        if self.reachability.unreached_for < times.silence_timeout(usize::MAX) {
+        if self.reachability.unreachable_for < times.silence_timeout(usize::MAX) {
             // However many workers there are, this is no silence: they need not be counted, twenty times a second.
             return;
         }
@@ -62,7 +62,7 @@
             // Two direct commands to each were not answered.
             TWO_COMMAND_TIMEOUTS + ISOLATION_MARGIN
         };
-        if self.reachability.unreached_for >= timeout {
+        if self.reachability.unreachable_for >= timeout {
             self.step_down_reason = Some(StepDownReason::NoWorkerReachable);
         }
     }
--- a/src/leader/failure_detection/tests.rs
+++ b/src/leader/failure_detection/tests.rs
@@ -23,16 +23,16 @@
 }
 
 #[test]
-fn silence_counts_only_while_there_are_workers() {
+fn isolation_is_detected_only_with_known_workers() {
     let mut leader = new_leader();
-    leader.reachability.unreached_for = Duration::from_secs(25);
+    leader.reachability.unreachable_for = Duration::from_secs(25);
     leader.detect_isolation();
     for id in (1..=4).map(MachineId) {
         leader.machines.insert(id, new_machine(id));
     }
     leader.detect_isolation();
     assert_eq!(leader.step_down_reason(), None, "they have just come up");
-    leader.reachability.unreached_for = Duration::from_millis(3600);
+    leader.reachability.unreachable_for = Duration::from_millis(3600);
     leader.detect_isolation();
     assert_eq!(leader.step_down_reason(), Some(StepDownReason::NoWorkerReachable));
 }
--- a/src/leader/failure_detection/zones.rs
+++ b/src/leader/failure_detection/zones.rs
@@ -19,13 +19,13 @@
     /// When it was detected.
     pub(super) since: Timestamp,
     /// When the zone was last found out of reach.
-    last_seen_at: Timestamp,
+    last_confirmed_at: Timestamp,
 }
 
 impl ZoneOutage {
     /// Whether it is still out of reach.
-    fn lasts(&self, now: Timestamp) -> bool {
-        now.since(self.last_seen_at) < OUTAGE_EXPIRY
+    fn is_ongoing(&self, now: Timestamp) -> bool {
+        now.since(self.last_confirmed_at) < OUTAGE_EXPIRY
     }
 }
 
@@ -46,29 +46,29 @@
 impl ZoneHealth {
     /// The zone's outage that lasts now, if there is one.
     pub(super) fn current_outage(&self, now: Timestamp, zone: &str) -> Option<&ZoneOutage> {
-        self.unreachable.get(zone).filter(|outage| outage.lasts(now))
+        self.unreachable.get(zone).filter(|outage| outage.is_ongoing(now))
     }
 
     /// Ends the outages of zones in which a machine is reached again. A single one is enough: without this nothing was rented
     /// there for 40 s more, and replicas that may run nowhere else waited.
     fn end_outages(&mut self, zones: &HashMap<&str, ZoneReachability>) {
         self.unreachable.retain(|zone, outage| {
-            let is_back = zones
-                .get(zone.as_str())
-                .is_some_and(|reachability| reachability.last_reached_at.since(outage.last_seen_at) > RECOVERY_MARGIN);
+            let is_back = zones.get(zone.as_str()).is_some_and(|reachability| {
+                reachability.last_reached_at.since(outage.last_confirmed_at) > RECOVERY_MARGIN
+            });
             !is_back
         });
     }
 
     /// Whether a zone was found out of reach within this time.
     pub(in crate::leader) fn unreachable_within(&self, now: Timestamp, zone: &str, span: Duration) -> bool {
-        self.unreachable.get(zone).is_some_and(|outage| now.since(outage.last_seen_at) < span)
+        self.unreachable.get(zone).is_some_and(|outage| now.since(outage.last_confirmed_at) < span)
     }
 
     /// Notes that an instance in a zone without machines does not come up, so that the zone counts as out of reach.
     pub(in crate::leader) fn note_late_instance(&mut self, now: Timestamp, zone: &str) {
         let outage = self.unreachable.entry(zone.to_string());
-        outage.or_insert(ZoneOutage { since: now, last_seen_at: now }).last_seen_at = now;
+        outage.or_insert(ZoneOutage { since: now, last_confirmed_at: now }).last_confirmed_at = now;
     }
 
     /// Notes that a zone is out of reach now.
@@ -77,10 +77,10 @@
         if since.is_none() {
             warn!(
                 "zone unreachable zone={zone} machines={} unanswered={}",
-                reachability.machines, reachability.unreached
+                reachability.machines, reachability.unreachable
             );
         }
-        self.unreachable.insert(zone.to_string(), ZoneOutage { since: since.unwrap_or(now), last_seen_at: now });
+        self.unreachable.insert(zone.to_string(), ZoneOutage { since: since.unwrap_or(now), last_confirmed_at: now });
     }
 }
 
@@ -92,7 +92,7 @@
     regular: usize,
     /// Machines that nothing reached for long and that left a command unanswered. After an election workers that wait for a
     /// leader which is suspended send no heartbeats for long, so that their silence alone proves nothing.
-    unreached: usize,
+    unreachable: usize,
     /// When one of the machines was reached last.
     last_reached_at: Timestamp,
 }
@@ -101,7 +101,7 @@
     fn add(&mut self, machine: &Machine, is_overdue: bool) {
         self.machines += 1;
         self.regular += usize::from(machine.heartbeats_regularly);
-        self.unreached += usize::from(is_overdue && machine.unanswered_commands > 0);
+        self.unreachable += usize::from(is_overdue && machine.unanswered_commands > 0);
         self.last_reached_at = self.last_reached_at.max(machine.last_reached_at);
     }
 
@@ -111,8 +111,8 @@
     fn is_unreachable(&self, latest: Timestamp, times: &WorkerTimes) -> bool {
         let all_silent = self.regular >= MIN_SIGNIFICANT_MACHINES
             && latest.since(self.last_reached_at) >= times.silence_timeout(self.regular);
-        let most_unreached = self.unreached >= MIN_SIGNIFICANT_MACHINES && self.unreached * 2 > self.machines;
-        all_silent || most_unreached
+        let most_unreachable = self.unreachable >= MIN_SIGNIFICANT_MACHINES && self.unreachable * 2 > self.machines;
+        all_silent || most_unreachable
     }
 }
 
@@ -121,10 +121,10 @@
     /// cut off.
     pub(super) fn detect_unreachable_zones(&mut self, now: Timestamp) -> bool {
         let times = &self.settings.deployment.workers;
-        let unreached_after = times.unreached_after();
+        let unreachable_after = times.unreached_after();
         let mut zones: HashMap<&str, ZoneReachability> = HashMap::new();
         for machine in self.machines.values().filter(|machine| machine.fenced) {
-            let is_overdue = now.since(machine.last_reached_at) >= unreached_after;
+            let is_overdue = now.since(machine.last_reached_at) >= unreachable_after;
             zones.entry(&machine.record.zone).or_default().add(machine, is_overdue);
         }
         self.zones.end_outages(&zones);
@@ -148,14 +148,14 @@
     /// Zones most of whose machines are not fenced yet.
     pub(crate) fn mostly_unfenced_zones(&self) -> BTreeSet<String> {
         #[derive(Default)]
-        struct Fenced {
+        struct FencingCounts {
             machines: usize,
             unfenced: usize,
         }
         if self.machines.values().all(|machine| machine.fenced) {
             return BTreeSet::new();
         }
-        let mut zones: HashMap<&str, Fenced> = HashMap::new();
+        let mut zones: HashMap<&str, FencingCounts> = HashMap::new();
         for machine in self.machines.values() {
             let zone = zones.entry(&machine.record.zone).or_default();
             zone.machines += 1;
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -23,7 +23,7 @@
     MachineGone,
     /// A late copy.
     #[error("a newer report has come")]
-    Outdated,
+    Stale,
 }
 
 impl From<HeartbeatError> for ApiResponse {
@@ -32,7 +32,7 @@
         match error {
             HeartbeatError::HigherFencingToken | HeartbeatError::MachineGone => ApiResponse::unavailable(&reason),
             HeartbeatError::MalformedMachineName => ApiResponse::field_error(400, &reason, "Host"),
-            HeartbeatError::Outdated => ApiResponse::field_error(409, &reason, "Tally"),
+            HeartbeatError::Stale => ApiResponse::field_error(409, &reason, "Tally"),
         }
     }
 }
@@ -52,16 +52,16 @@
             Ok(id) => id,
             Err(error) => return out.push(Effect::Respond(origin, error.into())),
         };
-        let has_news = self.apply_worker_message(now, id, heartbeat);
+        let state_changed = self.apply_worker_message(now, id, heartbeat);
         self.update_reachability(now, id);
         self.register_machine(lease_valid, id);
-        self.request_fencing_proof(id);
+        self.request_fencing_confirmation(id);
         self.schedule_if_due(now, wall, lease_valid, out);
-        if has_news {
+        if state_changed {
             // What is planned next here goes with the answer.
             self.start_next_tasks(now, id);
         }
-        if let Some(response) = self.answer_heartbeat(now, id, heartbeat) {
+        if let Some(response) = self.build_heartbeat_response(now, id, heartbeat) {
             out.push(Effect::Respond(origin, ApiResponse::json(200, &response)));
         }
         self.flush(now, out);
@@ -84,7 +84,7 @@
         }
         let has_peers = !self.settings.seeds.is_empty();
         let machine = self.discover_machine(now, wall, id, heartbeat);
-        if machine.accept_heartbeat(now, heartbeat, has_peers) { Ok(id) } else { Err(HeartbeatError::Outdated) }
+        if machine.accept_heartbeat(now, heartbeat, has_peers) { Ok(id) } else { Err(HeartbeatError::Stale) }
     }
 
     /// The machine that sends a heartbeat; the first one makes it known.
@@ -119,14 +119,19 @@
 
     /// Asks a machine for its proof that it is fenced by a direct command, unless the answer to its first heartbeat will do: that
     /// tells the worker our fencing token, and it says so at once.
-    fn request_fencing_proof(&mut self, id: MachineId) {
+    fn request_fencing_confirmation(&mut self, id: MachineId) {
         if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_answered()) {
-            self.command_dispatch.request(id);
+            self.command_dispatch.enqueue(id);
         }
     }
 
     /// The answer to a heartbeat, which renews the worker's lease.
-    fn answer_heartbeat(&mut self, now: Timestamp, id: MachineId, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
+    fn build_heartbeat_response(
+        &mut self,
+        now: Timestamp,
+        id: MachineId,
+        heartbeat: &Heartbeat,
+    ) -> Option<HeartbeatResponse> {
         let late_copy_window = self.settings.deployment.workers.late_copy_window();
         let machine = self.machines.get_mut(&id)?;
         let commands = if machine.fenced {
@@ -187,7 +192,7 @@
         self.register_machine(lease_valid, id);
         if answered {
             // More commands may have been requested in the meantime, or it is not fenced yet.
-            self.command_dispatch.request(id);
+            self.command_dispatch.enqueue(id);
         }
         self.schedule_if_due(now, wall, lease_valid, out);
         self.flush(now, out);
@@ -205,10 +210,10 @@
             self.reclaimed_machines.insert(id);
             self.planning.replan_needed = true;
         }
-        let has_news = !events.is_empty();
-        self.planning.replan_needed |= has_news;
+        let state_changed = !events.is_empty();
+        self.planning.replan_needed |= state_changed;
         self.apply_machine_events(now, id, events);
-        has_news
+        state_changed
     }
 
     /// Applies what a worker's message, or the loss of its machine, showed.
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -1,7 +1,7 @@
 //! Records of the write-ahead log: what is read back after an election, and what is told and done once a record is durable.
 
 use super::Leader;
-use super::cloud_events::rental_record;
+use super::cloud_events::provisioning_record;
 use crate::api::ApiResponse;
 use crate::cloud::PendingInstance;
 use crate::effects::{Effect, StoreCaller};
@@ -59,7 +59,7 @@
     pub(super) fn restore_record(&mut self, now: Timestamp, wall: WallClock, record: &LogRecord) {
         match record {
             LogRecord::MachineRegistered(machine) => self.restore_machine(now, wall, machine),
-            LogRecord::MachineRented(machine) => self.restore_rental(now, wall, machine),
+            LogRecord::MachineRented(machine) => self.restore_pending_instance(now, wall, machine),
             LogRecord::ImageCached(id, image) => {
                 if let Some(machine) = self.machines.get_mut(id) {
                     machine.images.insert(image.clone());
@@ -88,7 +88,7 @@
     }
 
     /// Rentals are written later than other records: by now the machine may be known to be up, or gone.
-    fn restore_rental(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
+    fn restore_pending_instance(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
         if self.machines.contains_key(&record.id) || self.cloud.is_gone(record.id) {
             return;
         }
@@ -116,7 +116,7 @@
         for job in jobs {
             self.planning.arrivals.record(job.submitted_at, &job.spec);
         }
-        self.command_dispatch.request_all(self.machines.keys().copied());
+        self.command_dispatch.enqueue_all(self.machines.keys().copied());
         self.planning.changed_machines.extend(self.machines.keys());
         self.flush(now, out);
     }
@@ -131,17 +131,17 @@
     ) {
         self.planning.replan_needed = true;
         match record {
-            LogRecord::MachineRegistered(machine) => self.registration_durable(machine.id),
+            LogRecord::MachineRegistered(machine) => self.handle_durable_registration(machine.id),
             LogRecord::MachineGone(_)
             | LogRecord::MachineRented(_)
             | LogRecord::ImageCached(..)
             | LogRecord::CorrectionLearnt(..) => {}
             job_record => {
                 if let LogRecord::TasksDone(job, tasks) = job_record {
-                    self.finishes_durable(*job, tasks);
+                    self.handle_durable_finishes(*job, tasks);
                 }
                 match self.jobs.apply(job_record, now, wall) {
-                    ApplyOutcome::JobAccepted(id) => self.acceptance_durable(now, id, out),
+                    ApplyOutcome::JobAccepted(id) => self.handle_durable_acceptance(now, id, out),
                     ApplyOutcome::JobEnded(id, placements) => self.job_ended(now, id, &placements, out),
                     ApplyOutcome::Unchanged => {}
                 }
@@ -149,25 +149,25 @@
         }
     }
 
-    fn registration_durable(&mut self, id: MachineId) {
+    fn handle_durable_registration(&mut self, id: MachineId) {
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.registration = Registration::Durable;
             self.planning.changed_machines.insert(id);
         }
     }
 
-    fn finishes_durable(&mut self, job: JobId, tasks: &TaskIndexSet) {
+    fn handle_durable_finishes(&mut self, job: JobId, tasks: &TaskIndexSet) {
         for index in tasks.iter() {
-            self.allow_forgetting(TaskId { job, index });
+            self.confirm_finish(TaskId { job, index });
         }
     }
 
-    fn acceptance_durable(&mut self, now: Timestamp, id: JobId, out: &mut Vec<Effect>) {
+    fn handle_durable_acceptance(&mut self, now: Timestamp, id: JobId, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(id) else { return };
         self.planning.arrivals.record(now, &job.spec);
         self.admission.accepted(now, id);
         debug!("job accepted job={id} class={} tasks={}", job.spec.class, job.spec.task_count);
-        for origin in self.pending.take_submissions(id) {
+        for origin in self.pending_requests.take_submissions(id) {
             out.push(Effect::Respond(origin, ApiResponse::accepted(id)));
         }
     }
@@ -182,10 +182,10 @@
         }
         let tasks: Vec<TaskId> = self.unconfirmed_finishes.keys().filter(|task| task.job == id).copied().collect();
         for task in tasks {
-            self.allow_forgetting(task);
+            self.confirm_finish(task);
         }
         let response = self.job_status(true, &id.to_string());
-        for origin in self.pending.take_cancellations(id) {
+        for origin in self.pending_requests.take_cancellations(id) {
             out.push(Effect::Respond(origin, response.clone()));
         }
         self.flush(now, out);
@@ -209,7 +209,7 @@
             let cached = |image: &String| LogRecord::ImageCached(machine.id(), image.clone());
             records.extend(machine.images.iter().map(cached));
         }
-        records.extend(self.cloud.pending().map(|(id, instance)| rental_record(*id, instance, now, wall)));
+        records.extend(self.cloud.pending().map(|(id, instance)| provisioning_record(*id, instance, now, wall)));
         let correction = &self.planning.correction;
         records.push(LogRecord::CorrectionLearnt(correction.percent, correction.executions));
         records.extend(self.jobs.snapshot_records());
--- a/src/leader/pending_requests.rs
+++ b/src/leader/pending_requests.rs
@@ -50,9 +50,9 @@
     }
 
     /// Refuses all, because this node no longer leads.
-    pub(super) fn refuse_all(self, out: &mut Vec<Effect>) {
+    pub(super) fn reject_all(self, out: &mut Vec<Effect>) {
         let waiting = self.submissions.into_values().chain(self.cancellations.into_values()).flatten();
-        out.extend(waiting.map(|request| refusal(request.origin, "the leader has changed")));
+        out.extend(waiting.map(|request| rejection(request.origin, "the leader has changed")));
     }
 }
 
@@ -67,13 +67,13 @@
 
 fn expire(requests: &mut HashMap<JobId, Vec<PendingRequest>>, now: Timestamp, out: &mut Vec<Effect>) {
     for waiting in requests.values_mut() {
-        let late = waiting.iter().filter(|request| request.deadline <= now);
-        out.extend(late.map(|request| refusal(request.origin, "the state service does not answer")));
+        let expired = waiting.iter().filter(|request| request.deadline <= now);
+        out.extend(expired.map(|request| rejection(request.origin, "the state service does not answer")));
         waiting.retain(|request| request.deadline > now);
     }
     requests.retain(|_, waiting| !waiting.is_empty());
 }
 
-fn refusal(origin: RequestOrigin, reason: &str) -> Effect {
+fn rejection(origin: RequestOrigin, reason: &str) -> Effect {
     Effect::Respond(origin, ApiResponse::unavailable(reason))
 }
--- a/src/leader/scheduling/preemption.rs
+++ b/src/leader/scheduling/preemption.rs
@@ -154,7 +154,7 @@
     /// Requests that an attempt stops, with so much time for saving, and sees to it that the machine is told.
     pub(crate) fn stop_attempt(&mut self, machine: MachineId, attempt: AttemptId, grace_s: f64) {
         if self.machines.get_mut(&machine).is_some_and(|machine| machine.request_stop(attempt, grace_s)) {
-            self.command_dispatch.request(machine);
+            self.command_dispatch.enqueue(machine);
             self.planning.changed_machines.insert(machine);
         }
     }
--- a/src/leader/scheduling/starts.rs
+++ b/src/leader/scheduling/starts.rs
@@ -183,7 +183,7 @@
             },
         );
         self.planning.plans.set_free(id, machine.free_resources());
-        self.command_dispatch.request(id);
+        self.command_dispatch.enqueue(id);
         self.planning.changed_machines.insert(id);
         self.planning.replan_needed = true;
     }
--- a/src/leader/tasks.rs
+++ b/src/leader/tasks.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether this leader, not an earlier one, started the attempt.
-    fn has_started(&self, attempt: AttemptNumber) -> bool {
+    fn started_by_this_leader(&self, attempt: AttemptNumber) -> bool {
         attempt.0 >> ATTEMPT_COUNTER_BITS == self.token.0
     }
 
--- a/src/leader/tasks/adoption.rs
+++ b/src/leader/tasks/adoption.rs
@@ -20,7 +20,7 @@
         let Some(machine) = self.machines.get_mut(&machine_id) else { return };
         let Some(attempt) = machine.attempts.get_mut(&id) else { return };
         let Some(job) = self.jobs.get_mut(id.task.job) else { return };
-        describe(attempt, job);
+        fill_in_job_details(attempt, job);
         let adoption = job.gang.as_mut().map(|gang| gang.adopt(now, id.attempt, machine_id, has_ended));
         let is_adoptable = match adoption {
             // A task of no gang that has ended is adopted as well: its end counts for its job.
@@ -53,7 +53,7 @@
 }
 
 /// Fills in what a worker does not report of an attempt.
-fn describe(attempt: &mut TaskAttempt, job: &Job) {
+fn fill_in_job_details(attempt: &mut TaskAttempt, job: &Job) {
     attempt.resources = job.spec.resources;
     attempt.priority = job.spec.priority;
     attempt.image.clone_from(&job.spec.image);
--- a/src/leader/tasks/exits.rs
+++ b/src/leader/tasks/exits.rs
@@ -1,7 +1,7 @@
 //! Attempts that ended: finished, failed, refused or stopped.
 
 use crate::jobs::Job;
-use crate::leader::{LEARNT_EVERY, Leader};
+use crate::leader::{CORRECTION_RECORD_INTERVAL, Leader};
 use crate::types::{AttemptId, Duration, MachineId, TaskId, Timestamp};
 use crate::wire::ExitReason;
 use crate::workers::{AttemptExit, DrainReason};
@@ -31,7 +31,7 @@
 
 impl Leader {
     /// Allows a worker to forget a finished attempt, because the finish is durable or its job has ended.
-    pub(in crate::leader) fn allow_forgetting(&mut self, task: TaskId) {
+    pub(in crate::leader) fn confirm_finish(&mut self, task: TaskId) {
         let Some(finish) = self.unconfirmed_finishes.remove(&task) else { return };
         let Some(machine) = self.machines.get_mut(&finish.machine) else { return };
         if let Some(attempt) = machine.attempts.get_mut(&finish.attempt) {
@@ -93,7 +93,7 @@
             self.log.append_task_done(TaskId { job: task.job, index });
         }
         if was_assigned
-            && self.has_started(exit.id.attempt)
+            && self.started_by_this_leader(exit.id.attempt)
             && let Some(predicted) = exit.predicted_duration
         {
             self.learn_correction(duration, predicted);
@@ -104,7 +104,7 @@
     fn learn_correction(&mut self, actual: Duration, predicted: Duration) {
         let correction = &mut self.planning.correction;
         correction.learn(actual, predicted);
-        if correction.executions.is_multiple_of(LEARNT_EVERY) {
+        if correction.executions.is_multiple_of(CORRECTION_RECORD_INTERVAL) {
             self.log.append(LogRecord::CorrectionLearnt(correction.percent, correction.executions));
         }
     }
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -5,18 +5,18 @@
 /// Facts that nobody waits for are written later than others: a rental that is read back after the machine was
 /// enrolled, or given back, is no machine on its way.
 #[test]
-fn a_rental_that_is_read_late_changes_nothing() {
-    let mut term = Leader::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
-    let (kind, zone, endpoint) = ("big".to_string(), "a".to_string(), String::new());
+fn late_provisioning_records_restore_no_pending_instances() {
+    let mut leader = Leader::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
+    let (machine_type, zone, endpoint) = ("big".to_string(), "a".to_string(), String::new());
     let machine = |n| MachineRecord {
         id: MachineId(n),
         endpoint: endpoint.clone(),
-        machine_type: kind.clone(),
+        machine_type: machine_type.clone(),
         zone: zone.clone(),
         spot: false,
         rented_at: WallClock::default(),
     };
-    let facts = [
+    let records = [
         LogRecord::MachineRegistered(machine(1)),
         LogRecord::MachineRegistered(machine(2)),
         LogRecord::MachineGone(MachineId(2)),
@@ -24,10 +24,10 @@
         LogRecord::MachineRented(machine(2)),
         LogRecord::MachineRented(machine(3)),
     ];
-    for fact in &facts {
-        term.restore_record(Timestamp::START, WallClock::default(), fact);
+    for record in &records {
+        leader.restore_record(Timestamp::START, WallClock::default(), record);
     }
-    let booting: Vec<MachineId> = term.cloud.pending().map(|(id, _)| *id).collect();
+    let booting: Vec<MachineId> = leader.cloud.pending().map(|(id, _)| *id).collect();
     assert_eq!(booting, [MachineId(3)]);
-    assert_eq!(term.machines.keys().collect::<Vec<_>>(), [&MachineId(1)]);
+    assert_eq!(leader.machines.keys().collect::<Vec<_>>(), [&MachineId(1)]);
 }
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -59,18 +59,18 @@
         }
         let spec = match parsed {
             Ok(spec) => spec,
-            Err(refusal) => return Some(refused(&refusal)),
+            Err(refusal) => return Some(refusal_response(&refusal)),
         };
         if !lease_valid {
             return Some(ApiResponse::unavailable(LEASE_IN_DOUBT));
         }
         if self.jobs.get(spec.id).is_some() {
-            self.pending.add_submission(now, spec.id, origin);
+            self.pending_requests.add_submission(now, spec.id, origin);
             return None;
         }
         match self.admit(now, spec) {
             Ok(spec) => {
-                self.pending.add_submission(now, spec.id, origin);
+                self.pending_requests.add_submission(now, spec.id, origin);
                 self.log.append(LogRecord::JobAccepted(spec.clone()));
                 self.jobs.insert(spec, now, true);
                 None
@@ -89,17 +89,17 @@
         let teams = &self.settings.deployment.teams;
         let gangs_supported = self.format.has_gangs();
         jobs::check_feasible(&spec, teams, self.cloud.machine_types(), gangs_supported)
-            .map_err(|refusal| refused(&refusal))?;
+            .map_err(|refusal| refusal_response(&refusal))?;
         self.drop_unknown_machine_types(&mut spec);
         if !self.log.fits_in_value(&LogRecord::JobAccepted(spec.clone())) {
             let problem = "the job's names are too long to be kept";
-            return Err(refused(&Refusal::Malformed { field: submission_field::IMAGE, problem }));
+            return Err(refusal_response(&Refusal::Malformed { field: submission_field::IMAGE, problem }));
         }
         let submission = Submission { job: spec.id, team: &spec.team, class: &spec.class };
         if let Decision::Refuse { retry_after_s } = self.admission.decide(now, &submission, spec.task_count) {
             return Err(ApiResponse::too_many_submissions(retry_after_s));
         }
-        if self.is_full() {
+        if self.at_capacity() {
             // Answered at once: the user is told when to come back.
             return Err(ApiResponse::unavailable_for("too many jobs are open", OPEN_JOBS_RETRY_AFTER_S));
         }
@@ -116,7 +116,7 @@
     }
 
     /// Whether no more jobs are taken for now: memory or the log's backlog is used up.
-    fn is_full(&self) -> bool {
+    fn at_capacity(&self) -> bool {
         let open_jobs_limit = self.settings.deployment.resources.open_jobs();
         let backlog_limit = LOG_BACKLOG_LIMIT + self.machines.len();
         self.jobs.open_count() >= open_jobs_limit || self.log.backlog() >= backlog_limit
@@ -164,7 +164,7 @@
             // A machine that has not seen this token may start its tasks by an earlier leader's command.
             return Some(ApiResponse::unavailable("not all machines are fenced yet"));
         }
-        self.pending.add_cancellation(now, id, origin);
+        self.pending_requests.add_cancellation(now, id, origin);
         self.begin_cancellation(id);
         None
     }
@@ -190,7 +190,7 @@
     }
 }
 
-fn refused(refusal: &Refusal) -> ApiResponse {
+fn refusal_response(refusal: &Refusal) -> ApiResponse {
     match refusal {
         Refusal::Malformed { field, problem } => ApiResponse::field_error(400, problem, field),
         Refusal::Infeasible(reason) => ApiResponse::error(422, reason),
