--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -43,8 +43,8 @@
             match event {
                 CloudEvent::Request(id, request) => out.push(Effect::CallCloud(self.token.0, id, request)),
                 CloudEvent::MachineFailed(id) => self.machine_failed(id),
-                CloudEvent::MachinesRented(ids) => self.machines_provisioned(now, wall, &ids),
-                CloudEvent::MachinesGone(ids) => self.machines_gone(now, &ids),
+                CloudEvent::MachinesProvisioned(ids) => self.machines_provisioned(now, wall, &ids),
+                CloudEvent::MachinesReleased(ids) => self.machines_gone(now, &ids),
             }
         }
     }
@@ -88,12 +88,12 @@
     now: Timestamp,
     wall: WallClock,
 ) -> LogRecord {
-    LogRecord::MachineRented(MachineRecord {
+    LogRecord::MachineProvisioned(MachineRecord {
         id,
         endpoint: String::new(),
         machine_type: instance.machine_type.clone(),
         zone: instance.zone.clone(),
         spot: instance.spot,
-        rented_at: wall.at_timestamp(now, instance.requested_at),
+        provisioned_at: wall.at_timestamp(now, instance.requested_at),
     })
 }
--- a/src/leader/drains/fleet_view.rs
+++ b/src/leader/drains/fleet_view.rs
@@ -27,7 +27,7 @@
 impl<'a> FleetView<'a> {
     /// What a leader knows now.
     pub(super) fn new(leader: &'a Leader, now: Timestamp, wall: WallClock) -> FleetView<'a> {
-        FleetView { leader, now, wall, overdue: leader.settings.deployment.workers.overdue() }
+        FleetView { leader, now, wall, overdue: leader.settings.deployment.workers.heartbeat_overdue_after() }
     }
 
     fn is_reachable(&self, machine: &Machine) -> bool {
@@ -186,7 +186,7 @@
         let on_machine = machine.attempts.iter().filter(|(_, task)| task.assigned && task.occupies_resources());
         Some(MachineView {
             pool: pool_of(&machine.record),
-            rented_at: machine.record.rented_at,
+            rented_at: machine.record.provisioned_at,
             reachable: self.is_reachable(machine),
             // A quarantined one keeps the services that run on it, so it does not leave by itself.
             leaving: self.leader.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
@@ -230,7 +230,7 @@
         let is_fresh = |machine: &&Machine| {
             let record = &machine.record;
             is_in_pool(&pool, &record.machine_type, &record.zone, record.spot)
-                && record.rented_at >= since
+                && record.provisioned_at >= since
                 && !excluded.contains(&machine.id())
                 && machine.draining.is_none()
                 && machine.reclaim_at.is_none()
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -79,7 +79,7 @@
             return Err(HeartbeatError::HigherFencingToken);
         }
         let id: MachineId = heartbeat.machine.parse().map_err(|_| HeartbeatError::MalformedMachineName)?;
-        if self.cloud.is_gone(id) {
+        if self.cloud.is_released(id) {
             return Err(HeartbeatError::MachineGone);
         }
         let has_peers = !self.settings.seeds.is_empty();
@@ -106,13 +106,13 @@
                 machine_type: heartbeat.machine_type.clone(),
                 zone: heartbeat.zone.clone(),
                 spot: heartbeat.spot,
-                rented_at: wall,
+                provisioned_at: wall,
             };
             Machine::new(record, Resources::default(), Registration::NotRequested, now)
         });
-        if let Some(rented_at) = self.cloud.instance_up(id) {
+        if let Some(rented_at) = self.cloud.instance_discovered(id) {
             machine.known_since = rented_at;
-            machine.record.rented_at = wall.at_timestamp(now, rented_at);
+            machine.record.provisioned_at = wall.at_timestamp(now, rented_at);
         }
         machine
     }
@@ -120,7 +120,7 @@
     /// Asks a machine for its proof that it is fenced by a direct command, unless the answer to its first heartbeat will do: that
     /// tells the worker our fencing token, and it says so at once.
     fn request_fencing_confirmation(&mut self, id: MachineId) {
-        if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_answered()) {
+        if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_sent_response()) {
             self.command_dispatch.enqueue(id);
         }
     }
@@ -132,17 +132,17 @@
         id: MachineId,
         heartbeat: &Heartbeat,
     ) -> Option<HeartbeatResponse> {
-        let late_copy_window = self.settings.deployment.workers.late_copy_window();
+        let duplicate_delay_limit = self.settings.deployment.workers.duplicate_delay_limit();
         let machine = self.machines.get_mut(&id)?;
         let commands = if machine.fenced {
-            machine.heartbeat_commands(now, late_copy_window)
+            machine.heartbeat_commands(now, duplicate_delay_limit)
         } else {
             // The answer renews the lease, whatever runs there. What is cancelled must not run on by that: each new
             // leader of a chain renewed it once, and the machine was out of reach before the next heartbeat.
             workers::stop_ended_jobs(heartbeat, &|job| self.jobs.terminal_state(job).is_some())
         };
-        machine.last_answer_at = now;
-        machine.last_answered_heartbeat = machine.last_heartbeat;
+        machine.lease_renewed_at = now;
+        machine.last_responded_heartbeat = machine.last_heartbeat;
         Some(HeartbeatResponse { fencing_token: self.token.0, commands })
     }
 
@@ -176,7 +176,7 @@
         let answered = matches!(reply.status, 200 | 409);
         self.command_dispatch.command_finished();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.command_finished(now, command, answered);
+            machine.record_command_outcome(now, command, answered);
             self.planning.changed_machines.insert(id);
         }
         if answered && let Some(message) = reply.parse::<Heartbeat>() {
@@ -225,7 +225,7 @@
                     self.fencing.machine_fenced(now, id);
                 }
                 MachineEvent::ImageCached(image) => self.log.append(LogRecord::ImageCached(id, image)),
-                MachineEvent::AttemptFound { id: attempt, has_ended } => {
+                MachineEvent::AttemptDiscovered { id: attempt, has_ended } => {
                     self.adopt_attempt(now, id, attempt, has_ended)
                 }
                 MachineEvent::AttemptRunning(attempt) => self.attempt_running(now, attempt),
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -52,19 +52,19 @@
             return false;
         }
         let view = self.planning_view();
-        self.planning.plans.planned_machines(job.spec.id).into_iter().all(|planned| {
+        self.planning.plans.planned_tasks(job.spec.id).into_iter().all(|planned| {
             let Some(machine) = self.machines.get(&planned.machine).filter(|machine| machine.accepts_tasks()) else {
                 return false;
             };
             view.allows_machine(job, planned.machine)
                 && !machine.holds_job(job.spec.id)
-                && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(planned.count)
+                && job.spec.resources.count_fitting(&machine.free_resources()) >= u64::from(planned.count)
         })
     }
 
     /// Starts all tasks of a gang where they are planned, under one attempt.
     pub(super) fn start_gang(&mut self, now: Timestamp, id: JobId, usage: &mut TeamUsage) {
-        let planned = self.planning.plans.planned_machines(id);
+        let planned = self.planning.plans.planned_tasks(id);
         let Some(job) = self.jobs.get(id) else { return };
         let predicted_duration = self.predicted_gang_duration(job, &planned);
         self.log_gang_start(job, now, &planned);
@@ -132,7 +132,7 @@
         }
         let mut new_trials = Vec::new();
         let mut preemptions = Vec::new();
-        for PlannedTasks { machine: id, count } in self.planning.plans.planned_machines(preempting_job) {
+        for PlannedTasks { machine: id, count } in self.planning.plans.planned_tasks(preempting_job) {
             let machine = self.machines.get(&id).filter(|machine| machine.accepts_tasks())?;
             let ahead = trials.get(&id).cloned();
             let mut trial =
@@ -148,7 +148,7 @@
 
     /// Does for each gang what its state asks for.
     pub(super) fn update_gangs(&mut self, now: Timestamp) {
-        let wait_limit = self.settings.deployment.workers.gang_wait().mul_f64(GANG_WAIT_SHARE);
+        let wait_limit = self.settings.deployment.workers.gang_wait_timeout().mul_f64(GANG_WAIT_SHARE);
         let actions: Vec<(JobId, GangAction)> = self
             .jobs
             .gangs()
@@ -219,7 +219,7 @@
 
     /// The best machine that can start a lost task now: one that has the image, then the fullest one.
     fn replacement_machine(&self, job: &Job, task: TaskId, now: Timestamp) -> Option<MachineId> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let can_start = |machine: &&Machine| {
             machine.accepts_tasks()
                 && machine.reached_within(now, overdue)
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -14,15 +14,15 @@
         machine_type: machine_type.clone(),
         zone: zone.clone(),
         spot: false,
-        rented_at: WallClock::default(),
+        provisioned_at: WallClock::default(),
     };
     let records = [
         LogRecord::MachineRegistered(machine(1)),
         LogRecord::MachineRegistered(machine(2)),
         LogRecord::MachineGone(MachineId(2)),
-        LogRecord::MachineRented(machine(1)),
-        LogRecord::MachineRented(machine(2)),
-        LogRecord::MachineRented(machine(3)),
+        LogRecord::MachineProvisioned(machine(1)),
+        LogRecord::MachineProvisioned(machine(2)),
+        LogRecord::MachineProvisioned(machine(3)),
     ];
     for record in &records {
         leader.restore_record(Timestamp::START, WallClock::default(), record);
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use crate::api::{ApiResponse, UserRequest};
 use crate::effects::{Effect, RequestOrigin};
-use crate::jobs::{self, JobSpec, Refusal};
+use crate::jobs::{self, JobSpec, SubmissionError};
 use crate::types::{JobId, Timestamp, WallClock};
 use crate::wire::submission_field;
 use crate::write_ahead_log::LogRecord;
@@ -93,7 +93,7 @@
         self.drop_unknown_machine_types(&mut spec);
         if !self.log.fits_in_value(&LogRecord::JobAccepted(spec.clone())) {
             let problem = "the job's names are too long to be kept";
-            return Err(refusal_response(&Refusal::Malformed { field: submission_field::IMAGE, problem }));
+            return Err(refusal_response(&SubmissionError::Malformed { field: submission_field::IMAGE, problem }));
         }
         let submission = Submission { job: spec.id, team: &spec.team, class: &spec.class };
         if let Decision::Refuse { retry_after_s } = self.admission.decide(now, &submission, spec.task_count) {
@@ -117,7 +117,7 @@
 
     /// Whether no more jobs are taken for now: memory or the log's backlog is used up.
     fn at_capacity(&self) -> bool {
-        let open_jobs_limit = self.settings.deployment.resources.open_jobs();
+        let open_jobs_limit = self.settings.deployment.resources.max_open_jobs();
         let backlog_limit = LOG_BACKLOG_LIMIT + self.machines.len();
         self.jobs.open_count() >= open_jobs_limit || self.log.backlog() >= backlog_limit
     }
@@ -190,10 +190,10 @@
     }
 }
 
-fn refusal_response(refusal: &Refusal) -> ApiResponse {
+fn refusal_response(refusal: &SubmissionError) -> ApiResponse {
     match refusal {
-        Refusal::Malformed { field, problem } => ApiResponse::field_error(400, problem, field),
-        Refusal::Infeasible(reason) => ApiResponse::error(422, reason),
-        Refusal::NotYet { reason, retry_after } => ApiResponse::unavailable_for(reason, *retry_after),
+        SubmissionError::Malformed { field, problem } => ApiResponse::field_error(400, problem, field),
+        SubmissionError::Infeasible(reason) => ApiResponse::error(422, reason),
+        SubmissionError::Unavailable { reason, retry_after } => ApiResponse::unavailable_for(reason, *retry_after),
     }
 }
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -111,7 +111,7 @@
         misses_deadline,
         fallbacked: if misses_deadline { 0 } else { outcome.fallbacked },
         finish: in_granules(outcome.finish),
-        tasks_without_room: u64::from(unplaced).saturating_sub(task.resources.copies_in(&machine.free)),
+        tasks_without_room: u64::from(unplaced).saturating_sub(task.resources.count_fitting(&machine.free)),
         bias: machine.bias.for_other_tasks,
     };
     Some(RatedSlot { rating, machine: machine.id, finish: outcome.finish })
@@ -181,7 +181,7 @@
     /// When all planned tasks of a job are predicted to have room at once; `None` if some never have.
     pub fn common_start(&self, job: JobId, now: Timestamp) -> Option<Timestamp> {
         let mut latest = now;
-        for PlannedTasks { machine, .. } in self.planned_machines(job) {
+        for PlannedTasks { machine, .. } in self.planned_tasks(job) {
             let starts = self.predicted_starts(machine, now).into_iter();
             for predicted in starts.filter(|predicted| predicted.task.job == job) {
                 latest = latest.max(predicted.start?);
