--- a/src/leader.rs
+++ b/src/leader.rs
@@ -1,17 +1,17 @@
-//! The state of a node while it leads, put together from the parts that own it.
+//! The state of a node while it leads, composed of the parts that own it.
 //!
 //! | part | owns |
 //! | --- | --- |
-//! | [`WriteAheadLog`] | what is durable, and what is on its way to be |
+//! | [`WriteAheadLog`] | durable log records, and records whose commit is in flight |
 //! | [`JobStore`] | all jobs |
-//! | [`Machine`]s | what is known of each machine and the attempts on it |
-//! | [`CloudInstances`] | machines that were rented, are being released or are gone |
+//! | [`Machine`]s | the known state of each machine and the task attempts on it |
+//! | [`CloudInstances`] | instances that are pending, being released or released |
 //! | `Planning` | the plans of all machines |
-//! | `Fencing` | machines of earlier leaders that may still obey them |
-//! | `ZoneHealth`, `WorkerReachability` | zones and workers out of reach |
+//! | `Fencing` | machines of earlier leaders that may still execute those leaders' commands |
+//! | `ZoneHealth`, `WorkerReachability` | unreachable zones; whether this node reaches any worker |
 //! | `CommandDispatch` | direct commands to workers |
-//! | `PendingRequests` | users who wait for a commit |
-//! | [`AdmissionControl`], `DrainState` | overload admission, drains |
+//! | `PendingRequests` | users' requests whose response waits for a commit |
+//! | [`AdmissionControl`], `DrainState` | admission control under overload; drains |
 
 mod admission;
 mod cloud_events;
@@ -47,20 +47,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tasks::UnconfirmedFinish;
 
-/// Direct commands are given up after this time; they may still be executed later.
+/// Time after which a direct command without a response is given up. The worker may still execute it later.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Executions between two records of what CorrecFAST has learnt.
+/// Number of task executions between two log records of the run-time correction (CorrecFAST).
 const CORRECTION_RECORD_INTERVAL: u64 = 20;
-/// How often machines are looked after.
+/// Interval between two health checks of all machines.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest time that one tick counts for: a process that stood still has not watched meanwhile.
+/// Maximum time that one tick adds to the period without contact to any worker: a process that was suspended has not
+/// observed its workers in the meantime.
 const MAX_TICK_DURATION: Duration = Duration::from_millis(200);
 
-/// The state of a node while it leads. It is made anew at each election, and lasts until the node steps down.
+/// The state of a node while it leads. It is created at each election and dropped when the node steps down.
 pub struct Leader {
     settings: Settings,
     token: FencingToken,
-    /// What may be written: gangs are taken only under a format that has them.
+    /// Format of the data that this leader may write. Gangs are accepted only under a format that supports them.
     format: Format,
     /// When this node was elected.
     leader_since: Timestamp,
@@ -77,11 +78,11 @@
     admission: AdmissionControl,
     admission_status: admission::StatusWriter,
     drain_state: DrainState,
-    /// Machines that the cloud takes back.
+    /// Machines that the cloud is about to reclaim: their interruption notices have arrived.
     reclaimed_machines: BTreeSet<MachineId>,
-    /// Finished attempts that workers may forget once their finish is durable.
+    /// Finished attempts whose finish is not durable yet. Their workers may discard them once it is.
     unconfirmed_finishes: HashMap<TaskId, UnconfirmedFinish>,
-    /// Attempts that this leader has numbered.
+    /// Number of attempt numbers that this leader has allocated.
     attempt_counter: u64,
     last_health_check_at: Timestamp,
     last_tick_at: Timestamp,
@@ -89,7 +90,7 @@
 }
 
 impl Leader {
-    /// The state of a node that was elected just now; it knows nothing yet.
+    /// The state of a newly elected node, which has not loaded any log record yet.
     pub fn new(token: FencingToken, format: Format, now: Timestamp, settings: &Settings) -> Leader {
         Leader {
             token,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Begins to read back what is durable, and asks the cloud for its machine types.
+    /// Starts loading the durable log records, and requests the list of machine types from the cloud.
     pub fn start(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.log.start(now, &mut events);
@@ -126,62 +127,66 @@
         self.tick_cloud(now, wall, out);
     }
 
-    /// The fencing token of this leader.
+    /// The fencing token under which this node was elected.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// What may be written.
+    /// The format of the data that this leader may write.
     pub(crate) fn format(&self) -> Format {
         self.format
     }
 
-    /// Whether everything durable was read back.
+    /// Whether all durable log records have been loaded.
     pub fn is_loaded(&self) -> bool {
         self.log.is_loaded()
     }
 
-    /// Why this node must step down, if it must.
+    /// Why this node must step down; `None` while it may continue to lead.
     pub fn step_down_reason(&self) -> Option<StepDownReason> {
         self.step_down_reason
     }
 
-    /// Whether every machine of earlier leaders was fenced or is gone, so that older jobs may start.
+    /// Whether every machine that an earlier leader registered is fenced or gone, so that jobs which earlier leaders
+    /// accepted may be started.
     pub fn all_machines_fenced(&self) -> bool {
         self.fencing.unfenced.is_empty()
     }
 
-    /// All jobs.
+    /// All jobs that this leader knows: open jobs, and the terminal states of ended ones.
     pub fn jobs(&self) -> &JobStore {
         &self.jobs
     }
 
-    /// All machines.
+    /// All machines that have sent a heartbeat to this leader or are registered in the log.
     pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines.values()
     }
 
-    /// How long inputs wait for this node: planning does less when they wait long.
+    /// Sets how long inputs are queued until this node processes them. The longer the delay, the less often this leader
+    /// plans.
     pub(crate) fn set_input_delay(&mut self, delay: Duration) {
         self.planning.pacing.input_delay = delay;
     }
 
-    /// The last input was slow.
+    /// Records how long a slow input took. Planning rounds are the only slow inputs, so the next round is deferred
+    /// accordingly.
     pub(crate) fn note_slow_input(&mut self, took: Duration) {
         self.planning.pacing.note_slow_input(took);
     }
 
-    /// The zones of the nodes that led not long ago.
+    /// Sets the zones of the nodes that led recently.
     pub(crate) fn set_recent_leader_zones(&mut self, zones: BTreeSet<String>) {
         self.zones.recent_leader_zones = zones;
     }
 
-    /// Refuses the requests that wait for a commit, because this node no longer leads.
+    /// Rejects the requests whose response waits for a commit, because this node no longer leads.
     pub fn reject_pending_requests(self, out: &mut Vec<Effect>) {
         self.pending_requests.reject_all(out);
     }
 
-    /// Lets time pass.
+    /// Runs the periodic work: commits, snapshots, requests to the cloud, health checks, timeouts of users' requests,
+    /// planning and drains. `lease_valid` is true while this node's lease on the leader key has certainly not expired.
     pub fn tick(&mut self, now: Timestamp, wall: WallClock, lease_valid: bool, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.log.tick(now, &mut events);
@@ -213,7 +218,8 @@
         self.apply_cloud_events(now, wall, events, out);
     }
 
-    /// Jobs of earlier leaders may start from the moment at which the last machine is fenced.
+    /// Detects that the last machine of earlier leaders has been fenced. From then on jobs that earlier leaders
+    /// accepted may be started, so a planning round is requested.
     fn detect_fencing_completion(&mut self, now: Timestamp) {
         if self.fencing.completion_logged || !self.all_machines_fenced() {
             return;
@@ -224,7 +230,7 @@
         info!("all machines fenced token={} after_s={after}", self.token);
     }
 
-    /// Sends what is to be sent at once: direct commands and due commits.
+    /// Sends what must not wait for the next tick: due commits and queued direct commands.
     fn flush(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.log.tick(now, &mut events);
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -1,4 +1,5 @@
-//! Overload admission at the leader: what it observes, the tables that it publishes, and the status that operators read.
+//! Admission control under overload, at the leader: what it measures, the admission tables that it publishes, and the
+//! status that operators read.
 
 use super::Leader;
 use crate::effects::{Effect, StoreCaller};
@@ -13,55 +14,56 @@
 use log::{debug, info};
 use std::collections::BTreeMap;
 
-/// Jobs of a class with an objective for finishing may wait for this share of its time; the rest is for running.
+/// Share of the time of a `finished` objective that a job of its class may wait for machines; the rest is left for
+/// running.
 const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
-/// How long jobs of other classes may wait.
+/// How long jobs of classes without such an objective may wait for machines.
 const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(120);
-/// How often what operators can read is written, while something is refused.
+/// Interval between two writes of the status while submissions are refused.
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
-/// Bytes of a value that are not the status.
+/// Bytes of a value in the state service that are not available to the status.
 const VALUE_MARGIN_BYTES: usize = 64;
 
-/// What was written last for operators.
+/// What is known of the last status that was written for operators.
 #[derive(Debug, Default)]
 pub(super) struct StatusWriter {
     written_at: Timestamp,
-    /// Whether it said that something is refused.
+    /// Whether that status listed refused submissions.
     refusing: bool,
     request_counter: u64,
 }
 
 impl Leader {
-    /// The admission table that was made last.
+    /// The latest admission table of this leader.
     pub(crate) fn current_admission_table(&self) -> &AdmissionTable {
         self.admission.table()
     }
 
-    /// Goes on with the limits of the leader before.
+    /// Continues with the limits of the predecessor's admission table.
     pub(crate) fn inherit_admission_table(&mut self, now: Timestamp, table: &AdmissionTable) {
         self.admission.inherit(now, table);
     }
 
-    /// The operators have changed the settings of admission.
+    /// Applies settings of admission that operators have changed.
     pub(crate) fn set_admission_policy(&mut self, policy: AdmissionPolicy) {
         self.admission.set_policy(policy);
     }
 
-    /// How busy this node was in the last second.
+    /// Records how busy this node was in the last second.
     pub(crate) fn observe_utilization(&mut self, now: Timestamp, utilization: Utilization) {
         self.admission.observe(now, utilization, self.planning.pacing.input_delay);
     }
 
-    /// What another node has refused by this leader's tables.
+    /// Adds the demand that another node has refused by this leader's admission tables.
     pub(crate) fn apply_demand_report(&mut self, now: Timestamp, report: &DemandReport) {
         self.admission.refused_elsewhere(now, report);
     }
 
-    /// Makes a new admission table if one is due.
+    /// Computes a new admission table if one is due; `None` if not.
     pub(crate) fn refresh_admission_table(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
         if self.admission.wants_backlog(now) {
-            let waiting = self.backlog_by_pair(now);
-            self.admission.observe_backlog(now, waiting);
+            let backlog = self.backlog_by_pair(now);
+            self.admission.observe_backlog(now, backlog);
         }
         let updated = self.admission.tick(now).is_some();
         for change in self.admission.take_changes() {
@@ -78,8 +80,9 @@
         updated.then(|| self.admission.table())
     }
 
-    /// Writes what operators can read, now and then while something is refused and once when that has ended. Nobody waits for it: what is
-    /// lost is written again, or is old enough to be told from a refusal that goes on.
+    /// Writes the status that operators read: periodically while submissions are refused, and once when that has ended.
+    /// The response of the state service is ignored: a lost status is written again, or it is so old that operators can
+    /// distinguish it from a refusal that is still in force.
     pub(crate) fn write_admission_status(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let nothing_to_report = !self.admission.is_refusing() && !self.admission_status.refusing;
         if nothing_to_report || now.since(self.admission_status.written_at) < STATUS_INTERVAL {
@@ -114,28 +117,30 @@
         ));
     }
 
-    /// What waits of each team's classes whose jobs end by themselves. Services are left out: they wait for machines that boot.
+    /// The backlog of each pair of team and class, not counting services: those wait for machines that are booting.
     pub(super) fn backlog_by_pair(&self, now: Timestamp) -> BTreeMap<Pair, PairBacklog> {
-        let mut waiting: BTreeMap<(&str, &str), PairBacklog> = BTreeMap::new();
+        let mut backlogs: BTreeMap<(&str, &str), PairBacklog> = BTreeMap::new();
         for job in self.jobs.pending_jobs().filter(|job| !job.spec.is_service && job.durable && !job.cancelling) {
             if job.retry_not_before > now {
-                // It failed on several machines, and waits for that.
+                // The job is backing off, for instance because it failed on several machines; it does not wait for
+                // capacity.
                 continue;
             }
             let (team, class) = (job.spec.team.as_str(), job.spec.class.as_str());
-            let none = || PairBacklog { waiting_tasks: 0, oldest: None, longest_wait: self.max_wait(class) };
-            let entry = waiting.entry((team, class)).or_insert_with(none);
+            let empty = || PairBacklog { waiting_tasks: 0, oldest: None, longest_wait: self.max_wait(class) };
+            let entry = backlogs.entry((team, class)).or_insert_with(empty);
             entry.waiting_tasks += u64::from(job.pending.len());
             if job.placements.is_empty() && job.finished.is_empty() {
                 entry.oldest = Some(entry.oldest.map_or(job.submitted_at, |oldest| oldest.min(job.submitted_at)));
             }
         }
-        waiting.into_iter().map(|((team, class), backlog)| (Pair::new(team, class), backlog)).collect()
+        backlogs.into_iter().map(|((team, class), backlog)| (Pair::new(team, class), backlog)).collect()
     }
 
     fn max_wait(&self, class: &str) -> Duration {
-        let of_class = self.settings.deployment.objectives.iter().filter(|o| o.kind == "finished" && o.class == class);
-        let longest = of_class.filter_map(|o| o.within_s).reduce(f64::max);
-        longest.map_or(DEFAULT_MAX_WAIT, |within| Duration::from_secs_f64(within * MAX_WAIT_SHARE))
+        let objectives =
+            self.settings.deployment.objectives.iter().filter(|o| o.kind == "finished" && o.class == class);
+        let max_within_s = objectives.filter_map(|o| o.within_s).reduce(f64::max);
+        max_within_s.map_or(DEFAULT_MAX_WAIT, |within| Duration::from_secs_f64(within * MAX_WAIT_SHARE))
     }
 }
--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -1,4 +1,4 @@
-//! What the cloud answers: machines that were rented, have failed or are gone.
+//! Handles the cloud's responses: machines that have been provisioned, have failed or are gone.
 
 use super::Leader;
 use crate::cloud::{CloudEvent, PendingInstance};
@@ -10,7 +10,7 @@
 use log::info;
 
 impl Leader {
-    /// Takes the cloud's response to the request with this number.
+    /// Processes the cloud's response to the request with this id.
     pub fn handle_cloud_response(
         &mut self,
         now: Timestamp,
@@ -44,7 +44,7 @@
                 CloudEvent::Request(id, request) => out.push(Effect::CallCloud(self.token.0, id, request)),
                 CloudEvent::MachineFailed(id) => self.machine_failed(id),
                 CloudEvent::MachinesProvisioned(ids) => self.machines_provisioned(now, wall, &ids),
-                CloudEvent::MachinesReleased(ids) => self.machines_gone(now, &ids),
+                CloudEvent::MachinesReleased(ids) => self.machines_released(now, &ids),
             }
         }
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    fn machines_gone(&mut self, now: Timestamp, ids: &[MachineId]) {
+    fn machines_released(&mut self, now: Timestamp, ids: &[MachineId]) {
         self.planning.replan_needed = true;
         for id in ids {
             self.log.append(LogRecord::MachineGone(*id));
@@ -81,7 +81,8 @@
     }
 }
 
-/// The record that a machine was rented. The address of its worker is learnt from its first heartbeat.
+/// Returns the log record of a provisioned machine. It has no endpoint: the worker's first heartbeat contains its
+/// address.
 pub(super) fn provisioning_record(
     id: MachineId,
     instance: &PendingInstance,
--- a/src/leader/failure_detection.rs
+++ b/src/leader/failure_detection.rs
@@ -1,10 +1,10 @@
-//! Detects machines, zones and nodes that cannot be reached.
+//! Failure detection: unreachable machines and zones, and the isolation of this node.
 //!
-//! | module | question |
+//! | module | detects |
 //! | --- | --- |
-//! | `isolation` | does this node reach any worker? |
-//! | `zones` | is a whole zone out of reach? |
-//! | `health_check` | is a machine to be given up, probed or given back? |
+//! | `isolation` | whether this node reaches any worker |
+//! | `zones` | zones that are unreachable as a whole |
+//! | `health_check` | lost attempts, and machines to probe or to release |
 
 mod health_check;
 mod isolation;
@@ -15,11 +15,11 @@
 
 use crate::types::Duration;
 
-/// Fewer machines than this prove nothing about their zone, or about this node.
+/// Minimum number of machines from which a conclusion about their zone or about this node is drawn.
 const MIN_SIGNIFICANT_MACHINES: usize = 4;
-/// Unanswered direct commands after which a machine counts as unreachable.
+/// Number of direct commands in a row without a response after which a machine is considered unreachable.
 const UNREACHABLE_AFTER_COMMANDS: u32 = 2;
-/// Two direct commands in sequence time out within this time.
+/// Time in which two direct commands, sent one after the other, time out.
 const TWO_COMMAND_TIMEOUTS: Duration = Duration::from_millis(2 * super::COMMAND_TIMEOUT.as_millis());
 
 #[cfg(test)]
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -1,4 +1,4 @@
-//! The periodic check of all machines: lost attempts, probes, and machines that are given back.
+//! The periodic health check of all machines: it gives up lost attempts, sends probes, and releases machines.
 
 use super::zones::ZoneHealth;
 use super::{TWO_COMMAND_TIMEOUTS, UNREACHABLE_AFTER_COMMANDS};
@@ -9,16 +9,17 @@
 use log::info;
 use std::collections::BTreeSet;
 
-/// A direct command that was sent so long ago gets no answer any more.
+/// Age of a direct command after which its response can no longer arrive.
 const COMMAND_EXPIRY: Duration = Duration::from_millis(COMMAND_TIMEOUT.as_millis() + 500);
-/// The least time between two probes of a machine.
+/// Minimum interval between two probes of a machine.
 const PROBE_INTERVAL: Duration = Duration::from_millis(800);
-/// While machines were fenced within this time, those that are not yet may only be slow, or this process is.
+/// Time without any newly fenced machine after which unfenced machines are considered unresponsive. Before that they
+/// may only be slow, or this process may be.
 const FENCING_QUIET_PERIOD: Duration = Duration::from_secs(1);
-/// How long the machines of a zone that is out of reach are kept.
+/// How long machines in an unreachable zone are kept before they are released.
 const UNREACHABLE_ZONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// What a health check knows beside each machine's own state.
+/// The inputs of a health check, apart from each machine's own state.
 struct HealthCheck<'a> {
     now: Timestamp,
     lease_valid: bool,
@@ -27,7 +28,8 @@
     unreachable_after: Duration,
     release_unreachable_after: Duration,
     lease_expired_after: Duration,
-    /// Most machines are out of reach at once, and not because of a zone: it is this node that is cut off.
+    /// Whether all zones are unreachable at once. The fault is then most likely in the network of this node, not in the
+    /// zones.
     node_isolated: bool,
     mostly_unfenced_zones: BTreeSet<String>,
     unresponsive_zones: BTreeSet<String>,
@@ -35,39 +37,43 @@
 }
 
 impl HealthCheck<'_> {
-    /// Whether nothing of ours has reached the machine for longer than between two heartbeats.
+    /// Whether no contact with the machine has been confirmed for longer than the interval between two heartbeats.
     fn is_unreachable(&self, machine: &Machine) -> bool {
         self.now.since(machine.last_reached_at) >= self.unreachable_after
     }
 
-    /// Whether the machine does not answer a new leader while the others of its zone did, so that it alone holds older jobs
-    /// back. While others are still being fenced it may be this process that is late.
+    /// Whether the machine does not confirm the fencing token of a new leader although most machines of its zone have,
+    /// so that it alone keeps jobs of earlier leaders from being started. While other machines are still being fenced
+    /// this returns false, because this process may be the slow one.
     fn is_fencing_straggler(&self, machine: &Machine) -> bool {
         !machine.fenced
             && !self.mostly_unfenced_zones.contains(&machine.record.zone)
             && self.now.since(self.last_fenced_at) >= FENCING_QUIET_PERIOD
     }
 
-    /// Whether nothing in the machine's zone has answered a new leader. Such a zone is out of reach: to ask each of its machines
-    /// twice took ten seconds, in which no older job was started.
+    /// Whether no machine in the zone of this unfenced machine has responded to a new leader. Such a zone is considered
+    /// unreachable without two commands to each of its machines, which took ten seconds during which no job of an
+    /// earlier leader was started.
     fn is_in_unresponsive_zone(&self, machine: &Machine) -> bool {
         !machine.fenced && self.unresponsive_zones.contains(&machine.record.zone)
     }
 
-    /// Whether the lease of the machine's worker has surely expired, so that its attempts are gone.
+    /// Whether the lease of the machine's worker has certainly expired, so that its attempts no longer run.
     ///
-    /// A machine that nothing reaches renews no lease, whatever it reports; but that an answer did not reach it cannot be known,
-    /// so the lease counts from the last one given. A leader whose own lease is in doubt cannot know at all: cut off with its own
-    /// zone it took the others' leases for expired, which the next leader went on renewing, and started their tasks a second time.
+    /// A worker that receives no responses does not renew its lease, even if its heartbeats arrive here. Since it is
+    /// unknown whether a response has arrived, the lease counts from the last response sent. A leader whose own lease
+    /// is not valid must not draw this conclusion: a leader that was isolated together with its zone considered the
+    /// leases in other zones expired while its successor kept renewing them, and started the tasks running there a second
+    /// time.
     fn lease_expired(&self, machine: &Machine) -> bool {
         self.lease_valid && machine.fenced && self.now.since(machine.lease_renewed_at) >= self.lease_expired_after
     }
 
-    /// Whether the machine is kept although it is out of reach, because its zone is.
+    /// Whether the machine is kept although it is unreachable, because its whole zone is.
     ///
-    /// In a zone that is cut off as a whole tasks go on until their leases expire, and its machines are there again after the
-    /// outage: they are kept for a while. A new leader does so only if an earlier one is in that zone, since unfenced machines
-    /// hold older jobs back meanwhile.
+    /// In an unreachable zone tasks continue to run until their leases expire, and the machines are available again
+    /// after the outage, so they are kept for `UNREACHABLE_ZONE_RETENTION`. A new leader keeps its unfenced machines
+    /// only in the zone of a recent leader, since unfenced machines keep jobs of earlier leaders from being started.
     fn is_retained(&self, machine: &Machine) -> bool {
         let zone = &machine.record.zone;
         if machine.fenced {
@@ -79,7 +85,7 @@
             && self.now.since(self.leader_since) < UNREACHABLE_ZONE_RETENTION
     }
 
-    /// How long the machine may be out of reach before it is given back.
+    /// How long the machine may be unreachable before it is released.
     fn release_timeout(&self, machine: &Machine) -> Duration {
         if self.is_fencing_straggler(machine) || self.is_in_unresponsive_zone(machine) {
             TWO_COMMAND_TIMEOUTS
@@ -90,12 +96,12 @@
         }
     }
 
-    /// Why a suspected machine is to be given back, if it is. One that nothing reaches is most likely dead, or its network
-    /// is; its services wait for this verdict.
+    /// Why a suspected machine must be released; `None` if it is kept. An unreachable machine has most likely failed,
+    /// or its network has. Its services are started elsewhere only after this decision.
     fn unreachable_release_reason(&self, machine: &Machine) -> Option<DrainReason> {
         let timed_out = self.now.since(machine.last_reached_at) >= self.release_timeout(machine);
-        let left_unanswered = machine.unanswered_commands >= UNREACHABLE_AFTER_COMMANDS;
-        let unanswered = left_unanswered || self.is_in_unresponsive_zone(machine);
+        let commands_unanswered = machine.unanswered_commands >= UNREACHABLE_AFTER_COMMANDS;
+        let unanswered = commands_unanswered || self.is_in_unresponsive_zone(machine);
         if !timed_out || !unanswered || self.is_retained(machine) {
             return None;
         }
@@ -104,26 +110,28 @@
     }
 }
 
-/// Why an empty machine is to be given back, if it is. What is on a machine that is not fenced is not known.
+/// Why a machine that is being drained or reclaimed can be released now; `None` if it is neither or not empty. It is
+/// unknown what runs on an unfenced machine, so such a machine never counts as empty.
 fn drained_release_reason(machine: &Machine) -> Option<DrainReason> {
     let is_leaving = machine.draining.is_some() || machine.reclaim_at.is_some();
     let is_empty = is_leaving && machine.fenced && !machine.is_occupied();
     is_empty.then(|| machine.draining.unwrap_or(DrainReason::Reclaimed))
 }
 
-/// A machine that a direct command may be sent to, to find out whether it answers; the one that waits longest comes first.
+/// A machine that may be probed with a direct command. Candidates are ordered by the time of their last probe, oldest
+/// first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProbeCandidate {
     last_probe_at: Timestamp,
     machine: MachineId,
 }
 
-/// Machines that do not answer.
+/// Probes of machines that do not respond.
 #[derive(Debug, Default)]
 struct Probes {
-    /// Those to which a command may be sent.
+    /// Machines that may be probed now.
     candidates: Vec<ProbeCandidate>,
-    /// Those to which one is in flight.
+    /// Number of machines to which a command is already in flight.
     in_flight: usize,
 }
 
@@ -137,7 +145,7 @@
     }
 }
 
-/// Gives up the machine's direct command if no answer can come any more.
+/// Gives up a machine's direct command if its response can no longer arrive.
 fn expire_command(now: Timestamp, machine: &mut Machine) {
     if let Some(command) = machine.in_flight_command
         && now.since(command.sent_at) > COMMAND_EXPIRY
@@ -146,21 +154,21 @@
     }
 }
 
-/// What a health check found.
+/// The results of a health check.
 #[derive(Debug, Default)]
 struct Findings {
-    /// Machines that are out of reach, or not fenced while the others of their zone are.
+    /// Machines that are unreachable, or that are not fenced although most machines of their zone are.
     suspected: Vec<MachineId>,
-    /// Attempts that are surely gone, by machine.
-    lost: Vec<(MachineId, Vec<MachineEvent>)>,
-    /// Machines that are to be given back.
+    /// Events of attempts that certainly no longer run, by machine.
+    lost_attempts: Vec<(MachineId, Vec<MachineEvent>)>,
+    /// Machines to release, each with the reason.
     releases: Vec<(MachineId, DrainReason)>,
-    /// Machines that are to be asked whether they answer.
+    /// Probes that determine whether machines respond.
     probes: Probes,
 }
 
 impl Findings {
-    /// Checks one machine.
+    /// Checks one machine and adds the results.
     fn inspect(&mut self, check: &HealthCheck<'_>, machine: &mut Machine) {
         expire_command(check.now, machine);
         let id = machine.id();
@@ -174,7 +182,7 @@
                 info!("lease expired machine={id}");
                 let mut events = Vec::new();
                 machine.drop_attempts(&mut events);
-                self.lost.push((id, events));
+                self.lost_attempts.push((id, events));
             }
             self.releases.extend(check.unreachable_release_reason(machine).map(|reason| (id, reason)));
         }
@@ -183,8 +191,8 @@
 }
 
 impl Leader {
-    /// Checks all machines: gives up attempts whose lease expired, gives back machines that are out of reach or empty, and
-    /// probes those that do not answer.
+    /// Checks all machines: gives up attempts whose lease has expired, releases machines that are unreachable or empty,
+    /// and probes those that do not respond.
     pub(crate) fn check_machine_health(&mut self, now: Timestamp, lease_valid: bool, out: &mut Vec<Effect>) {
         let node_isolated = self.detect_unreachable_zones(now);
         let times = &self.settings.deployment.workers;
@@ -208,10 +216,10 @@
         self.apply_findings(now, lease_valid, findings, out);
     }
 
-    /// Acts on what a health check found. Without a valid lease nothing is given back.
+    /// Applies the results of a health check. Without a valid lease no machine is released.
     fn apply_findings(&mut self, now: Timestamp, lease_valid: bool, findings: Findings, out: &mut Vec<Effect>) {
         self.planning.changed_machines.extend(findings.suspected);
-        for (id, events) in findings.lost {
+        for (id, events) in findings.lost_attempts {
             self.planning.replan_needed = true;
             self.apply_machine_events(now, id, events);
         }
@@ -224,7 +232,7 @@
         self.send_probes(now, findings.probes, out);
     }
 
-    /// Drains a machine and gives it back to the cloud.
+    /// Marks a machine as draining, discards its plan and requests its release from the cloud.
     fn release_machine(&mut self, id: MachineId, reason: DrainReason) {
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.draining.get_or_insert(reason);
@@ -233,8 +241,8 @@
         self.cloud.release(id, reason);
     }
 
-    /// Sends commands to machines that do not answer. They get no more than half of the commands in flight: when many machines
-    /// fell silent together, the others' starts waited behind theirs.
+    /// Sends probes to machines that do not respond. Probes use at most half of the limit of commands in flight: when
+    /// many machines became silent at once, starts on the other machines were queued behind their probes.
     fn send_probes(&mut self, now: Timestamp, mut probes: Probes, out: &mut Vec<Effect>) {
         probes.candidates.sort_unstable();
         let max_commands = self.max_commands_in_flight();
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -1,30 +1,31 @@
-//! Whether this node reaches any worker.
+//! Detects the isolation of this node: whether it reaches any worker.
 
 use super::{MIN_SIGNIFICANT_MACHINES, TWO_COMMAND_TIMEOUTS};
 use crate::leader::Leader;
 use crate::leadership::StepDownReason;
 use crate::types::{Duration, MachineId, Timestamp};
 
-/// How long after two unanswered commands to each worker a leader that never reached one counts as isolated.
+/// Margin beyond the timeouts of two direct commands after which a leader that has never reached a worker is considered
+/// isolated.
 const ISOLATION_MARGIN: Duration = Duration::from_millis(500);
 
-/// Whether this node reaches workers at all.
+/// Whether this node reaches any worker.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct WorkerReachability {
-    /// How long nothing of ours has reached any worker, counted in ticks, so that a process that was suspended
-    /// does not take its own absence for silence.
+    /// Time since any worker was last reached. It is summed up over ticks instead of being read from the clock, so that
+    /// a process that was suspended does not take its own suspension for silence of the workers.
     pub(super) unreachable_for: Duration,
-    /// Whether anything has reached a worker since the election.
+    /// Whether any worker has been reached since the election.
     ever_reached: bool,
 }
 
 impl WorkerReachability {
-    /// Notes that this much time passed.
+    /// Adds the time of one tick to the time without contact.
     pub(in crate::leader) fn advance(&mut self, elapsed: Duration) {
         self.unreachable_for = self.unreachable_for + elapsed;
     }
 
-    /// Notes that something of ours reached a worker.
+    /// Records that contact with a worker was confirmed.
     fn worker_reached(&mut self) {
         self.unreachable_for = Duration::ZERO;
         self.ever_reached = true;
@@ -32,35 +33,37 @@
 }
 
 impl Leader {
-    /// Notes that this node reaches workers, if something of ours reached this machine just now.
+    /// Records that this node reaches workers, if contact with this fenced machine was confirmed just now.
     pub(crate) fn update_reachability(&mut self, now: Timestamp, id: MachineId) {
         if self.machines.get(&id).is_some_and(|machine| machine.last_reached_at == now && machine.fenced) {
             self.reachability.worker_reached();
         }
     }
 
-    /// Steps down if this node reaches no worker although there are some: cut off from the workers alone
-    /// it kept the leader key, while every lease expired and every task was lost.
+    /// Steps down if this node reaches no worker although there are some. A leader that was isolated from the workers
+    /// but not from the state service kept the leader key, while every lease expired and every task was lost.
     pub fn detect_isolation(&mut self) {
         let ever_reached = self.reachability.ever_reached;
         let significant =
             || self.machines.values().filter(|machine| machine.sends_consecutive_heartbeats || !ever_reached);
         if significant().nth(MIN_SIGNIFICANT_MACHINES - 1).is_none() {
-            // Without workers there is no silence: the first ones that came up together ended the leadership of a node that had
-            // waited for them.
+            // Time without workers is not silence. When it counted, a node that had waited for its first workers
+            // stepped down as soon as they came up together.
             self.reachability.unreachable_for = Duration::ZERO;
             return;
         }
         let times = &self.settings.deployment.workers;
         if self.reachability.unreachable_for < times.silence_timeout(usize::MAX) {
-            // However many workers there are, this is no silence: they need not be counted, twenty times a second.
+            // Too short for any number of workers. Returning here avoids counting the workers at every tick, twenty
+            // times a second.
             return;
         }
         let timeout = if ever_reached {
-            // Each worker that sends its heartbeats here does so again within this time; of many some do at once.
+            // Each of these workers sends its next heartbeat to this node within one interval; the more workers there
+            // are, the sooner the first of these heartbeats is due.
             times.silence_timeout(significant().count())
         } else {
-            // Two direct commands to each were not answered.
+            // Two direct commands to each worker have timed out by then.
             TWO_COMMAND_TIMEOUTS + ISOLATION_MARGIN
         };
         if self.reachability.unreachable_for >= timeout {
--- a/src/leader/failure_detection/zones.rs
+++ b/src/leader/failure_detection/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that are out of reach as a whole.
+//! Detects zones that are unreachable as a whole.
 
 use super::{MIN_SIGNIFICANT_MACHINES, UNREACHABLE_AFTER_COMMANDS};
 use crate::leader::Leader;
@@ -8,49 +8,50 @@
 use log::warn;
 use std::collections::{BTreeSet, HashMap};
 
-/// An outage is over when its zone was not found out of reach for this long.
+/// An outage has ended if its zone was not found unreachable for this long.
 const OUTAGE_EXPIRY: Duration = Duration::from_secs(3);
-/// A machine that is reached this long after an outage was seen last shows that its zone is back.
+/// A machine that is reached more than this time after the last confirmation of an outage shows that its zone has
+/// recovered.
 const RECOVERY_MARGIN: Duration = Duration::from_millis(250);
 
-/// A time in which a zone is out of reach.
+/// A period in which a zone is unreachable.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::leader) struct ZoneOutage {
-    /// When it was detected.
+    /// When the outage was detected.
     pub(super) since: Timestamp,
-    /// When the zone was last found out of reach.
+    /// When the zone was last found unreachable.
     last_confirmed_at: Timestamp,
 }
 
 impl ZoneOutage {
-    /// Whether it is still out of reach.
+    /// Whether the zone is still considered unreachable.
     fn is_ongoing(&self, now: Timestamp) -> bool {
         now.since(self.last_confirmed_at) < OUTAGE_EXPIRY
     }
 }
 
-/// What is known of whole zones.
+/// The state of whole zones.
 #[derive(Debug, Default)]
 pub(in crate::leader) struct ZoneHealth {
-    /// Zones of the nodes that led not long ago: if such a zone is cut off, that node most likely keeps the
-    /// leases of its machines alive.
+    /// Zones of the nodes that led recently. If such a zone is unreachable, the former leader there most likely still
+    /// renews the leases of its machines.
     pub(in crate::leader) recent_leader_zones: BTreeSet<String>,
-    /// Zones that are, or were, out of reach.
+    /// The latest outage of each zone that is or was unreachable.
     pub(in crate::leader) unreachable: HashMap<String, ZoneOutage>,
-    /// Zones in which no machine is up while others have several.
+    /// Zones in which no machine is up while several are up in other zones.
     pub(in crate::leader) empty: BTreeSet<String>,
-    /// Those of them where machines fell silent or do not come up.
+    /// Empty zones whose machines became silent or do not finish booting.
     pub(in crate::leader) suspected: BTreeSet<String>,
 }
 
 impl ZoneHealth {
-    /// The zone's outage that lasts now, if there is one.
+    /// The ongoing outage of a zone, if there is one.
     pub(super) fn current_outage(&self, now: Timestamp, zone: &str) -> Option<&ZoneOutage> {
         self.unreachable.get(zone).filter(|outage| outage.is_ongoing(now))
     }
 
-    /// Ends the outages of zones in which a machine is reached again. A single one is enough: without this nothing was rented
-    /// there for 40 s more, and replicas that may run nowhere else waited.
+    /// Ends the outages of zones in which a machine is reached again. A single machine is enough: without this rule no
+    /// machine was provisioned in the zone for another 40 s, and replicas that may run only there stayed pending.
     fn end_outages(&mut self, zones: &HashMap<&str, ZoneReachability>) {
         self.unreachable.retain(|zone, outage| {
             let is_back = zones.get(zone.as_str()).is_some_and(|reachability| {
@@ -60,18 +61,19 @@
         });
     }
 
-    /// Whether a zone was found out of reach within this time.
+    /// Whether a zone was found unreachable within the last `span`.
     pub(in crate::leader) fn unreachable_within(&self, now: Timestamp, zone: &str, span: Duration) -> bool {
         self.unreachable.get(zone).is_some_and(|outage| now.since(outage.last_confirmed_at) < span)
     }
 
-    /// Notes that an instance in a zone without machines does not come up, so that the zone counts as out of reach.
+    /// Records that an instance in a zone without machines does not finish booting in time, which counts as an outage
+    /// of the zone.
     pub(in crate::leader) fn note_late_instance(&mut self, now: Timestamp, zone: &str) {
         let outage = self.unreachable.entry(zone.to_string());
         outage.or_insert(ZoneOutage { since: now, last_confirmed_at: now }).last_confirmed_at = now;
     }
 
-    /// Notes that a zone is out of reach now.
+    /// Records that a zone is unreachable now.
     fn note_outage(&mut self, now: Timestamp, zone: &str, reachability: &ZoneReachability) {
         let since = self.current_outage(now, zone).map(|outage| outage.since);
         if since.is_none() {
@@ -84,16 +86,17 @@
     }
 }
 
-/// How many of a zone's fenced machines are reached.
+/// The reachability of a zone's fenced machines.
 #[derive(Debug, Default)]
 struct ZoneReachability {
     machines: usize,
-    /// Machines that send heartbeats to this node regularly.
+    /// Machines that send consecutive heartbeats to this node.
     regular: usize,
-    /// Machines that nothing reached for long and that left a command unanswered. After an election workers that wait for a
-    /// leader which is suspended send no heartbeats for long, so that their silence alone proves nothing.
+    /// Machines that have not been reached for long and have left a direct command without a response. Silence alone
+    /// proves nothing: after an election, workers that are waiting for the response of a suspended leader send no
+    /// heartbeats for long.
     unreachable: usize,
-    /// When one of the machines was reached last.
+    /// When any of these machines was last reached.
     last_reached_at: Timestamp,
 }
 
@@ -105,9 +108,10 @@
         self.last_reached_at = self.last_reached_at.max(machine.last_reached_at);
     }
 
-    /// Whether the zone is out of reach. Either nothing has reached any of its machines for so long that many would have come
-    /// back, counted to the time `latest` at which any machine at all was reached, or most of its machines are out of reach one by
-    /// one. The first is sure within seconds; without it half of the zone was given back as silent before the second was.
+    /// Whether the zone is unreachable. Either none of its machines has been reached for so long that many heartbeats
+    /// should have arrived in the meantime, measured up to `latest`, the last time at which any machine in any zone was
+    /// reached; or most of its machines are unreachable individually. The first condition is certain within seconds.
+    /// Without it, half of the machines in the zone had been released as silent before the second condition was met.
     fn is_unreachable(&self, latest: Timestamp, times: &WorkerTiming) -> bool {
         let all_silent = self.regular >= MIN_SIGNIFICANT_MACHINES
             && latest.since(self.last_reached_at) >= times.silence_timeout(self.regular);
@@ -117,8 +121,8 @@
 }
 
 impl Leader {
-    /// Notes zones that are out of reach while others are not. True if all zones are: then it is most likely this node that is
-    /// cut off.
+    /// Detects zones that are unreachable while others are not. Returns true if all zones are unreachable: then it is
+    /// most likely this node that is isolated.
     pub(super) fn detect_unreachable_zones(&mut self, now: Timestamp) -> bool {
         let times = &self.settings.deployment.workers;
         let unreachable_after = times.unreachable_after();
@@ -140,12 +144,12 @@
         false
     }
 
-    /// Since when a zone is out of reach, if it is now.
+    /// When the ongoing outage of a zone was detected; `None` if the zone is reachable.
     pub(crate) fn zone_unreachable_since(&self, zone: &str, now: Timestamp) -> Option<Timestamp> {
         self.zones.current_outage(now, zone).map(|outage| outage.since)
     }
 
-    /// Zones most of whose machines are not fenced yet.
+    /// Zones in which most machines are not fenced yet.
     pub(crate) fn mostly_unfenced_zones(&self) -> BTreeSet<String> {
         #[derive(Default)]
         struct FencingCounts {
@@ -165,7 +169,8 @@
         zones.into_keys().map(str::to_string).collect()
     }
 
-    /// Zones of which no machine has answered this leader, several of them not twice, while most machines elsewhere have.
+    /// Zones in which no machine has responded to this leader and several have left two commands without a response,
+    /// while at least half of all machines are fenced.
     pub(super) fn unresponsive_zones(&self) -> BTreeSet<String> {
         let unfenced = self.fencing.unfenced.len();
         if unfenced == 0 || unfenced * 2 > self.machines.len() {
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers, their answers to direct commands, and what both show.
+//! Handles workers' heartbeats and their responses to direct commands, and applies the events that follow from both.
 
 use super::Leader;
 use crate::api::ApiResponse;
@@ -11,17 +11,17 @@
 use crate::write_ahead_log::{LogRecord, MachineRecord};
 use log::{debug, info};
 
-/// Why a heartbeat is refused. The texts are part of the API.
+/// Why a heartbeat is rejected. The texts are part of the API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum HeartbeatError {
     #[error("a newer leader exists")]
     HigherFencingToken,
     #[error("the machine's name has the wrong form")]
     MalformedMachineName,
-    /// A late message of a machine that was given back to the cloud.
+    /// A delayed heartbeat of a machine that has been released.
     #[error("this machine was returned")]
-    MachineGone,
-    /// A late copy.
+    MachineReleased,
+    /// A duplicate or out-of-order heartbeat.
     #[error("a newer report has come")]
     Stale,
 }
@@ -30,7 +30,7 @@
     fn from(error: HeartbeatError) -> ApiResponse {
         let reason = error.to_string();
         match error {
-            HeartbeatError::HigherFencingToken | HeartbeatError::MachineGone => ApiResponse::unavailable(&reason),
+            HeartbeatError::HigherFencingToken | HeartbeatError::MachineReleased => ApiResponse::unavailable(&reason),
             HeartbeatError::MalformedMachineName => ApiResponse::field_error(400, &reason, "Host"),
             HeartbeatError::Stale => ApiResponse::field_error(409, &reason, "Tally"),
         }
@@ -38,7 +38,7 @@
 }
 
 impl Leader {
-    /// Takes a worker's heartbeat and answers it with commands.
+    /// Processes a worker's heartbeat; the response contains the commands for the worker.
     pub fn handle_heartbeat(
         &mut self,
         now: Timestamp,
@@ -58,7 +58,7 @@
         self.request_fencing_confirmation(id);
         self.schedule_if_due(now, wall, lease_valid, out);
         if state_changed {
-            // What is planned next here goes with the answer.
+            // Starts that are planned on this machine now are sent with the response.
             self.start_next_tasks(now, id);
         }
         if let Some(response) = self.build_heartbeat_response(now, id, heartbeat) {
@@ -67,7 +67,8 @@
         self.flush(now, out);
     }
 
-    /// Checks whether a heartbeat may be taken, and makes its machine known. Steps down if the worker obeys a later leader.
+    /// Checks whether a heartbeat may be processed, and adds its machine if it is unknown. Steps down if the worker has
+    /// already seen a later leader's fencing token.
     fn accept_heartbeat(
         &mut self,
         now: Timestamp,
@@ -80,14 +81,15 @@
         }
         let id: MachineId = heartbeat.machine.parse().map_err(|_| HeartbeatError::MalformedMachineName)?;
         if self.cloud.is_released(id) {
-            return Err(HeartbeatError::MachineGone);
+            return Err(HeartbeatError::MachineReleased);
         }
         let has_peers = !self.settings.seeds.is_empty();
         let machine = self.discover_machine(now, wall, id, heartbeat);
         if machine.accept_heartbeat(now, heartbeat, has_peers) { Ok(id) } else { Err(HeartbeatError::Stale) }
     }
 
-    /// The machine that sends a heartbeat; the first one makes it known.
+    /// Returns the machine that sent a heartbeat; the first heartbeat adds it. If it was a pending instance, its age
+    /// counts from the time at which the instance was requested.
     fn discover_machine(
         &mut self,
         now: Timestamp,
@@ -110,22 +112,23 @@
             };
             Machine::new(record, Resources::default(), Registration::NotRequested, now)
         });
-        if let Some(rented_at) = self.cloud.instance_discovered(id) {
-            machine.known_since = rented_at;
-            machine.record.provisioned_at = wall.at_timestamp(now, rented_at);
+        if let Some(requested_at) = self.cloud.instance_discovered(id) {
+            machine.known_since = requested_at;
+            machine.record.provisioned_at = wall.at_timestamp(now, requested_at);
         }
         machine
     }
 
-    /// Asks a machine for its proof that it is fenced by a direct command, unless the answer to its first heartbeat will do: that
-    /// tells the worker our fencing token, and it says so at once.
+    /// Queues a direct command to an unfenced machine, since the worker's response to it confirms this leader's fencing
+    /// token. The first heartbeat needs no command: its response carries the token, and the worker confirms it
+    /// immediately.
     fn request_fencing_confirmation(&mut self, id: MachineId) {
         if self.machines.get(&id).is_some_and(|machine| !machine.fenced && machine.was_sent_response()) {
             self.command_dispatch.enqueue(id);
         }
     }
 
-    /// The answer to a heartbeat, which renews the worker's lease.
+    /// Returns the response to a heartbeat, which renews the worker's lease; `None` if the machine is unknown.
     fn build_heartbeat_response(
         &mut self,
         now: Timestamp,
@@ -137,8 +140,10 @@
         let commands = if machine.fenced {
             machine.heartbeat_commands(now, duplicate_delay_limit)
         } else {
-            // The answer renews the lease, whatever runs there. What is cancelled must not run on by that: each new
-            // leader of a chain renewed it once, and the machine was out of reach before the next heartbeat.
+            // The response renews the lease of all tasks on the machine, whether they belong to open jobs or not. Tasks
+            // of ended jobs are therefore stopped even before the machine is fenced: with several elections in a row
+            // each new leader renewed the lease once, and the machine became unreachable before its next heartbeat, so
+            // that cancelled tasks continued to run.
             workers::stop_ended_jobs(heartbeat, &|job| self.jobs.terminal_state(job).is_some())
         };
         machine.lease_renewed_at = now;
@@ -146,8 +151,8 @@
         Some(HeartbeatResponse { fencing_token: self.token.0, commands })
     }
 
-    /// Writes a new machine to the log. Only one that has seen this leader's fencing token is surely there: the heartbeat of a
-    /// machine that an earlier leader gave back may come late.
+    /// Appends the registration of a new machine to the log. Only a machine that has seen this leader's fencing token
+    /// certainly exists: a delayed heartbeat may come from a machine that an earlier leader has released.
     pub(super) fn register_machine(&mut self, lease_valid: bool, id: MachineId) {
         if let Some(machine) = self.machines.get_mut(&id)
             && lease_valid
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Takes a worker's answer to a direct command, or notes that none came.
+    /// Processes a worker's response to a direct command, or the lack of a response.
     #[allow(clippy::too_many_arguments)]
     pub fn handle_command_response(
         &mut self,
@@ -169,17 +174,18 @@
         lease_valid: bool,
         id: MachineId,
         command: u64,
-        reply: &ServiceResponse,
+        response: &ServiceResponse,
         out: &mut Vec<Effect>,
     ) {
-        // 200: executed. 409: nothing executed, and nothing will be. Otherwise it may be executed late.
-        let answered = matches!(reply.status, 200 | 409);
+        // 200: the commands were executed. 409: they were rejected and will never be executed. Any other status: they
+        // may still be executed later.
+        let responded = matches!(response.status, 200 | 409);
         self.command_dispatch.command_finished();
         if let Some(machine) = self.machines.get_mut(&id) {
-            machine.record_command_outcome(now, command, answered);
+            machine.record_command_outcome(now, command, responded);
             self.planning.changed_machines.insert(id);
         }
-        if answered && let Some(message) = reply.parse::<Heartbeat>() {
+        if responded && let Some(message) = response.parse::<Heartbeat>() {
             if message.fencing_token > self.token.0 {
                 self.step_down_reason = Some(StepDownReason::HigherFencingToken);
                 return;
@@ -190,15 +196,15 @@
         }
         self.update_reachability(now, id);
         self.register_machine(lease_valid, id);
-        if answered {
-            // More commands may have been requested in the meantime, or it is not fenced yet.
+        if responded {
+            // Further commands may have been requested while this one was in flight, or the machine is not fenced yet.
             self.command_dispatch.enqueue(id);
         }
         self.schedule_if_due(now, wall, lease_valid, out);
         self.flush(now, out);
     }
 
-    /// Applies a worker's message; true if it showed something.
+    /// Applies a worker's message to the state of its machine. Returns whether any event followed from it.
     fn apply_worker_message(&mut self, now: Timestamp, id: MachineId, message: &Heartbeat) -> bool {
         let Some(machine) = self.machines.get_mut(&id) else { return false };
         let was_reclaimed = machine.reclaim_at.is_some();
@@ -216,7 +222,7 @@
         state_changed
     }
 
-    /// Applies what a worker's message, or the loss of its machine, showed.
+    /// Applies the events that follow from a worker's message or from the loss of its machine.
     pub(crate) fn apply_machine_events(&mut self, now: Timestamp, id: MachineId, events: Vec<MachineEvent>) {
         for event in events {
             match event {
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -1,4 +1,5 @@
-//! Records of the write-ahead log: what is read back after an election, and what is told and done once a record is durable.
+//! Log records: restoring the leader's state from them after an election, and acting on this leader's own records once
+//! they are durable.
 
 use super::Leader;
 use super::cloud_events::provisioning_record;
@@ -15,7 +16,7 @@
 use log::{debug, info};
 
 impl Leader {
-    /// Takes the key-value store's response to a request of the log.
+    /// Processes the state service's response to a request of the log.
     pub fn handle_store_response(
         &mut self,
         now: Timestamp,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Applies a record that was read back after the election.
+    /// Applies a record that was loaded after the election.
     pub(super) fn restore_record(&mut self, now: Timestamp, wall: WallClock, record: &LogRecord) {
         match record {
             LogRecord::MachineRegistered(machine) => self.restore_machine(now, wall, machine),
@@ -87,7 +88,8 @@
         self.machines.insert(record.id, machine);
     }
 
-    /// Rentals are written later than other records: by now the machine may be known to be up, or gone.
+    /// Restores an instance that was still booting. Provisioning records are written later than other records, so the
+    /// machine may already be registered or gone; then the record has no effect.
     fn restore_pending_instance(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
         if self.machines.contains_key(&record.id) || self.cloud.is_released(record.id) {
             return;
@@ -101,7 +103,7 @@
         self.cloud.adopt_pending(record.id, instance);
     }
 
-    /// All records were read back: from now on this node serves as leader.
+    /// Completes the loading of the log: from now on this node serves requests as the leader.
     fn finish_loading(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         self.fencing.completion_logged = self.fencing.unfenced.is_empty();
         info!(
@@ -121,7 +123,8 @@
         self.flush(now, out);
     }
 
-    /// A record of this leader has become durable: now it may be told and acted on.
+    /// Applies a record of this leader that has become durable. Only from now on may the leader act on it and confirm
+    /// it to users.
     pub(super) fn apply_durable_record(
         &mut self,
         now: Timestamp,
@@ -172,7 +175,7 @@
         }
     }
 
-    /// A job's terminal state is durable; what is left of it on machines is stopped.
+    /// Handles the durable end of a job: stops its remaining attempts and responds to pending cancellations.
     fn job_ended(&mut self, now: Timestamp, id: JobId, placements: &[Placement], out: &mut Vec<Effect>) {
         let done = matches!(self.jobs.terminal_state(id), Some(TerminalState::Done(_)));
         info!("job ended job={id} state={}", if done { "done" } else { "cancelled" });
@@ -191,7 +194,7 @@
         self.flush(now, out);
     }
 
-    /// Begins a snapshot of everything that is durable, if one is due.
+    /// Starts a snapshot of the durable state if one is due.
     pub(super) fn write_snapshot_if_due(&mut self, now: Timestamp, wall: WallClock) {
         if !self.log.snapshot_due() {
             return;
--- a/src/leader/pending_requests.rs
+++ b/src/leader/pending_requests.rs
@@ -1,14 +1,14 @@
-//! Users' requests that wait until the log record behind their response is durable.
+//! Users' requests whose response is sent once the log record that it depends on is durable.
 
 use crate::api::ApiResponse;
 use crate::effects::{Effect, RequestOrigin};
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::HashMap;
 
-/// How long a commit may take before the users who wait for it are told to come back.
+/// Time after which a request is rejected if its log record is not durable yet; the user may retry it.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// A user who waits for a commit.
+/// A user's request that waits for a commit.
 #[derive(Debug, Clone, Copy)]
 struct PendingRequest {
     origin: RequestOrigin,
@@ -23,36 +23,36 @@
 }
 
 impl PendingRequests {
-    /// A submission waits until its job is durable.
+    /// Adds a submission, whose response is sent once the job is durable.
     pub(super) fn add_submission(&mut self, now: Timestamp, job: JobId, origin: RequestOrigin) {
         add(&mut self.submissions, now, job, origin);
     }
 
-    /// A cancellation waits until it is durable.
+    /// Adds a cancellation, whose response is sent once it is durable.
     pub(super) fn add_cancellation(&mut self, now: Timestamp, job: JobId, origin: RequestOrigin) {
         add(&mut self.cancellations, now, job, origin);
     }
 
-    /// Who waits for a job to be accepted; they wait no longer.
+    /// Removes and returns the submissions of a job, so that the caller can respond to them.
     pub(super) fn take_submissions(&mut self, job: JobId) -> impl Iterator<Item = RequestOrigin> + use<> {
         take(&mut self.submissions, job)
     }
 
-    /// Who waits for a job to be cancelled; they wait no longer.
+    /// Removes and returns the cancellations of a job, so that the caller can respond to them.
     pub(super) fn take_cancellations(&mut self, job: JobId) -> impl Iterator<Item = RequestOrigin> + use<> {
         take(&mut self.cancellations, job)
     }
 
-    /// Refuses those that have waited too long.
+    /// Rejects the requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         expire(&mut self.submissions, now, out);
         expire(&mut self.cancellations, now, out);
     }
 
-    /// Refuses all, because this node no longer leads.
+    /// Rejects all requests, because this node no longer leads.
     pub(super) fn reject_all(self, out: &mut Vec<Effect>) {
-        let waiting = self.submissions.into_values().chain(self.cancellations.into_values()).flatten();
-        out.extend(waiting.map(|request| rejection(request.origin, "the leader has changed")));
+        let pending = self.submissions.into_values().chain(self.cancellations.into_values()).flatten();
+        out.extend(pending.map(|request| rejection(request.origin, "the leader has changed")));
     }
 }
 
@@ -66,12 +66,12 @@
 }
 
 fn expire(requests: &mut HashMap<JobId, Vec<PendingRequest>>, now: Timestamp, out: &mut Vec<Effect>) {
-    for waiting in requests.values_mut() {
-        let expired = waiting.iter().filter(|request| request.deadline <= now);
+    for pending in requests.values_mut() {
+        let expired = pending.iter().filter(|request| request.deadline <= now);
         out.extend(expired.map(|request| rejection(request.origin, "the state service does not answer")));
-        waiting.retain(|request| request.deadline > now);
+        pending.retain(|request| request.deadline > now);
     }
-    requests.retain(|_, waiting| !waiting.is_empty());
+    requests.retain(|_, pending| !pending.is_empty());
 }
 
 fn rejection(origin: RequestOrigin, reason: &str) -> Effect {
--- a/src/leader/tasks.rs
+++ b/src/leader/tasks.rs
@@ -1,4 +1,4 @@
-//! The life of task attempts on machines: found, running, ended or lost.
+//! The life cycle of task attempts on machines: discovered, running, ended or lost.
 
 mod adoption;
 mod exits;
@@ -11,22 +11,23 @@
 use crate::types::{AttemptId, AttemptNumber, MachineId, TaskId, Timestamp};
 use log::debug;
 
-/// Low bits of an attempt number that count a leader's attempts; above them is its fencing token.
+/// Number of low bits of an attempt number that hold the leader's counter of attempts; the bits above hold its fencing
+/// token.
 const ATTEMPT_COUNTER_BITS: u32 = 24;
 
 impl Leader {
-    /// An attempt number that no leader has used or will use.
+    /// Allocates an attempt number that is unique among those of all leaders.
     pub(crate) fn next_attempt(&mut self) -> AttemptNumber {
         self.attempt_counter += 1;
         AttemptNumber((self.token.0 << ATTEMPT_COUNTER_BITS) + self.attempt_counter)
     }
 
-    /// Whether this leader, not an earlier one, started the attempt.
+    /// Whether the attempt was started by this leader, not by an earlier one.
     fn started_by_this_leader(&self, attempt: AttemptNumber) -> bool {
         attempt.0 >> ATTEMPT_COUNTER_BITS == self.token.0
     }
 
-    /// Stops an attempt that its job does not count as its own any more.
+    /// Stops an attempt whose placement has been removed from its job.
     pub(super) fn abandon_attempt(&mut self, placement: Placement) {
         self.stop_attempt(placement.machine, placement.attempt, 0.0);
         let machine = self.machines.get_mut(&placement.machine);
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Notes that an assigned attempt began to run.
+    /// Records that an assigned attempt has started to run.
     pub(super) fn attempt_running(&mut self, now: Timestamp, id: AttemptId) {
         let Some(job) = self.jobs.get_mut(id.task.job) else { return };
         if let Some(placement) = job.placements.get_mut(&id.task.index).filter(|placement| placement.attempt == id) {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Notes that a task is surely gone from its machine without an end.
+    /// Records that the attempt of a task is lost: it certainly no longer runs, and no exit was reported.
     pub(super) fn attempt_lost(&mut self, now: Timestamp, id: MachineId, task: TaskId) {
         self.remove_placement(id, task);
         if let Some(gang) = self.jobs.get_mut(task.job).and_then(|job| job.gang.as_mut()) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Notes that a task is on no machine any more: it waits again.
+    /// Removes a task's placement on a machine, so that the task is pending again.
     pub(super) fn remove_placement(&mut self, id: MachineId, task: TaskId) {
         if let Some(job) = self.jobs.get_mut(task.job)
             && job.placements.get(&task.index).is_some_and(|placement| placement.machine == id)
--- a/src/leader/tasks/adoption.rs
+++ b/src/leader/tasks/adoption.rs
@@ -1,4 +1,4 @@
-//! Attempts that an earlier leader started: adopted by their jobs, or stopped.
+//! Attempts that an earlier leader started: they are adopted by their jobs, or stopped.
 
 use crate::gang::Adoption;
 use crate::jobs::{Job, Placement};
@@ -8,8 +8,8 @@
 use log::warn;
 
 impl Leader {
-    /// Adopts an attempt that this leader did not start, if its job has not ended and the task is on no other machine. Otherwise
-    /// it is stopped, as every attempt is that was found.
+    /// Adopts an attempt that this leader did not start, if its job is open and the task has no other placement.
+    /// Otherwise it is stopped: every discovered attempt is marked to be stopped until it is adopted.
     pub(in crate::leader) fn adopt_attempt(
         &mut self,
         now: Timestamp,
@@ -23,7 +23,8 @@
         fill_in_job_details(attempt, job);
         let adoption = job.gang.as_mut().map(|gang| gang.adopt(now, id.attempt, machine_id, has_ended));
         let is_adoptable = match adoption {
-            // A task of no gang that has ended is adopted as well: its end counts for its job.
+            // The task is not part of a gang. An attempt that has ended is adopted as well, so that its exit is applied
+            // to its job.
             None => true,
             Some(Adoption::Live | Adoption::Supersedes) => !has_ended,
             Some(Adoption::Stale) => false,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Fills in what a worker does not report of an attempt.
+/// Sets the properties of an attempt that workers do not report.
 fn fill_in_job_details(attempt: &mut TaskAttempt, job: &Job) {
     attempt.resources = job.spec.resources;
     attempt.priority = job.spec.priority;
@@ -61,7 +62,8 @@
     attempt.in_gang = job.gang.is_some();
 }
 
-/// Completes the stop of a gang that an earlier leader has begun: the other tasks must be told in time, too.
+/// Continues the stop of a gang that an earlier leader has begun, so that the gang's other tasks receive the stop in
+/// time as well.
 fn continue_gang_stop(job: &mut Job, attempt: &mut TaskAttempt) {
     let Some(gang) = &mut job.gang else { return };
     let grace = job.spec.checkpoint_duration;
@@ -70,7 +72,7 @@
     attempt.stop_sent = true;
 }
 
-/// Takes all of a job's placements; its tasks wait again.
+/// Removes and returns all placements of a job, whose tasks are then pending again.
 fn take_placements(job: &mut Job) -> Vec<Placement> {
     let placements = std::mem::take(&mut job.placements);
     for index in placements.keys() {
--- a/src/leader/tasks/exits.rs
+++ b/src/leader/tasks/exits.rs
@@ -1,4 +1,4 @@
-//! Attempts that ended: finished, failed, refused or stopped.
+//! Attempts that have ended: finished, failed, refused by their workers, or stopped.
 
 use crate::jobs::Job;
 use crate::leader::{CORRECTION_RECORD_INTERVAL, Leader};
@@ -8,21 +8,22 @@
 use crate::write_ahead_log::LogRecord;
 use log::{debug, info};
 
-/// Machines on which a job fails before it is tried less and less often.
+/// Number of machines on which a job must fail before its retries are delayed by a backoff.
 const FAILED_MACHINES_BEFORE_BACKOFF: usize = 3;
-/// Different jobs that fail on a machine before it gets no further tasks.
+/// Number of different jobs that must fail on a machine before it is quarantined, i.e. gets no further tasks.
 const FAILED_JOBS_BEFORE_QUARANTINE: usize = 2;
-/// Consecutive failures of a job without any success that show that the job, not the machine, is at fault.
+/// Number of consecutive failures of a job without any success that show that the fault is in the job, not in the
+/// machine.
 const FAILURES_OF_FAULTY_JOB: u32 = 3;
-/// Largest exponent of the backoff of a job that fails wherever it runs.
+/// Maximum exponent of the backoff of a job that fails on every machine; the base is 2.
 const MAX_BACKOFF_EXPONENT: u32 = 8;
-/// Longest backoff of a job that fails wherever it runs, in seconds.
+/// Maximum backoff of a job that fails on every machine, in seconds.
 const MAX_BACKOFF_S: u64 = 60;
-/// Backoff after a worker refused a task.
+/// Backoff of a job after a worker refused one of its tasks.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A finished attempt that its worker must not forget before the finish is durable: until then another leader learns of the
-/// finish from the worker alone.
+/// A finished attempt whose finish is not durable yet. Until it is, the worker must not discard the attempt, because
+/// another leader can learn of the finish only from the worker.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::leader) struct UnconfirmedFinish {
     machine: MachineId,
@@ -30,7 +31,7 @@
 }
 
 impl Leader {
-    /// Allows a worker to forget a finished attempt, because the finish is durable or its job has ended.
+    /// Allows a worker to discard a finished attempt, because the finish is durable or its job has ended.
     pub(in crate::leader) fn confirm_finish(&mut self, task: TaskId) {
         let Some(finish) = self.unconfirmed_finishes.remove(&task) else { return };
         let Some(machine) = self.machines.get_mut(&finish.machine) else { return };
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Notes that an attempt ended: its task is finished or waits again.
+    /// Applies the end of an attempt: its task is finished, or pending again.
     pub(in crate::leader) fn attempt_exited(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit) {
         let task = exit.id.task;
         let Some(machine) = self.machines.get_mut(&id) else { return };
@@ -58,7 +59,7 @@
         }
         match exit.reason {
             ExitReason::Stopped => debug!("task stopped task={task} machine={id}"),
-            // The task or machine at fault is another one.
+            // The fault lies with another task of the gang, or with the machine of that task.
             ExitReason::GangMemberLost | ExitReason::GangIncomplete => {
                 info!("task ended task={task} machine={id} reason={:?}", exit.reason)
             }
@@ -71,7 +72,7 @@
         self.remove_placement(id, task);
     }
 
-    /// Notes that a task finished; of a gang all tasks did.
+    /// Applies the finish of a task. If it belongs to a gang, all tasks of the gang are finished.
     fn task_finished(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit, was_assigned: bool) {
         let task = exit.id.task;
         let Some(machine) = self.machines.get_mut(&id) else { return };
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Learns from an execution how long tasks take compared with their estimates, and writes that to the log now and then.
+    /// Updates the run-time correction from the actual and the predicted duration of an execution, and appends it to
+    /// the log every `CORRECTION_RECORD_INTERVAL` executions.
     fn learn_correction(&mut self, actual: Duration, predicted: Duration) {
         let correction = &mut self.planning.correction;
         correction.learn(actual, predicted);
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Notes that a task failed. A job that fails wherever it runs is tried less and less often; a machine on which different
-    /// jobs fail is at fault itself.
+    /// Applies the failure of a task. A job that fails on several machines is retried after increasing backoffs; a
+    /// machine on which different jobs fail is considered faulty itself.
     fn task_failed(&mut self, now: Timestamp, id: MachineId, exit: AttemptExit) {
         let task = exit.id.task;
         let Some(job) = self.jobs.get_mut(task.job) else { return };
@@ -128,7 +130,7 @@
         self.quarantine_if_at_fault(id, task);
     }
 
-    /// Drains a machine on which a task failed, if it is the machine that is at fault.
+    /// Quarantines a machine on which a task failed if the fault is in the machine: it is drained.
     fn quarantine_if_at_fault(&mut self, id: MachineId, task: TaskId) {
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let Some(job) = self.jobs.get(task.job) else { return };
@@ -146,7 +148,7 @@
     }
 }
 
-/// Marks a task, or all tasks of its gang, as finished; returns those that were not before.
+/// Marks a task, or all tasks of its gang, as finished. Returns the indices of those that were not finished before.
 fn finish_tasks(job: &mut Job, task: TaskId) -> Vec<u32> {
     let finished: Vec<u32> = if job.gang.is_some() { (0..job.spec.task_count).collect() } else { vec![task.index] };
     let newly_finished: Vec<u32> = finished.into_iter().filter(|index| job.finished.insert(*index)).collect();
@@ -156,7 +158,7 @@
     newly_finished
 }
 
-/// How long a job waits that fails wherever it runs.
+/// The backoff of a job that fails on every machine, after this many consecutive failures.
 fn failure_backoff(consecutive_failures: u32) -> Duration {
     let seconds = 2u64.saturating_pow(consecutive_failures.min(MAX_BACKOFF_EXPONENT));
     Duration::from_secs(seconds.min(MAX_BACKOFF_S))
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of users at the leader: submissions, questions and cancellations.
+//! Users' requests to the leader: submissions, queries of a job's state, and cancellations.
 
 use super::Leader;
 use crate::api::{ApiResponse, UserRequest};
@@ -9,16 +9,18 @@
 use crate::write_ahead_log::LogRecord;
 use caperstile_admission::{Decision, Submission};
 
-/// When a user may come back whose submission found too many open jobs, in seconds.
+/// Seconds after which a user may retry a submission that was rejected because too many jobs are open.
 const OPEN_JOBS_RETRY_AFTER_S: u16 = 10;
-/// Records that may wait to become durable before submissions are refused, beside one for each machine: a fleet that comes up at
-/// once is no backlog.
+/// Number of log records that are not durable yet at which submissions are rejected, in addition to one record for each
+/// machine: the registrations of a fleet that comes up at once must not count as backlog.
 const LOG_BACKLOG_LIMIT: usize = 5000;
-/// Why a leader without a valid lease answers nothing that could be outdated: another leader may know better by now.
+/// Error text of a leader without a valid lease. It rejects requests whose response may be outdated, since another node
+/// may have been elected.
 const LEASE_IN_DOUBT: &str = "leadership is in doubt";
 
 impl Leader {
-    /// Takes a user's request; the response follows at once or when what it depends on is durable.
+    /// Processes a user's request. The response is sent immediately, or once the log record that it depends on is
+    /// durable.
     pub fn handle_user_request(
         &mut self,
         now: Timestamp,
@@ -39,7 +41,7 @@
         self.flush(now, out);
     }
 
-    /// A submission; `None` if its user waits until the job is durable.
+    /// Processes a submission. Returns `None` if the response is sent once the job is durable.
     fn submit(
         &mut self,
         now: Timestamp,
@@ -49,7 +51,8 @@
         body: &[u8],
     ) -> Option<ApiResponse> {
         let parsed = jobs::parse_submission(body, wall);
-        // A known job is answered with its state, whatever else the body says: the request may be a late repeat.
+        // The response to the submission of an accepted job is its state, whatever else the body contains: the request
+        // may be a delayed duplicate.
         let id = match &parsed {
             Ok(spec) => Some(spec.id),
             Err(_) => jobs::submitted_job_id(body),
@@ -79,12 +82,12 @@
         }
     }
 
-    /// Whether a job's acceptance is durable.
+    /// Whether the acceptance of a job is durable.
     fn is_accepted(&self, id: JobId) -> bool {
         self.jobs.terminal_state(id).is_some() || self.jobs.get(id).is_some_and(|job| job.durable)
     }
 
-    /// Checks whether a new job can be taken; the job as it is kept.
+    /// Checks whether a new job can be accepted. Returns its specification in the form in which it is stored.
     fn admit(&mut self, now: Timestamp, mut spec: JobSpec) -> Result<JobSpec, ApiResponse> {
         let teams = &self.settings.deployment.teams;
         let gangs_supported = self.format.has_gangs();
@@ -100,13 +103,14 @@
             return Err(ApiResponse::too_many_submissions(retry_after_s));
         }
         if self.at_capacity() {
-            // Answered at once: the user is told when to come back.
+            // The submission is rejected immediately instead of being queued, with a `Retry-After`.
             return Err(ApiResponse::unavailable_for("too many jobs are open", OPEN_JOBS_RETRY_AFTER_S));
         }
         Ok(spec)
     }
 
-    /// Types that the cloud does not have cannot matter, and need no room in the log.
+    /// Removes machine types that the cloud does not offer: they cannot affect placement and would only take up space
+    /// in the log.
     fn drop_unknown_machine_types(&self, spec: &mut JobSpec) {
         if let Some(machine_types) = &mut spec.machine_types {
             machine_types.sort_unstable();
@@ -115,18 +119,19 @@
         }
     }
 
-    /// Whether no more jobs are taken for now: memory or the log's backlog is used up.
+    /// Whether new jobs are rejected for now, because the limit of open jobs (memory) or the limit of the log's backlog
+    /// is reached.
     fn at_capacity(&self) -> bool {
         let open_jobs_limit = self.settings.deployment.resources.max_open_jobs();
         let backlog_limit = LOG_BACKLOG_LIMIT + self.machines.len();
         self.jobs.open_count() >= open_jobs_limit || self.log.backlog() >= backlog_limit
     }
 
-    /// The state of a job as its user is told.
+    /// Returns the response to a query of a job's state.
     pub(super) fn job_status(&self, lease_valid: bool, id: &str) -> ApiResponse {
         let not_found = || ApiResponse::error(404, "no such job");
         let Ok(id) = id.parse::<JobId>() else { return not_found() };
-        // A durable terminal state never changes; all else may be outdated if another node leads.
+        // A durable terminal state never changes. All other states may be outdated if another node has been elected.
         if self.jobs.terminal_state(id).is_none() && !lease_valid {
             return ApiResponse::unavailable(LEASE_IN_DOUBT);
         }
@@ -139,7 +144,7 @@
         }
     }
 
-    /// A cancellation; `None` if its user waits until it is durable.
+    /// Processes a cancellation. Returns `None` if the response is sent once the cancellation is durable.
     fn cancel(
         &mut self,
         now: Timestamp,
@@ -161,7 +166,8 @@
             return Some(ApiResponse::unavailable("not accepted yet"));
         }
         if !self.all_machines_fenced() && !job.accepted_by_this_leader {
-            // A machine that has not seen this token may start its tasks by an earlier leader's command.
+            // A machine that has not seen this leader's fencing token may still start tasks of the job by a command of
+            // an earlier leader.
             return Some(ApiResponse::unavailable("not all machines are fenced yet"));
         }
         self.pending_requests.add_cancellation(now, id, origin);
@@ -169,12 +175,13 @@
         None
     }
 
-    /// Stops a job's tasks and queues its cancellation, unless all of them are done: then its state will be `done` as soon as that
-    /// is durable.
+    /// Stops a job's tasks and appends its cancellation to the log. Does nothing if all tasks have finished: the job's
+    /// state becomes `done` once the finishes are durable.
     ///
-    /// They are stopped before the record is written, not once it is known to be durable: if the response to the commit is lost,
-    /// the next leader reads the record and confirms it, while this one may go on renewing the leases. A leader that never learnt
-    /// that its commit was carried out let the tasks run on through an outage. If it was not carried out, the tasks wait again.
+    /// The tasks are stopped before the record is written, not once it is known to be durable. If the response to the
+    /// commit is lost, the next leader loads the record and confirms the cancellation, while this leader may continue
+    /// to renew the leases of the machines. A leader that never learnt that its commit had been carried out let the
+    /// tasks run throughout an outage. If the commit was not carried out, the tasks are pending again.
     fn begin_cancellation(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.cancelling || job.finished.len() >= job.spec.task_count {
