--- a/src/leader.rs
+++ b/src/leader.rs
@@ -169,8 +169,8 @@
         self.planning.pacing.input_delay = delay;
     }
 
-    /// Records how long a slow input took. Planning rounds are the only slow inputs, so the next round is deferred
-    /// accordingly.
+    /// Records how long a slow input took. Only inputs that ran a planning round are slow, so the next round is
+    /// deferred accordingly.
     pub(crate) fn note_slow_input(&mut self, took: Duration) {
         self.planning.pacing.note_slow_input(took);
     }
@@ -186,7 +186,8 @@
     }
 
     /// Runs the periodic work: commits, snapshots, requests to the cloud, health checks, timeouts of users' requests,
-    /// planning and drains. `lease_valid` is true while this node's lease on the leader key has certainly not expired.
+    /// planning and drains. `lease_valid` is true while this node's lease guarantees that no other node has been
+    /// elected.
     pub fn tick(&mut self, now: Timestamp, wall: WallClock, lease_valid: bool, out: &mut Vec<Effect>) {
         let mut events = Vec::new();
         self.log.tick(now, &mut events);
--- a/src/leader/failure_detection/health_check.rs
+++ b/src/leader/failure_detection/health_check.rs
@@ -43,17 +43,17 @@
     }
 
     /// Whether the machine does not confirm the fencing token of a new leader although most machines of its zone have,
-    /// so that it alone keeps jobs of earlier leaders from being started. While other machines are still being fenced
-    /// this returns false, because this process may be the slow one.
+    /// so that it alone prevents jobs of earlier leaders from being started. Returns false while other machines are
+    /// still being fenced, because then this process may be the slow one.
     fn is_fencing_straggler(&self, machine: &Machine) -> bool {
         !machine.fenced
             && !self.mostly_unfenced_zones.contains(&machine.record.zone)
             && self.now.since(self.last_fenced_at) >= FENCING_QUIET_PERIOD
     }
 
-    /// Whether no machine in the zone of this unfenced machine has responded to a new leader. Such a zone is considered
-    /// unreachable without two commands to each of its machines, which took ten seconds during which no job of an
-    /// earlier leader was started.
+    /// Whether the machine is unfenced and no machine in its zone has responded to this new leader. Such a zone is
+    /// considered unreachable before each of its machines has left two commands without a response: waiting for that
+    /// took ten seconds, in which no job of an earlier leader was started.
     fn is_in_unresponsive_zone(&self, machine: &Machine) -> bool {
         !machine.fenced && self.unresponsive_zones.contains(&machine.record.zone)
     }
@@ -72,8 +72,9 @@
     /// Whether the machine is kept although it is unreachable, because its whole zone is.
     ///
     /// In an unreachable zone tasks continue to run until their leases expire, and the machines are available again
-    /// after the outage, so they are kept for `UNREACHABLE_ZONE_RETENTION`. A new leader keeps its unfenced machines
-    /// only in the zone of a recent leader, since unfenced machines keep jobs of earlier leaders from being started.
+    /// after the outage, so they are kept for `UNREACHABLE_ZONE_RETENTION`. A new leader keeps unfenced machines only
+    /// in the zone of a recent leader, which most likely still renews the leases there: while they are kept, they
+    /// prevent jobs of earlier leaders from being started.
     fn is_retained(&self, machine: &Machine) -> bool {
         let zone = &machine.record.zone;
         if machine.fenced {
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -47,8 +47,8 @@
         let significant =
             || self.machines.values().filter(|machine| machine.sends_consecutive_heartbeats || !ever_reached);
         if significant().nth(MIN_SIGNIFICANT_MACHINES - 1).is_none() {
-            // Time without workers is not silence. When it counted, a node that had waited for its first workers
-            // stepped down as soon as they came up together.
+            // Time without workers does not count as silence. Otherwise a node that has waited for its first workers
+            // steps down as soon as several of them come up together.
             self.reachability.unreachable_for = Duration::ZERO;
             return;
         }
@@ -59,8 +59,8 @@
             return;
         }
         let timeout = if ever_reached {
-            // Each of these workers sends its next heartbeat to this node within one interval; the more workers there
-            // are, the sooner the first of these heartbeats is due.
+            // Each of these workers sends its next heartbeat to this node within the longest heartbeat interval; the
+            // more workers there are, the sooner the first of these heartbeats arrives.
             times.silence_timeout(significant().count())
         } else {
             // Two direct commands to each worker have timed out by then.
--- a/src/leader/failure_detection/zones.rs
+++ b/src/leader/failure_detection/zones.rs
@@ -169,8 +169,8 @@
         zones.into_keys().map(str::to_string).collect()
     }
 
-    /// Zones in which no machine has responded to this leader and several have left two commands without a response,
-    /// while at least half of all machines are fenced.
+    /// Zones in which no machine is fenced and several machines have left two commands without a response, while at
+    /// least half of all machines are fenced.
     pub(super) fn unresponsive_zones(&self) -> BTreeSet<String> {
         let unfenced = self.fencing.unfenced.len();
         if unfenced == 0 || unfenced * 2 > self.machines.len() {
--- a/src/leader/heartbeats.rs
+++ b/src/leader/heartbeats.rs
@@ -140,10 +140,10 @@
         let commands = if machine.fenced {
             machine.heartbeat_commands(now, duplicate_delay_limit)
         } else {
-            // The response renews the lease of all tasks on the machine, whether they belong to open jobs or not. Tasks
-            // of ended jobs are therefore stopped even before the machine is fenced: with several elections in a row
-            // each new leader renewed the lease once, and the machine became unreachable before its next heartbeat, so
-            // that cancelled tasks continued to run.
+            // The response renews the lease for every task on the machine. It therefore stops the tasks of ended jobs
+            // even though the machine is not fenced yet. Otherwise cancelled tasks keep running when several leaders
+            // follow each other: each new leader renewed the lease once, and the machine became unreachable before its
+            // next heartbeat.
             workers::stop_ended_jobs(heartbeat, &|job| self.jobs.terminal_state(job).is_some())
         };
         machine.lease_renewed_at = now;
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -89,7 +89,7 @@
     }
 
     /// Restores an instance that was still booting. Provisioning records are written later than other records, so the
-    /// machine may already be registered or gone; then the record has no effect.
+    /// machine may already be registered or gone; in that case the record is ignored.
     fn restore_pending_instance(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
         if self.machines.contains_key(&record.id) || self.cloud.is_released(record.id) {
             return;
--- a/src/leader/tests.rs
+++ b/src/leader/tests.rs
@@ -2,8 +2,8 @@
 use crate::settings::tests::SAMPLE;
 use crate::write_ahead_log::{LogRecord, MachineRecord};
 
-/// Provisioning records are written later than other records. One that is loaded after the registration or the release
-/// of its machine must not restore a pending instance.
+/// Provisioning records are written later than other records, since nothing waits for them. One that is loaded after
+/// the registration or the release of its machine must not restore a pending instance.
 #[test]
 fn late_provisioning_records_restore_no_pending_instances() {
     let mut leader = Leader::new(FencingToken(5), Format::One, Timestamp::START, &Settings::parse(SAMPLE).unwrap());
