--- a/src/arrivals.rs
+++ b/src/arrivals.rs
@@ -27,7 +27,7 @@
 }
 
 impl ClassArrivals {
-    fn starting_with(now: Timestamp, spec: &Rc<JobSpec>) -> ClassArrivals {
+    fn new(now: Timestamp, spec: &Rc<JobSpec>) -> ClassArrivals {
         ClassArrivals { recent: VecDeque::new(), largest_job: Rc::clone(spec), first_at: now }
     }
 
@@ -40,9 +40,9 @@
     /// Tasks that are likely to come within this time, by the rate of the last two minutes, or since the first job.
     #[must_use]
     pub fn expected_tasks(&self, now: Timestamp, within: Duration) -> f64 {
-        let shortest_window = within.max(Duration::from_millis(1));
-        let longest_window = ARRIVAL_WINDOW.max(within);
-        let window = now.since(self.first_at).clamp(shortest_window, longest_window);
+        let min_window = within.max(Duration::from_millis(1));
+        let max_window = ARRIVAL_WINDOW.max(within);
+        let window = now.since(self.first_at).clamp(min_window, max_window);
         let arrived = self.recent.iter().filter(|arrival| now.since(arrival.at) < window);
         let tasks: u64 = arrived.map(|arrival| u64::from(arrival.tasks)).sum();
         tasks as f64 * within.as_millis() as f64 / window.as_millis() as f64
@@ -53,13 +53,13 @@
             self.largest_job = Rc::clone(spec);
         }
         self.recent.push_back(Arrival { at: now, tasks: spec.task_count });
-        while self.has_outdated(now) {
+        while self.has_expired(now) {
             self.recent.pop_front();
         }
     }
 
     /// Whether the oldest arrival counts no more.
-    fn has_outdated(&self, now: Timestamp) -> bool {
+    fn has_expired(&self, now: Timestamp) -> bool {
         self.recent.len() > MAX_ARRIVALS_PER_CLASS
             || self.recent.front().is_some_and(|oldest| now.since(oldest.at) > ARRIVAL_WINDOW)
     }
@@ -80,7 +80,7 @@
     /// Notes that a job was submitted.
     pub fn record(&mut self, now: Timestamp, spec: &Rc<JobSpec>) {
         let class = self.classes.entry(spec.class.clone());
-        class.or_insert_with(|| ClassArrivals::starting_with(now, spec)).add(now, spec);
+        class.or_insert_with(|| ClassArrivals::new(now, spec)).add(now, spec);
     }
 
     /// All classes of which a job has come since the election.
--- a/src/arrivals/tests.rs
+++ b/src/arrivals/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn regular_arrivals_are_expected_and_old_ones_are_forgotten() {
+fn expected_tasks_follow_the_recent_arrival_rate_and_ignore_expired_arrivals() {
     let mut arrivals = Arrivals::default();
     for n in 0..12 {
         arrivals.record(Timestamp::from_millis(n * 5000), &job_spec("train", 2 + n % 3));
@@ -25,7 +25,7 @@
 
 /// The first job of a class says little of how often they come: it is taken for one within the time that is asked about.
 #[test]
-fn single_arrival_is_expected_once() {
+fn expected_tasks_after_a_single_arrival_equal_its_task_count() {
     let mut arrivals = Arrivals::default();
     arrivals.record(Timestamp::from_millis(1000), &job_spec("train", 3));
     let (_, class) = arrivals.classes().next().unwrap();
--- a/src/gang.rs
+++ b/src/gang.rs
@@ -55,7 +55,7 @@
     /// Since when a task of a gang that awaits its members is missing.
     pub missing_since: Option<Timestamp>,
     /// Machines that held tasks of earlier attempts. A worker refuses a task of which it still holds another attempt.
-    pub former_machines: BTreeSet<MachineId>,
+    pub attempt_machines: BTreeSet<MachineId>,
 }
 
 impl Gang {
@@ -74,12 +74,12 @@
         self.phase = GangPhase::AwaitingMembers { since: now };
         self.attempt = Some(attempt);
         self.missing_since = None;
-        self.former_machines.extend(machines);
+        self.attempt_machines.extend(machines);
     }
 
     /// Notes that a machine reports a task of this attempt that this leader did not start, and whether that has ended already.
     pub fn adopt(&mut self, now: Timestamp, attempt: AttemptNumber, machine: MachineId, has_ended: bool) -> Adoption {
-        self.former_machines.insert(machine);
+        self.attempt_machines.insert(machine);
         match self.attempt {
             Some(live) if attempt < live => Adoption::Stale,
             Some(live) if attempt == live => {
--- a/src/gang/tests.rs
+++ b/src/gang/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_gang_awaits_its_members_runs_stops_and_is_queued_again() {
+fn gang_passes_through_all_phases_and_is_queued_again() {
     let mut gang = awaiting_members();
     assert_eq!(
         (gang.phase, gang.is_queued(), gang.is_running()),
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_lost_task_is_replaced_only_while_the_gang_has_not_started() {
+fn lost_task_can_be_replaced_only_before_the_gang_runs() {
     let mut gang = awaiting_members();
     gang.task_lost(Timestamp::from_millis(20));
     gang.task_lost(Timestamp::from_millis(30));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_stop_while_nothing_is_on_a_machine_changes_nothing() {
+fn stop_or_task_loss_leaves_a_queued_gang_unchanged() {
     let mut gang = Gang::default();
     gang.stop(Duration::from_millis(5));
     gang.task_lost(Timestamp::from_millis(1));
@@ -63,7 +63,7 @@
 
 /// A failure during an orderly stop does not take away the others' time for their checkpoints.
 #[test]
-fn an_orderly_stop_keeps_its_grace_period() {
+fn graceful_stop_keeps_its_grace_period_after_task_failures() {
     let mut gang = awaiting_members();
     gang.task_running(AttemptNumber(5));
     gang.stop(Duration::from_secs(3));
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -25,7 +25,7 @@
 mod reclaims;
 mod reservation;
 mod starts;
-mod waiting_jobs;
+mod unplanned_jobs;
 mod work_stealing;
 
 pub(crate) use name_interner::NameInterner;
@@ -87,7 +87,7 @@
     }
 
     /// Machines on which something may start: those with a queue, or with free CPUs.
-    fn machines_with_queue_or_room(&self) -> Vec<MachineId> {
+    fn machines_with_queue_or_free_cpus(&self) -> Vec<MachineId> {
         let may_start = |machine: &&PlannedMachine| !machine.queue.is_empty() || machine.free.cpus > 0;
         self.plans.machines().filter(may_start).map(|machine| machine.id).collect()
     }
@@ -149,25 +149,28 @@
         }
     }
 
-    /// A round of planning: what changed since the last one, and everything when provisioning is due, since that
+    /// A round of planning: what changed since the last one, and is_full_round when provisioning is due, since that
     /// follows from the plan.
     fn run_scheduling_round(&mut self, now: Timestamp, provisioning_due: bool) {
         self.refresh_plans(now);
-        self.drain_reclaimed_machines(now);
+        self.stop_tasks_on_reclaimed_machines(now);
         self.update_gangs(now);
-        let everything = provisioning_due || self.has_any_quota();
-        if everything {
+        let is_full_round = provisioning_due || self.has_any_quota();
+        if is_full_round {
             self.promote_starved(now);
             let queues = self.planning.machines_with_queue();
             self.planning.plans.unplan_stuck(now, queues.into_iter());
-            self.unplan_misplaced();
-            self.unplan_waiting_gangs();
+            self.unplan_zone_violations();
+            self.unplan_queued_gangs();
         }
         let mut usage = self.team_usage();
-        self.plan_waiting(now, &usage);
+        self.plan_unplanned_tasks(now, &usage);
         let changed = self.planning.plans.take_changed_machines();
-        let machines: Vec<MachineId> =
-            if everything { self.planning.machines_with_queue_or_room() } else { changed.into_iter().collect() };
+        let machines: Vec<MachineId> = if is_full_round {
+            self.planning.machines_with_queue_or_free_cpus()
+        } else {
+            changed.into_iter().collect()
+        };
         self.start_planned(now, &machines, &mut usage);
         self.steal_work(now, &machines, &mut usage);
         self.preempt_for_services(now);
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -1,6 +1,6 @@
 //! Gangs: planned, started, completed and stopped as a whole.
 
-use super::preemption::{Preemption, PreemptionTrial};
+use super::preemption::{Preemption, PreemptionSimulation};
 use super::*;
 use crate::gang::GangPhase;
 
@@ -14,7 +14,7 @@
 enum GangAction {
     Nothing,
     /// A lost task is to be started again under the same attempt.
-    Replace,
+    ReplaceLostTask,
     /// All tasks are to be stopped at once.
     Stop,
     /// The attempt is gone.
@@ -34,7 +34,7 @@
     }
 
     /// Takes gangs that wait out of the plan, so that they are placed anew by what is known now.
-    pub(super) fn unplan_waiting_gangs(&mut self) {
+    pub(super) fn unplan_queued_gangs(&mut self) {
         let is_planned = |job: &&Job| self.planning.plans.planned_count(job.spec.id) > 0;
         let planned: Vec<JobId> = self.jobs.gangs().filter(is_planned).map(|job| job.spec.id).collect();
         for job in planned {
@@ -106,13 +106,13 @@
     pub(super) fn preempt_for_gangs(&mut self, now: Timestamp) {
         let mut preemptions: Vec<Preemption> = Vec::new();
         // What is left on each machine after the gangs that are ahead.
-        let mut trials: BTreeMap<MachineId, PreemptionTrial> = BTreeMap::new();
+        let mut simulations: BTreeMap<MachineId, PreemptionSimulation> = BTreeMap::new();
         for planned in self.planning.plans.planned_jobs() {
             let Some(job) = self.jobs.get(planned.id()).filter(|job| job.gang.is_some()) else { continue };
             if !self.is_startable(job, now) {
                 continue;
             }
-            if let Some(mut for_gang) = self.preemptions_for_gang(job, now, &mut trials) {
+            if let Some(mut for_gang) = self.preemptions_for_gang(job, now, &mut simulations) {
                 preemptions.append(&mut for_gang);
             }
         }
@@ -124,25 +124,25 @@
         &self,
         job: &Job,
         now: Timestamp,
-        trials: &mut BTreeMap<MachineId, PreemptionTrial>,
+        simulations: &mut BTreeMap<MachineId, PreemptionSimulation>,
     ) -> Option<Vec<Preemption>> {
         let (preempting_job, priority) = (job.spec.id, job.spec.priority);
         if self.planning.plans.planned_count(preempting_job) != job.spec.task_count {
             return None;
         }
-        let mut new_trials = Vec::new();
+        let mut new_simulations = Vec::new();
         let mut preemptions = Vec::new();
         for PlannedTasks { machine: id, count } in self.planning.plans.planned_tasks(preempting_job) {
             let machine = self.machines.get(&id).filter(|machine| machine.accepts_tasks())?;
-            let ahead = trials.get(&id).cloned();
-            let mut trial =
-                ahead.unwrap_or_else(|| PreemptionTrial::new(machine, self.victims(machine, now, priority)));
-            trial.keep_only_below(priority);
-            let stopped = trial.preempt_for(&job.spec.resources, count)?;
-            new_trials.push((id, trial));
+            let ahead = simulations.get(&id).cloned();
+            let mut simulation =
+                ahead.unwrap_or_else(|| PreemptionSimulation::new(machine, self.victims(machine, now, priority)));
+            simulation.retain_victims_below(priority);
+            let stopped = simulation.preempt_for(&job.spec.resources, count)?;
+            new_simulations.push((id, simulation));
             preemptions.extend(stopped.into_iter().map(|attempt| Preemption { machine: id, attempt, preempting_job }));
         }
-        trials.extend(new_trials);
+        simulations.extend(new_simulations);
         Some(preemptions)
     }
 
@@ -158,7 +158,7 @@
         for (id, action) in actions {
             match action {
                 GangAction::Nothing => {}
-                GangAction::Replace => self.restart_lost_gang_task(now, id),
+                GangAction::ReplaceLostTask => self.restart_lost_gang_task(now, id),
                 GangAction::Stop => self.stop_gang(id, Duration::ZERO),
                 GangAction::Requeue => self.requeue_gang(id),
             }
@@ -187,7 +187,7 @@
                 if now.since(since) >= wait_limit || (replacement_overdue && all_tasks_known) {
                     GangAction::Stop
                 } else if !is_complete && all_tasks_known {
-                    GangAction::Replace
+                    GangAction::ReplaceLostTask
                 } else {
                     GangAction::Nothing
                 }
@@ -212,7 +212,7 @@
         info!("gang task replaced task={task} attempt={attempt} machine={machine}");
         let predicted_duration = Some(self.planning.correction.predict(job.spec.estimated_duration));
         if let Some(gang) = self.jobs.get_mut(id).and_then(|job| job.gang.as_mut()) {
-            gang.former_machines.insert(machine);
+            gang.attempt_machines.insert(machine);
         }
         self.start_attempt(now, machine, AttemptId { attempt, task }, predicted_duration, &mut usage);
     }
--- a/src/leader/scheduling/machine_view.rs
+++ b/src/leader/scheduling/machine_view.rs
@@ -89,9 +89,9 @@
         }
         let RunningTasks { releases, preemptible } = RunningTasks::of(machine, now);
         let free = machine.free_resources();
-        let is_drained_soon = self.drain_state.coordinator.as_ref().is_some_and(|drains| drains.is_member(id));
-        let bias = match is_drained_soon {
-            true => PlacementBias::LAST,
+        let is_drain_member = self.drain_state.coordinator.as_ref().is_some_and(|drains| drains.is_member(id));
+        let bias = match is_drain_member {
+            true => PlacementBias::LEAST_PREFERRED,
             false => placement_bias(machine_type, machine.record.spot, &free),
         };
         Some(PlannedMachine {
--- a/src/leader/scheduling/pacing/tests.rs
+++ b/src/leader/scheduling/pacing/tests.rs
@@ -2,7 +2,7 @@
 
 /// On the day of the flood rounds took up to 0.8 s and followed one another; heartbeats and the renewal of the lease waited.
 #[test]
-fn planning_takes_a_third_of_the_time_at_the_most_however_long_rounds_are() {
+fn planning_uses_at_most_a_third_of_the_time_regardless_of_round_duration() {
     for took in [10, 100, 400, 800, 3000] {
         let mut pacing = Pacing::default();
         pacing.note_slow_input(Duration::from_millis(took));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn rounds_that_are_too_long_become_shorter_until_they_are_not() {
+fn evaluation_budget_shrinks_after_slow_rounds_and_recovers_after_quick_ones() {
     let mut pacing = Pacing::default();
     let full = pacing.evaluation_budget(700);
     assert_eq!(full, 20_000);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_node_that_is_behind_plans_less_often() {
+fn intervals_grow_with_input_delay_up_to_their_maximum() {
     let delayed = |ms| Pacing { input_delay: Duration::from_millis(ms), ..Pacing::default() };
     assert_eq!((delayed(0).round_interval().as_millis(), delayed(0).provisioning_interval().as_millis()), (100, 500));
     assert_eq!(
--- a/src/leader/scheduling/planning_view.rs
+++ b/src/leader/scheduling/planning_view.rs
@@ -50,7 +50,7 @@
         if let Some(gang) = &job.gang {
             let still_holds =
                 |id: &&MachineId| self.machines.get(id).is_some_and(|machine| machine.holds_job(job.spec.id));
-            avoided_machines.extend(gang.former_machines.iter().filter(still_holds));
+            avoided_machines.extend(gang.attempt_machines.iter().filter(still_holds));
         }
         self.spec_profile(&job.spec, avoided_machines)
     }
--- a/src/leader/scheduling/preemption.rs
+++ b/src/leader/scheduling/preemption.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// The priority of the services for which tasks are preempted.
-const MOST_IMPORTANT: u8 = 0;
+const HIGHEST_PRIORITY: u8 = 0;
 
 /// A task that may be stopped to make room.
 #[derive(Debug, Clone, Copy)]
@@ -49,20 +49,20 @@
 
 /// A machine on which room is made, as far as it has come.
 #[derive(Debug, Clone)]
-pub(super) struct PreemptionTrial {
+pub(super) struct PreemptionSimulation {
     free: Resources,
     /// What may be stopped, least loss first.
     victims: Vec<PreemptionVictim>,
 }
 
-impl PreemptionTrial {
+impl PreemptionSimulation {
     /// A machine with what may be stopped there.
-    pub(super) fn new(machine: &Machine, victims: Vec<PreemptionVictim>) -> PreemptionTrial {
-        PreemptionTrial { free: free_after_stops(machine), victims }
+    pub(super) fn new(machine: &Machine, victims: Vec<PreemptionVictim>) -> PreemptionSimulation {
+        PreemptionSimulation { free: free_after_stops(machine), victims }
     }
 
     /// Leaves alone what a job of this priority may not preempt.
-    pub(super) fn keep_only_below(&mut self, priority: u8) {
+    pub(super) fn retain_victims_below(&mut self, priority: u8) {
         self.victims.retain(|victim| victim.priority > priority);
     }
 
@@ -87,9 +87,9 @@
     /// The plan counts such room as free for services, so they are planned where it can be made; those
     /// that lose least work go first.
     pub(super) fn preempt_for_services(&mut self, now: Timestamp) {
-        let most_important =
-            self.planning.plans.planned_jobs().take_while(|job| job.queue_priority().priority == MOST_IMPORTANT);
-        let machines: BTreeSet<MachineId> = most_important.flat_map(|job| job.machines()).collect();
+        let highest_priority_jobs =
+            self.planning.plans.planned_jobs().take_while(|job| job.queue_priority().priority == HIGHEST_PRIORITY);
+        let machines: BTreeSet<MachineId> = highest_priority_jobs.flat_map(|job| job.machines()).collect();
         let planned = machines.iter().filter_map(|id| self.planning.plans.machine(*id));
         let preemptions = planned.flat_map(|machine| self.preemptions_for_services(machine, now)).collect();
         self.preempt(preemptions);
@@ -101,16 +101,18 @@
         let Some(machine) = self.machines.get(&planned.id).filter(|machine| machine.accepts_tasks()) else {
             return preemptions;
         };
-        let mut trial: Option<PreemptionTrial> = None;
-        let is_important = |entry: &&QueueEntry| entry.is_service && entry.queue_priority.priority == MOST_IMPORTANT;
-        for entry in planned.queue.iter().filter(is_important) {
+        let mut simulation: Option<PreemptionSimulation> = None;
+        let is_highest_priority_service =
+            |entry: &&QueueEntry| entry.is_service && entry.queue_priority.priority == HIGHEST_PRIORITY;
+        for entry in planned.queue.iter().filter(is_highest_priority_service) {
             if !self.jobs.get(entry.job).is_some_and(|job| self.is_startable(job, now)) {
                 continue;
             }
-            let trial =
-                trial.get_or_insert_with(|| PreemptionTrial::new(machine, self.victims(machine, now, MOST_IMPORTANT)));
+            let simulation = simulation.get_or_insert_with(|| {
+                PreemptionSimulation::new(machine, self.victims(machine, now, HIGHEST_PRIORITY))
+            });
             for _ in 0..entry.count {
-                let Some(stopped) = trial.preempt_for(&entry.resources, 1) else { break };
+                let Some(stopped) = simulation.preempt_for(&entry.resources, 1) else { break };
                 preemptions.extend(stopped.into_iter().map(|attempt| Preemption {
                     machine: planned.id,
                     attempt,
--- a/src/leader/scheduling/reclaims.rs
+++ b/src/leader/scheduling/reclaims.rs
@@ -19,7 +19,7 @@
 
 impl Leader {
     /// Saves what can be saved on machines that the cloud takes back.
-    pub(super) fn drain_reclaimed_machines(&mut self, now: Timestamp) {
+    pub(super) fn stop_tasks_on_reclaimed_machines(&mut self, now: Timestamp) {
         self.reclaimed_machines.retain(|id| self.machines.contains_key(id));
         let due: Vec<ReclaimedTask> = self
             .reclaimed_machines
--- a/src/leader/scheduling/reservation.rs
+++ b/src/leader/scheduling/reservation.rs
@@ -28,7 +28,7 @@
         let Some(needed_at) = self.needed_at else { return true };
         let mut unreserved = *free;
         unreserved.saturating_sub(&self.resources);
-        let is_over_in_time = !entry.is_service && now + entry.predicted_duration <= needed_at;
-        entry.resources.fits(&unreserved) || is_over_in_time
+        let ends_in_time = !entry.is_service && now + entry.predicted_duration <= needed_at;
+        entry.resources.fits(&unreserved) || ends_in_time
     }
 }
--- a/src/leader/scheduling/starts.rs
+++ b/src/leader/scheduling/starts.rs
@@ -5,10 +5,10 @@
 use caperstile_admission::Pair;
 
 /// Pending tasks of a job that are looked through for one that the machine does not hold yet.
-const MAX_PENDING_LOOKED_THROUGH: usize = 64;
+const MAX_PENDING_SCANNED: usize = 64;
 
 /// What is done with an entry of a machine's queue.
-enum QueueStep {
+enum QueueAction {
     StartTask,
     StartGang,
     /// The gang waits for room elsewhere: its room here is reserved.
@@ -16,7 +16,7 @@
     /// What is behind the entry need not wait for it.
     Skip,
     /// What is behind the entry waits for it.
-    Wait,
+    Block,
 }
 
 impl Leader {
@@ -27,12 +27,12 @@
             && is_startable
             && self.within_quota(usage, job, 1)
             && self.fits_on(job, machine)
-            && self.leaves_headroom(job, machine)
+            && self.respects_headroom(job, machine)
     }
 
     /// Whether the machine's free resources without its headroom are enough for a task of this job, if it must leave
     /// that.
-    fn leaves_headroom(&self, job: &Job, machine: &Machine) -> bool {
+    fn respects_headroom(&self, job: &Job, machine: &Machine) -> bool {
         let Some(headroom) = self.planning.headroom.get(&machine.id()) else { return true };
         let mut usable = machine.free_resources();
         usable.saturating_sub(headroom);
@@ -69,51 +69,51 @@
         let mut reservation = GangReservation::default();
         while let Some(entry) = self.planning.plans.machine(id).and_then(|machine| machine.queue.get(position)).copied()
         {
-            match self.queue_step(now, id, &entry, &reservation, usage) {
-                QueueStep::StartTask => {
+            match self.queue_action(now, id, &entry, &reservation, usage) {
+                QueueAction::StartTask => {
                     self.planning.plans.dequeue_one(id, position);
                     self.start_task(now, id, entry, usage);
                 }
-                QueueStep::StartGang => self.start_gang(now, entry.job, usage),
-                QueueStep::ReserveForGang => {
+                QueueAction::StartGang => self.start_gang(now, entry.job, usage),
+                QueueAction::ReserveForGang => {
                     reservation.reserve(&entry, self.planning.plans.common_start(entry.job, now));
                     position += 1;
                 }
-                QueueStep::Skip => position += 1,
-                QueueStep::Wait => return,
+                QueueAction::Skip => position += 1,
+                QueueAction::Block => return,
             }
         }
     }
 
     /// What is to be done with an entry of a machine's queue, after those before it.
-    fn queue_step(
+    fn queue_action(
         &self,
         now: Timestamp,
         id: MachineId,
         entry: &QueueEntry,
         reservation: &GangReservation,
         usage: &TeamUsage,
-    ) -> QueueStep {
+    ) -> QueueAction {
         let (Some(machine), Some(job)) = (self.machines.get(&id), self.jobs.get(entry.job)) else {
-            return QueueStep::Wait;
+            return QueueAction::Block;
         };
         if !machine.accepts_tasks() {
-            return QueueStep::Wait;
+            return QueueAction::Block;
         }
         if entry.is_gang {
             let may_start = self.gang_may_start(job, now, usage);
-            return if may_start { QueueStep::StartGang } else { QueueStep::ReserveForGang };
+            return if may_start { QueueAction::StartGang } else { QueueAction::ReserveForGang };
         }
         let free = machine.free_resources();
         if !reservation.allows(entry, &free, now) {
-            QueueStep::Skip
+            QueueAction::Skip
         } else if self.may_start(job, machine, now, usage) {
-            QueueStep::StartTask
+            QueueAction::StartTask
         } else if entry.resources.fits(&free) || entry.is_service {
             // Held back by something else than room, or behind room that services keep.
-            QueueStep::Skip
+            QueueAction::Skip
         } else {
-            QueueStep::Wait
+            QueueAction::Block
         }
     }
 
@@ -122,8 +122,8 @@
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.get(entry.job) else { return };
         let Some(machine) = self.machines.get(&id) else { return };
-        let is_held = |index: &u32| machine.holds_task(TaskId { job: entry.job, index: *index });
-        let candidate = job.pending.iter().take(MAX_PENDING_LOOKED_THROUGH).find(|index| !is_held(index));
+        let holds_task_already = |index: &u32| machine.holds_task(TaskId { job: entry.job, index: *index });
+        let candidate = job.pending.iter().take(MAX_PENDING_SCANNED).find(|index| !holds_task_already(index));
         let Some(index) = candidate else { return };
         let attempt = AttemptId { attempt, task: TaskId { job: entry.job, index } };
         let predicted_duration = (!entry.is_service).then_some(entry.predicted_duration);
--- a/src/leader/scheduling/waiting_jobs.rs
+++ b/src/leader/scheduling/unplanned_jobs.rs
@@ -79,9 +79,9 @@
 
     /// Whether nothing of a job has begun for too long.
     fn is_starved(&self, job: &Job, now: Timestamp) -> bool {
-        let has_begun = !job.placements.is_empty() || !job.finished.is_empty();
+        let has_started = !job.placements.is_empty() || !job.finished.is_empty();
         job.effective_priority > PROMOTED_PRIORITY
-            && !has_begun
+            && !has_started
             && self.is_startable(job, now)
             && now.since(job.submitted_at) >= STARVATION_THRESHOLD
     }
@@ -89,23 +89,23 @@
     /// Takes tasks out of the plan that have room where they wait, but may not start there: their job has as many in
     /// that zone as it may, or is in another one. An idle machine had taken a task from the queue of another zone, so
     /// that those planned in its own were one too many; they waited there for ever.
-    pub(super) fn unplan_misplaced(&mut self) {
-        let mut misplaced: Vec<(MachineId, JobId)> = Vec::new();
+    pub(super) fn unplan_zone_violations(&mut self) {
+        let mut violations: Vec<(MachineId, JobId)> = Vec::new();
         for planned in self.planning.plans.planned_jobs() {
             let Some(job) = self.jobs.get(planned.id()).filter(|job| job.gang.is_none()) else { continue };
             if !job.spec.spread_over_zones && !job.spec.colocate_in_zone {
                 continue;
             }
             let tasks_by_zone = self.planning_view().tasks_by_zone(job);
-            let is_closed = |zone: usize| {
+            let is_disallowed = |zone: usize| {
                 tasks_by_zone.get(&zone).is_some_and(|count| *count >= job.spec.max_tasks_per_zone())
                     || (job.spec.colocate_in_zone && tasks_by_zone.keys().any(|other| *other != zone))
             };
-            let in_closed_zone =
-                |id: &MachineId| self.planning.plans.machine(*id).is_some_and(|machine| is_closed(machine.zone));
-            misplaced.extend(planned.machines().filter(in_closed_zone).map(|machine| (machine, planned.id())));
+            let in_disallowed_zone =
+                |id: &MachineId| self.planning.plans.machine(*id).is_some_and(|machine| is_disallowed(machine.zone));
+            violations.extend(planned.machines().filter(in_disallowed_zone).map(|machine| (machine, planned.id())));
         }
-        for (machine, job) in misplaced {
+        for (machine, job) in violations {
             self.planning.plans.unplan_last(machine, job);
         }
     }
@@ -115,19 +115,19 @@
     /// Half of a round begins with the most important job, the other half where the last round stopped. When all began
     /// with the most important one, some services that found no room anywhere kept everything else from being
     /// looked at, for as long as they waited.
-    pub(super) fn plan_waiting(&mut self, now: Timestamp, usage: &TeamUsage) {
+    pub(super) fn plan_unplanned_tasks(&mut self, now: Timestamp, usage: &TeamUsage) {
         self.jobs.prune_waiting();
-        let waiting = self.unplanned_tasks(now, usage);
+        let unplanned = self.unplanned_tasks(now, usage);
         let mut progress = RoundProgress::default();
         let budget = self.planning.pacing.evaluation_budget(self.planning.plans.machines().count());
-        let planned = self.plan_in_order(now, &waiting, budget / 2, &mut progress);
-        let rest = &waiting[planned..];
+        let processed = self.plan_in_order(now, &unplanned, budget / 2, &mut progress);
+        let rest = &unplanned[processed..];
         let resume_at = self.planning.resume_at.take();
         let first = resume_at.and_then(|id| rest.iter().position(|tasks| tasks.job == id)).unwrap_or(0);
         let rotated: Vec<UnplannedTasks> = rest[first..].iter().chain(&rest[..first]).copied().collect();
-        let planned = self.plan_in_order(now, &rotated, budget, &mut progress);
-        if let Some(next) = rotated.get(planned) {
-            // The rest is for the next round, so that heartbeats and users are not kept waiting.
+        let processed = self.plan_in_order(now, &rotated, budget, &mut progress);
+        if let Some(next) = rotated.get(processed) {
+            // The rest is for the next round, so that heartbeats and users are not kept unplanned.
             self.planning.replan_needed = true;
             self.planning.resume_at = Some(next.job);
         }
@@ -159,14 +159,14 @@
     fn plan_in_order(
         &mut self,
         now: Timestamp,
-        waiting: &[UnplannedTasks],
+        unplanned: &[UnplannedTasks],
         max_evaluations: usize,
         progress: &mut RoundProgress,
     ) -> usize {
         let machine_count = self.planning.plans.machines().count();
-        for (turn, tasks) in waiting.iter().enumerate() {
+        for (processed, tasks) in unplanned.iter().enumerate() {
             if progress.evaluations >= max_evaluations {
-                return turn;
+                return processed;
             }
             let Some(job) = self.jobs.get_mut(tasks.job) else { continue };
             job.last_planned_at = now;
@@ -187,7 +187,7 @@
                 progress.unplaceable.push(UnplaceableTasks { resources, allows_spot, is_service });
             }
         }
-        waiting.len()
+        unplanned.len()
     }
 
     /// Places tasks in the plan; returns how many found a machine.
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -43,16 +43,16 @@
 
 /// Which parts of the design are in force; all of them but for ablations.
 #[derive(Debug, Clone, Copy)]
-pub struct DesignFeatures {
+pub struct PlanFeatures {
     /// Prefer machines where fewer tasks are fallbacked (the paper's word: pushed past their deadline).
-    pub prefer_fewest_fallbacked: bool,
+    pub minimize_newly_late: bool,
     /// Submit fallbacked tasks again.
     pub resubmission: bool,
 }
 
-impl Default for DesignFeatures {
+impl Default for PlanFeatures {
     fn default() -> Self {
-        DesignFeatures { prefer_fewest_fallbacked: true, resubmission: true }
+        PlanFeatures { minimize_newly_late: true, resubmission: true }
     }
 }
 
@@ -75,7 +75,7 @@
     /// Machines whose free resources or queue have changed since `take_changed_machines`.
     changed_machines: BTreeSet<MachineId>,
     /// Parts of the design in force.
-    pub features: DesignFeatures,
+    pub features: PlanFeatures,
 }
 
 impl Plans {
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -27,36 +27,36 @@
 
 /// A way to place all tasks of a gang.
 #[derive(Debug, Clone, Default)]
-struct GangTrial {
+struct GangPlacement {
     slots: Vec<TaskSlot>,
     misses_deadline: bool,
     /// Tasks of others that are pushed past their deadline.
-    fallbacked: u32,
+    newly_late: u32,
     machine_count: usize,
 }
 
 /// The paper's order of preference among trials: the fields stand in the order in which they decide, the smallest
 /// rating is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct TrialRating {
+struct GangPlacementRating {
     misses_deadline: bool,
-    fallbacked: u32,
+    newly_late: u32,
     /// Common end, in units of the granularity.
     finish: u64,
     machine_count: usize,
 }
 
-impl GangTrial {
+impl GangPlacement {
     /// When all tasks are predicted to be over.
     fn finish(&self) -> Timestamp {
         self.slots.iter().map(|slot| slot.finish).max().unwrap_or(Timestamp::NEVER)
     }
 
-    fn rating(&self) -> TrialRating {
-        TrialRating {
+    fn rating(&self) -> GangPlacementRating {
+        GangPlacementRating {
             misses_deadline: self.misses_deadline,
-            fallbacked: self.fallbacked,
-            finish: in_granules(self.finish()),
+            newly_late: self.newly_late,
+            finish: finish_bucket(self.finish()),
             machine_count: self.machine_count,
         }
     }
@@ -72,11 +72,11 @@
 struct SlotRating {
     misses_deadline: bool,
     /// Tasks of others that it pushes past their deadline.
-    fallbacked: u32,
+    newly_late: u32,
     /// Predicted end, in units of the granularity.
     finish: u64,
     /// How many of the gang's tasks that are not placed yet find no free resources there now.
-    tasks_without_room: u64,
+    tasks_beyond_free_resources: u64,
     /// `PlacementBias` of the machine.
     bias: u64,
 }
@@ -91,7 +91,7 @@
 }
 
 /// A predicted end in units of the granularity below which ends of gangs count as equal.
-fn in_granules(finish: Timestamp) -> u64 {
+fn finish_bucket(finish: Timestamp) -> u64 {
     finish.as_millis() / SERVICE_FINISH_GRANULARITY.as_millis()
 }
 
@@ -109,9 +109,9 @@
     let misses_deadline = outcome.finish > task.deadline;
     let rating = SlotRating {
         misses_deadline,
-        fallbacked: if misses_deadline { 0 } else { outcome.fallbacked },
-        finish: in_granules(outcome.finish),
-        tasks_without_room: u64::from(unplaced).saturating_sub(task.resources.copies_in(&machine.free)),
+        newly_late: if misses_deadline { 0 } else { outcome.newly_late },
+        finish: finish_bucket(outcome.finish),
+        tasks_beyond_free_resources: u64::from(unplaced).saturating_sub(task.resources.copies_in(&machine.free)),
         bias: machine.bias.for_other_tasks,
     };
     Some(RatedSlot { rating, machine: machine.id, finish: outcome.finish })
@@ -122,9 +122,10 @@
     pub fn place_gang(&mut self, now: Timestamp, task: QueueEntry, count: u32, jobs: &dyn JobDirectory) -> bool {
         let Some(profile) = jobs.profile(task.job) else { return false };
         let zones = jobs.zone_allowance(task.job, &BTreeMap::new());
-        let trials =
-            zone_choices(&zones).into_iter().filter_map(|zones| self.gang_trial(now, &task, count, &profile, zones));
-        let Some(best) = trials.min_by_key(GangTrial::rating) else { return false };
+        let placements = candidate_zones(&zones)
+            .into_iter()
+            .filter_map(|zones| self.try_gang_placement(now, &task, count, &profile, zones));
+        let Some(best) = placements.min_by_key(GangPlacement::rating) else { return false };
         let late_before: Vec<(MachineId, Vec<LateTasks>)> =
             best.machines().into_iter().map(|id| (id, late_tasks(&self.machines[&id], now))).collect();
         for slot in &best.slots {
@@ -140,42 +141,42 @@
     }
 
     /// Places all tasks of a gang in copies of the queues; `None` if some find no machine.
-    fn gang_trial(
+    fn try_gang_placement(
         &self,
         now: Timestamp,
         task: &QueueEntry,
         count: u32,
         profile: &JobProfile,
         mut zones: ZoneAllowance,
-    ) -> Option<GangTrial> {
+    ) -> Option<GangPlacement> {
         let mut copies: BTreeMap<MachineId, PlannedMachine> = BTreeMap::new();
         let mut candidates: BinaryHeap<Reverse<RatedSlot>> = self
             .machines
             .values()
-            .filter(|machine| zones.has_room(machine.zone))
+            .filter(|machine| zones.allows_task(machine.zone))
             .filter_map(|machine| rate_slot(machine, now, task, profile, count).map(Reverse))
             .collect();
-        let mut trial = GangTrial::default();
-        while (trial.slots.len() as u32) < count {
+        let mut placement = GangPlacement::default();
+        while (placement.slots.len() as u32) < count {
             let Reverse(RatedSlot { rating, machine: id, finish }) = candidates.pop()?;
             let Some(machine) = copies.get(&id).or_else(|| self.machines.get(&id)) else { continue };
-            if !zones.has_room(machine.zone) {
+            if !zones.allows_task(machine.zone) {
                 continue;
             }
             let Some(predicted_duration) = profile.predicted_duration(machine) else { continue };
             zones.add_task(machine.zone);
-            trial.misses_deadline |= rating.misses_deadline;
-            trial.fallbacked += rating.fallbacked;
-            trial.slots.push(TaskSlot { machine: id, predicted_duration, finish });
+            placement.misses_deadline |= rating.misses_deadline;
+            placement.newly_late += rating.newly_late;
+            placement.slots.push(TaskSlot { machine: id, predicted_duration, finish });
             let copy = copies.entry(id).or_insert_with(|| self.machines[&id].clone());
             let position = insertion_position(&copy.queue, task.queue_priority);
             copy.queue.insert(position, QueueEntry { predicted_duration, count: 1, ..*task });
             copy.queued_tasks = (copy.queued_tasks + 1).min(MAX_QUEUED_TASKS);
-            let unplaced = count - trial.slots.len() as u32;
+            let unplaced = count - placement.slots.len() as u32;
             candidates.extend(rate_slot(copy, now, task, profile, unplaced).map(Reverse));
         }
-        trial.machine_count = copies.len();
-        Some(trial)
+        placement.machine_count = copies.len();
+        Some(placement)
     }
 
     /// When all planned tasks of a job are predicted to have room at once; `None` if some never have.
@@ -192,7 +193,7 @@
 }
 
 /// The zones in which a gang may be tried: each alone if all tasks must be in the same one.
-fn zone_choices(zones: &ZoneAllowance) -> Vec<ZoneAllowance> {
+fn candidate_zones(zones: &ZoneAllowance) -> Vec<ZoneAllowance> {
     if !zones.colocate {
         return vec![zones.clone()];
     }
@@ -202,5 +203,5 @@
             .collect(),
         colocate: true,
     };
-    (0..zones.remaining_tasks.len()).filter(|zone| zones.has_room(*zone)).map(only).collect()
+    (0..zones.remaining_tasks.len()).filter(|zone| zones.allows_task(*zone)).map(only).collect()
 }
--- a/src/plan/model.rs
+++ b/src/plan/model.rs
@@ -63,7 +63,7 @@
 
 impl PlacementBias {
     /// The machine is taken only if no other one is as good.
-    pub const LAST: PlacementBias = PlacementBias { for_services: u64::MAX, for_other_tasks: u64::MAX };
+    pub const LEAST_PREFERRED: PlacementBias = PlacementBias { for_services: u64::MAX, for_other_tasks: u64::MAX };
 }
 
 /// Resources that become free at some time. Releases are in order of time, then of resources.
@@ -190,7 +190,7 @@
 
 impl ZoneAllowance {
     /// Whether one more task may be in this zone.
-    pub(super) fn has_room(&self, zone: usize) -> bool {
+    pub(super) fn allows_task(&self, zone: usize) -> bool {
         self.remaining_tasks.get(zone).is_some_and(|remaining| *remaining > 0)
     }
 
--- a/src/plan/placement.rs
+++ b/src/plan/placement.rs
@@ -15,7 +15,7 @@
 struct MachineRating {
     misses_deadline: bool,
     /// Other tasks that it pushes past their deadline.
-    fallbacked: u32,
+    newly_late: u32,
     /// Predicted end, in units of the granularity.
     finish: u64,
     /// `PlacementBias` of the machine.
@@ -50,7 +50,7 @@
             && let Some(Reverse(RatedMachine { machine: id, .. })) = candidates.pop()
         {
             let Some(machine) = self.machines.get(&id) else { continue };
-            if task.has_zone_constraints && !zones.has_room(machine.zone) {
+            if task.has_zone_constraints && !zones.allows_task(machine.zone) {
                 continue;
             }
             if outdated.remove(&id) {
@@ -92,14 +92,14 @@
         let predicted_duration = profile.predicted_duration(machine)?;
         let outcome = insertion_outcome(machine, now, QueueEntry { predicted_duration, count: 1, ..*task })?;
         let misses_deadline = outcome.finish > task.deadline;
-        let ignores_fallbacked = misses_deadline || !self.features.prefer_fewest_fallbacked;
-        let fallbacked = if ignores_fallbacked { 0 } else { outcome.fallbacked };
+        let ignores_newly_late = misses_deadline || !self.features.minimize_newly_late;
+        let newly_late = if ignores_newly_late { 0 } else { outcome.newly_late };
         let (bias, granularity) = if task.is_service {
             (machine.bias.for_services, SERVICE_FINISH_GRANULARITY)
         } else {
             (machine.bias.for_other_tasks, TASK_FINISH_GRANULARITY)
         };
         let finish = outcome.finish.as_millis() / granularity.as_millis();
-        Some(RatedMachine { rating: MachineRating { misses_deadline, fallbacked, finish, bias }, machine: machine.id })
+        Some(RatedMachine { rating: MachineRating { misses_deadline, newly_late, finish, bias }, machine: machine.id })
     }
 }
--- a/src/plan/resubmission.rs
+++ b/src/plan/resubmission.rs
@@ -59,7 +59,7 @@
             if outcome.finish > entry.deadline {
                 continue;
             }
-            let rating = (outcome.fallbacked, outcome.finish);
+            let rating = (outcome.newly_late, outcome.finish);
             if best.as_ref().is_none_or(|(best_rating, _)| rating < *best_rating) {
                 best = Some((rating, ResubmissionTarget { machine: machine.id, predicted_duration }));
             }
--- a/src/plan/simulation.rs
+++ b/src/plan/simulation.rs
@@ -12,7 +12,7 @@
     /// Predicted end of the task.
     pub(super) finish: Timestamp,
     /// Other tasks that it pushes past their deadline.
-    pub(super) fallbacked: u32,
+    pub(super) newly_late: u32,
 }
 
 /// How many tasks of a job miss their deadline in one queue.
@@ -33,7 +33,7 @@
     if machine.queue.is_empty() && task.resources.fits(&task.usable_resources(&machine.free, &machine.headroom)) {
         // Most machines, most of the time: nothing to simulate.
         let finish = machine.earliest_start(now) + task.predicted_duration;
-        return Some(InsertionOutcome { finish, fallbacked: 0 });
+        return Some(InsertionOutcome { finish, newly_late: 0 });
     }
     let mut task_finish = None;
     let mut late_after = 0_u32;
@@ -45,7 +45,7 @@
         }
     });
     let late_before = if late_after > 0 { count_late_tasks(machine, now) } else { 0 };
-    task_finish.map(|finish| InsertionOutcome { finish, fallbacked: late_after.saturating_sub(late_before) })
+    task_finish.map(|finish| InsertionOutcome { finish, newly_late: late_after.saturating_sub(late_before) })
 }
 
 /// How many tasks of a machine's queue miss their deadline.
@@ -137,7 +137,7 @@
 
     /// Starts so many tasks of an entry and tells the start of each.
     fn start_tasks(&mut self, entry: &QueueEntry, count: u32, visit: &mut impl FnMut(&QueueEntry, Option<Timestamp>)) {
-        self.finish_gang_before(entry);
+        self.finish_previous_gang(entry);
         for _ in 0..count {
             let start = self.start_by_preemption(entry).or_else(|| self.start_when_free(entry));
             visit(entry, start);
@@ -145,7 +145,7 @@
     }
 
     /// Once the entries of a gang are through, what they release is there for others.
-    fn finish_gang_before(&mut self, entry: &QueueEntry) {
+    fn finish_previous_gang(&mut self, entry: &QueueEntry) {
         if self.current_gang != Some(entry.job) {
             self.releases.extend(self.gang_releases.drain(..).map(Reverse));
             self.current_gang = entry.is_gang.then_some(entry.job);
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -16,21 +16,22 @@
 
 /// One of the paper's servers: it runs one task at a time.
 fn paper_server(id: u64) -> PlannedMachine {
-    PlannedMachine { id: MachineId(id), machine_type: id as usize - 1, free: ONE, ..PlannedMachine::default() }
+    PlannedMachine { id: MachineId(id), machine_type: id as usize - 1, free: ONE_CPU, ..PlannedMachine::default() }
 }
 
 /// Room for one task.
-const ONE: Resources = Resources { cpus: 1000, gpus: 0, memory: 0 };
+const ONE_CPU: Resources = Resources { cpus: 1000, gpus: 0, memory: 0 };
 
 /// The same time with and without the image.
-fn always(duration: Duration) -> PredictedDurations {
+fn same_duration(duration: Duration) -> PredictedDurations {
     PredictedDurations { image_cached: duration, image_fetched: duration }
 }
 
 impl JobDirectory for PaperTable {
     fn profile(&self, job: JobId) -> Option<JobProfile> {
         let times = TIMES[job.0 as usize - 1];
-        let durations = |time: &Option<u64>| time.map(|units| always(Duration::from_millis(units * TIME_UNIT_MS)));
+        let durations =
+            |time: &Option<u64>| time.map(|units| same_duration(Duration::from_millis(units * TIME_UNIT_MS)));
         Some(JobProfile {
             durations_by_type: times.iter().map(durations).collect(),
             zone: None,
@@ -49,7 +50,7 @@
         job: JobId(number),
         queue_priority: QueuePriority { priority: 10 - priority, sequence: number },
         count: 1,
-        resources: ONE,
+        resources: ONE_CPU,
         predicted_duration: Duration::ZERO,
         is_service: false,
         deadline: Timestamp::from_millis(deadline * TIME_UNIT_MS),
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn figure_2_of_the_paper_step_by_step() {
+fn placement_reproduces_figure_2_of_the_paper() {
     let mut plans = Plans::default();
     for id in 1..=3 {
         plans.add_machines(Timestamp::ZERO, vec![paper_server(id)]);
@@ -79,8 +80,8 @@
         (task(1, 3, 15), "T1 |  | "),
         (task(2, 5, 10), "T2,T1 |  | "),
         (task(3, 2, 30), "T2,T1 |  | T3"),
-        (task(4, 4, 20), "T2,T4 | T1 | T3"),    // T1 is fallbacked and goes to S2
-        (task(5, 5, 15), "T2,T4 | T5 | T1,T3"), // T1 is fallbacked again and goes to S3
+        (task(4, 4, 20), "T2,T4 | T1 | T3"),    // T1 is newly_late and goes to S2
+        (task(5, 5, 15), "T2,T4 | T5 | T1,T3"), // T1 is newly_late again and goes to S3
     ];
     for (task, expected) in steps {
         assert_eq!(plans.place(Timestamp::ZERO, task, 1, &PaperTable), 1);
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn without_a_machine_that_meets_the_deadline_the_soonest_finish_wins() {
+fn earliest_finish_wins_if_no_machine_meets_the_deadline() {
     let mut plans = Plans::default();
     for id in 1..=3 {
         plans.add_machines(Timestamp::ZERO, vec![paper_server(id)]);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn an_idle_machine_takes_the_highest_priority_task_that_fits() {
+fn idle_machine_steals_the_highest_priority_task_that_fits() {
     let mut plans = Plans::default();
     plans.add_machines(Timestamp::ZERO, vec![paper_server(1)]);
     for waiting in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn tasks_behind_services_that_took_their_room_are_planned_anew() {
+fn tasks_that_can_never_start_on_their_machine_are_unplanned() {
     let mut plans = Plans::default();
     plans.add_machines(Timestamp::ZERO, vec![paper_server(1)]);
     plans.place(Timestamp::ZERO, task(1, 3, 1000), 1, &PaperTable);
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn correcfast_follows_its_formula() {
+fn correcfast_averages_the_ratios_of_actual_to_predicted_run_time() {
     let mut correction = Correction::default();
     correction.learn(Duration::from_millis(150), Duration::from_millis(100));
     assert_eq!(correction, Correction { percent: 150.0, executions: 1 });
@@ -149,7 +150,7 @@
     fn profile(&self, _: JobId) -> Option<JobProfile> {
         let time = Duration::from_millis(10 * TIME_UNIT_MS);
         Some(JobProfile {
-            durations_by_type: vec![Some(always(time))],
+            durations_by_type: vec![Some(same_duration(time))],
             zone: None,
             allows_spot: true,
             avoided_machines: Vec::new(),
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn a_gang_is_planned_as_a_whole_or_not_at_all() {
+fn gang_placement_is_all_or_nothing() {
     for (colocate, sizes, placed) in
         [(true, [2, 2, 2], false), (false, [2, 2, 2], true), (true, [2, 4, 2], true), (false, [1, 1, 1], false)]
     {
@@ -193,7 +194,7 @@
 
 /// On a machine with room for two, a gang of three would have to wait for itself: it was planned there one task after the other.
 #[test]
-fn tasks_of_a_gang_do_not_wait_for_each_other() {
+fn gang_is_planned_only_where_all_its_tasks_can_run_at_the_same_time() {
     let mut plans = Plans::default();
     plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2)]);
     assert!(!plans.place_gang(Timestamp::ZERO, gang(1), 3, &Cluster { colocate: false }));
@@ -209,7 +210,7 @@
 
 /// Like the paper's best server: where fewest others are pushed past their deadline, then the soonest common end.
 #[test]
-fn a_gang_goes_where_it_pushes_fewest_past_their_deadline() {
+fn gang_is_placed_where_it_makes_fewest_other_tasks_late() {
     let mut plans = Plans::default();
     plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2), machine(2, 1, 2)]);
     // Low tasks with a deadline that holds only if they start at once, in the first zone.
