--- a/src/gang/tests.rs
+++ b/src/gang/tests.rs
@@ -42,13 +42,13 @@
 fn a_new_leader_takes_the_latest_attempt_that_it_finds() {
     let mut gang = Gang::default();
     assert_eq!(gang.adopt(Timestamp::from_millis(1), AttemptNumber(5), MACHINE, true), Adoption::Live);
-    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "something of it has ended");
+    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "a task of the adopted attempt has ended");
     assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), MACHINE, false), Adoption::Supersedes);
     assert_eq!(gang.phase, GangPhase::AwaitingMembers { since: Timestamp::from_millis(2) });
     assert_eq!(gang.adopt(Timestamp::from_millis(3), AttemptNumber(5), MACHINE, false), Adoption::Stale);
     assert_eq!(gang.adopt(Timestamp::from_millis(4), AttemptNumber(9), MACHINE, false), Adoption::Live);
     gang.task_running(AttemptNumber(5));
-    assert!(!gang.is_running(), "a leftover says nothing of the live attempt");
+    assert!(!gang.is_running(), "a stale attempt does not change the phase of the live one");
     gang.task_running(AttemptNumber(9));
     assert!(gang.is_running());
 }
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -53,7 +53,7 @@
     pub(super) changed_machines: BTreeSet<MachineId>,
     /// First job that the last round did not get to because its evaluation budget was used up; the next round continues
     /// with it. `None` if the last round got through all jobs.
-    pub(super) resume_at: Option<JobId>,
+    pub(super) resume_from: Option<JobId>,
     /// Whether something has changed since the last round, so that the next one runs before provisioning is due.
     pub(super) replan_needed: bool,
     /// When the last round of planning began.
@@ -74,7 +74,7 @@
             headroom: BTreeMap::new(),
             names: NameInterner::default(),
             changed_machines: BTreeSet::new(),
-            resume_at: None,
+            resume_from: None,
             replan_needed: true,
             last_round_at: Timestamp::ZERO,
             last_provisioning_at: Timestamp::ZERO,
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -116,8 +116,8 @@
             if !self.is_startable(job, now) {
                 continue;
             }
-            if let Some(mut for_gang) = self.preemptions_for_gang(job, now, &mut simulations) {
-                preemptions.append(&mut for_gang);
+            if let Some(mut gang_preemptions) = self.preemptions_for_gang(job, now, &mut simulations) {
+                preemptions.append(&mut gang_preemptions);
             }
         }
         self.preempt(preemptions);
@@ -139,13 +139,13 @@
         let mut preemptions = Vec::new();
         for PlannedTasks { machine: id, count } in self.planning.plans.planned_tasks(preempting_job) {
             let machine = self.machines.get(&id).filter(|machine| machine.accepts_tasks())?;
-            let ahead = simulations.get(&id).cloned();
+            let existing = simulations.get(&id).cloned();
             let mut simulation =
-                ahead.unwrap_or_else(|| PreemptionSimulation::new(machine, self.victims(machine, now, priority)));
+                existing.unwrap_or_else(|| PreemptionSimulation::new(machine, self.victims(machine, now, priority)));
             simulation.retain_victims_below(priority);
-            let stopped = simulation.preempt_for(&job.spec.resources, count)?;
+            let to_stop = simulation.preempt_for(&job.spec.resources, count)?;
             new_simulations.push((id, simulation));
-            preemptions.extend(stopped.into_iter().map(|attempt| Preemption { machine: id, attempt, preempting_job }));
+            preemptions.extend(to_stop.into_iter().map(|attempt| Preemption { machine: id, attempt, preempting_job }));
         }
         simulations.extend(new_simulations);
         Some(preemptions)
--- a/src/leader/scheduling/pacing/tests.rs
+++ b/src/leader/scheduling/pacing/tests.rs
@@ -9,7 +9,7 @@
         pacing.note_slow_input(Duration::from_millis(took));
         assert!(
             pacing.round_interval().as_millis() >= 3 * took,
-            "a round of {took} ms, the next after {:?}",
+            "after a round of {took} ms, the next one may begin after {:?}",
             pacing.round_interval()
         );
         // After a round that was not slow, the minimum interval applies again.
@@ -29,7 +29,7 @@
         pacing.begin_round();
     }
     let took = pacing.evaluation_budget(700) * 40 / 1000;
-    assert!((80..=200).contains(&took), "{took} ms");
+    assert!((80..=200).contains(&took), "a full round takes {took} ms");
     // The budget grows back once evaluations are quick, as with short queues.
     for _ in 0..20 {
         pacing.begin_round();
@@ -39,7 +39,7 @@
         pacing.note_slow_input(Duration::from_secs(60));
         pacing.begin_round();
     }
-    assert!(pacing.evaluation_budget(700) >= 2, "some jobs always have their turn");
+    assert!(pacing.evaluation_budget(700) >= 2, "each half of the budget keeps at least one evaluation");
 }
 
 #[test]
--- a/src/leader/scheduling/preemption.rs
+++ b/src/leader/scheduling/preemption.rs
@@ -70,16 +70,16 @@
     /// Allocates resources for `count` tasks of this size. Returns the attempts that have to be stopped for them, or
     /// `None` if there are not enough victims.
     pub(super) fn preempt_for(&mut self, task: &Resources, count: u32) -> Option<Vec<AttemptId>> {
-        let mut stopped = Vec::new();
+        let mut to_stop = Vec::new();
         for _ in 0..count {
             let needed = victims_needed(task, self.free, &self.victims)?;
             for victim in self.victims.drain(..needed) {
                 self.free.add(&victim.resources);
-                stopped.push(victim.attempt);
+                to_stop.push(victim.attempt);
             }
             self.free.saturating_sub(task);
         }
-        Some(stopped)
+        Some(to_stop)
     }
 }
 
@@ -114,8 +114,8 @@
                 PreemptionSimulation::new(machine, self.victims(machine, now, HIGHEST_PRIORITY))
             });
             for _ in 0..entry.count {
-                let Some(stopped) = simulation.preempt_for(&entry.resources, 1) else { break };
-                preemptions.extend(stopped.into_iter().map(|attempt| Preemption {
+                let Some(to_stop) = simulation.preempt_for(&entry.resources, 1) else { break };
+                preemptions.extend(to_stop.into_iter().map(|attempt| Preemption {
                     machine: planned.id,
                     attempt,
                     preempting_job: entry.job,
--- a/src/leader/scheduling/quotas.rs
+++ b/src/leader/scheduling/quotas.rs
@@ -75,9 +75,9 @@
             && fits(team.gpus_max, used.gpus, job.spec.resources.gpus)
     }
 
-    /// Whether the job has pending tasks that may start now, as far as its state is concerned: its acceptance is durable, it is not being
-    /// cancelled, its retry delay has passed, none of its tasks can be running on a machine that is not fenced yet,
-    /// and, if it is a gang, no attempt of it is live.
+    /// Whether the job has pending tasks that may start now, as far as its state is concerned: its acceptance is
+    /// durable, it is not being cancelled, its retry delay has passed, none of its tasks can be running on a machine
+    /// that is not fenced yet, and, if it is a gang, it has no live attempt.
     pub(crate) fn is_startable(&self, job: &Job, now: Timestamp) -> bool {
         job.durable
             && !job.cancelling
--- a/src/leader/scheduling/unplanned_jobs.rs
+++ b/src/leader/scheduling/unplanned_jobs.rs
@@ -130,15 +130,15 @@
         let budget = self.planning.pacing.evaluation_budget(self.planning.plans.machines().count());
         let processed = self.plan_in_order(now, &unplanned, budget / 2, &mut progress);
         let rest = &unplanned[processed..];
-        let resume_at = self.planning.resume_at.take();
-        let first = resume_at.and_then(|id| rest.iter().position(|tasks| tasks.job == id)).unwrap_or(0);
+        let resume_from = self.planning.resume_from.take();
+        let first = resume_from.and_then(|id| rest.iter().position(|tasks| tasks.job == id)).unwrap_or(0);
         let rotated: Vec<UnplannedTasks> = rest[first..].iter().chain(&rest[..first]).copied().collect();
         let processed = self.plan_in_order(now, &rotated, budget, &mut progress);
         if let Some(next) = rotated.get(processed) {
             // The remaining jobs are left to the next round, so that heartbeats and users' requests are handled in
             // between.
             self.planning.replan_needed = true;
-            self.planning.resume_at = Some(next.job);
+            self.planning.resume_from = Some(next.job);
         }
     }
 
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -152,7 +152,7 @@
         profile: &JobProfile,
         mut zones: ZoneAllowance,
     ) -> Option<GangPlacement> {
-        let mut copies: BTreeMap<MachineId, PlannedMachine> = BTreeMap::new();
+        let mut machine_copies: BTreeMap<MachineId, PlannedMachine> = BTreeMap::new();
         let mut candidates: BinaryHeap<Reverse<RatedSlot>> = self
             .machines
             .values()
@@ -162,7 +162,7 @@
         let mut placement = GangPlacement::default();
         while (placement.slots.len() as u32) < count {
             let Reverse(RatedSlot { rating, machine: id, finish }) = candidates.pop()?;
-            let Some(machine) = copies.get(&id).or_else(|| self.machines.get(&id)) else { continue };
+            let Some(machine) = machine_copies.get(&id).or_else(|| self.machines.get(&id)) else { continue };
             if !zones.allows_task(machine.zone) {
                 continue;
             }
@@ -171,14 +171,14 @@
             placement.misses_deadline |= rating.misses_deadline;
             placement.newly_late += rating.newly_late;
             placement.slots.push(TaskSlot { machine: id, predicted_duration, finish });
-            let copy = copies.entry(id).or_insert_with(|| self.machines[&id].clone());
-            let position = insertion_position(&copy.queue, task.queue_priority);
-            copy.queue.insert(position, QueueEntry { predicted_duration, count: 1, ..*task });
-            copy.queued_tasks = (copy.queued_tasks + 1).min(MAX_QUEUED_TASKS);
+            let machine_copy = machine_copies.entry(id).or_insert_with(|| self.machines[&id].clone());
+            let position = insertion_position(&machine_copy.queue, task.queue_priority);
+            machine_copy.queue.insert(position, QueueEntry { predicted_duration, count: 1, ..*task });
+            machine_copy.queued_tasks = (machine_copy.queued_tasks + 1).min(MAX_QUEUED_TASKS);
             let unplaced = count - placement.slots.len() as u32;
-            candidates.extend(rate_slot(copy, now, task, profile, unplaced).map(Reverse));
+            candidates.extend(rate_slot(machine_copy, now, task, profile, unplaced).map(Reverse));
         }
-        placement.machine_count = copies.len();
+        placement.machine_count = machine_copies.len();
         Some(placement)
     }
 
@@ -202,11 +202,11 @@
     if !zones.colocate {
         return vec![zones.clone()];
     }
-    let only = |zone: usize| ZoneAllowance {
+    let restricted_to = |zone: usize| ZoneAllowance {
         remaining_tasks: (zones.remaining_tasks.iter().enumerate())
             .map(|(other, remaining)| if other == zone { *remaining } else { 0 })
             .collect(),
         colocate: true,
     };
-    (0..zones.remaining_tasks.len()).filter(|zone| zones.allows_task(*zone)).map(only).collect()
+    (0..zones.remaining_tasks.len()).filter(|zone| zones.allows_task(*zone)).map(restricted_to).collect()
 }
--- a/src/plan/machines.rs
+++ b/src/plan/machines.rs
@@ -44,14 +44,13 @@
     pub fn add_machines(&mut self, now: Timestamp, new_machines: Vec<PlannedMachine>) {
         let Some(ready_at) = new_machines.iter().map(|machine| machine.ready_at).min() else { return };
         let mut cpus_left = 2 * new_machines.iter().map(|machine| machine.free.cpus).sum::<u64>();
-        for (n, late_starting) in self.tasks_starting_after(now, ready_at + MIN_REPLANNING_GAIN).into_iter().enumerate()
-        {
-            let cpus = late_starting.entry.resources.cpus;
+        for (n, task) in self.tasks_starting_after(now, ready_at + MIN_REPLANNING_GAIN).into_iter().enumerate() {
+            let cpus = task.entry.resources.cpus;
             if n >= MAX_REPLANNED_TASKS && cpus > cpus_left {
                 break;
             }
             cpus_left = cpus_left.saturating_sub(cpus);
-            self.unplan_last(late_starting.machine, late_starting.entry.job);
+            self.unplan_last(task.machine, task.entry.job);
         }
         for machine in new_machines {
             self.changed_machines.insert(machine.id);
@@ -69,7 +68,7 @@
                 }
             });
         }
-        late_starting.sort_unstable_by_key(|late_starting| (late_starting.entry.queue_priority, late_starting.machine));
+        late_starting.sort_unstable_by_key(|task| (task.entry.queue_priority, task.machine));
         late_starting
     }
 
--- a/src/plan/queues.rs
+++ b/src/plan/queues.rs
@@ -86,8 +86,8 @@
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let position = insertion_position(&machine.queue, entry.queue_priority);
         match position.checked_sub(1).map(|before| &mut machine.queue[before]) {
-            Some(same) if same.job == entry.job && same.predicted_duration == entry.predicted_duration => {
-                same.count += entry.count;
+            Some(previous) if previous.job == entry.job && previous.predicted_duration == entry.predicted_duration => {
+                previous.count += entry.count;
             }
             _ => machine.queue.insert(position, entry),
         }
@@ -148,19 +148,19 @@
             task_count: 0,
             tasks_by_machine: BTreeMap::new(),
         });
-        let changed = |count: u32| (i64::from(count) + change).max(0) as u32;
-        planned.task_count = changed(planned.task_count);
+        let adjusted = |count: u32| (i64::from(count) + change).max(0) as u32;
+        planned.task_count = adjusted(planned.task_count);
         let on_machine = planned.tasks_by_machine.entry(id).or_insert(0);
-        *on_machine = changed(*on_machine);
+        *on_machine = adjusted(*on_machine);
         if *on_machine == 0 {
             planned.tasks_by_machine.remove(&id);
         }
-        let place = (planned.queue_priority, job);
+        let key = (planned.queue_priority, job);
         if planned.task_count == 0 {
             self.planned_jobs.remove(&job);
-            self.by_priority.remove(&place);
+            self.by_priority.remove(&key);
         } else {
-            self.by_priority.insert(place);
+            self.by_priority.insert(key);
         }
     }
 }
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -105,17 +105,17 @@
 fn idle_machine_steals_the_highest_priority_task_that_fits() {
     let mut plans = Plans::default();
     plans.add_machines(Timestamp::ZERO, vec![paper_server(1)]);
-    for waiting in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
-        plans.place(Timestamp::ZERO, waiting, 1, &PaperTable);
+    for queued in [task(1, 3, 1000), task(2, 5, 1000), task(4, 4, 1000)] {
+        plans.place(Timestamp::ZERO, queued, 1, &PaperTable);
     }
     plans.add_machines(
         Timestamp::ZERO,
         vec![PlannedMachine { ready_at: Timestamp::from_millis(1_000_000), ..paper_server(2) }],
     );
-    let taken = plans
+    let stolen = plans
         .steal_for(MachineId(2), &|entry, thief| PaperTable.profile(entry.job)?.predicted_duration(thief))
         .unwrap();
-    assert_eq!(taken.job, JobId(2));
+    assert_eq!(stolen.job, JobId(2));
     assert_eq!(queues_by_machine(&plans), "T4,T1 | T2");
 }
 
@@ -218,8 +218,8 @@
     plans.add_machines(Timestamp::ZERO, vec![machine(1, 0, 2), machine(2, 1, 2)]);
     // Tasks of low priority in the first zone, which meet their deadline only if they start at once.
     for number in 5..7 {
-        let waits = QueueEntry { predicted_duration: Duration::from_millis(10 * TIME_UNIT_MS), ..task(number, 1, 11) };
-        plans.enqueue(MachineId(1), waits);
+        let queued = QueueEntry { predicted_duration: Duration::from_millis(10 * TIME_UNIT_MS), ..task(number, 1, 11) };
+        plans.enqueue(MachineId(1), queued);
     }
     assert!(plans.place_gang(Timestamp::ZERO, gang(1), 2, &Cluster { colocate: true }));
     assert_eq!(plans.planned_tasks(JobId(1)), [PlannedTasks { machine: MachineId(2), count: 2 }]);
