--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -1,4 +1,4 @@
-//! What the cloud answers: machines that were rented, have failed or are gone.
+//! Handles the cloud's responses: machines that have been provisioned, have failed or are gone.
 
 use super::Leader;
 use crate::cloud::{CloudEvent, PendingInstance};
@@ -10,7 +10,7 @@
 use log::info;
 
 impl Leader {
-    /// Takes the cloud's response to the request with this number.
+    /// Processes the cloud's response to the request with this id.
     pub fn handle_cloud_response(
         &mut self,
         now: Timestamp,
@@ -43,8 +43,8 @@
             match event {
                 CloudEvent::Request(id, request) => out.push(Effect::CallCloud(self.token.0, id, request)),
                 CloudEvent::MachineFailed(id) => self.machine_failed(id),
-                CloudEvent::MachinesRented(ids) => self.machines_rented(now, wall, &ids),
-                CloudEvent::MachinesGone(ids) => self.machines_gone(now, &ids),
+                CloudEvent::MachinesProvisioned(ids) => self.machines_provisioned(now, wall, &ids),
+                CloudEvent::MachinesReleased(ids) => self.machines_released(now, &ids),
             }
         }
     }
@@ -57,15 +57,15 @@
         self.cloud.release(id, DrainReason::CloudFailure);
     }
 
-    fn machines_rented(&mut self, now: Timestamp, wall: WallClock, ids: &[MachineId]) {
+    fn machines_provisioned(&mut self, now: Timestamp, wall: WallClock, ids: &[MachineId]) {
         for id in ids {
             if let Some(instance) = self.cloud.pending_instance(*id) {
-                self.log.append(rental_record(*id, instance, now, wall));
+                self.log.append(provisioning_record(*id, instance, now, wall));
             }
         }
     }
 
-    fn machines_gone(&mut self, now: Timestamp, ids: &[MachineId]) {
+    fn machines_released(&mut self, now: Timestamp, ids: &[MachineId]) {
         self.planning.replan_needed = true;
         for id in ids {
             self.log.append(LogRecord::MachineGone(*id));
@@ -81,14 +81,20 @@
     }
 }
 
-/// The record that a machine was rented. The address of its worker is learnt from its first heartbeat.
-pub(super) fn rental_record(id: MachineId, instance: &PendingInstance, now: Timestamp, wall: WallClock) -> LogRecord {
-    LogRecord::MachineRented(MachineRecord {
+/// Returns the log record of a provisioned machine. It has no endpoint: the worker's first heartbeat contains its
+/// address.
+pub(super) fn provisioning_record(
+    id: MachineId,
+    instance: &PendingInstance,
+    now: Timestamp,
+    wall: WallClock,
+) -> LogRecord {
+    LogRecord::MachineProvisioned(MachineRecord {
         id,
         endpoint: String::new(),
         machine_type: instance.machine_type.clone(),
         zone: instance.zone.clone(),
         spot: instance.spot,
-        rented_at: wall.at_timestamp(now, instance.requested_at),
+        provisioned_at: wall.at_timestamp(now, instance.requested_at),
     })
 }
--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -99,7 +99,7 @@
 
 /// Position of a job's tasks in machine queues, from the job's effective priority and its order of arrival.
 pub(crate) fn queue_priority(job: &Job) -> QueuePriority {
-    QueuePriority { priority: job.effective_priority, sequence: job.queue_sequence }
+    QueuePriority { priority: job.effective_priority, sequence: job.queue_order }
 }
 
 /// Whether tasks of this job may start in headroom. Headroom is meant for latency-sensitive classes; services and jobs
--- a/src/leader/scheduling/gangs.rs
+++ b/src/leader/scheduling/gangs.rs
@@ -62,7 +62,7 @@
             };
             view.allows_machine(job, planned.machine)
                 && !machine.holds_job(job.spec.id)
-                && job.spec.resources.copies_in(&machine.free_resources()) >= u64::from(planned.count)
+                && job.spec.resources.count_fitting(&machine.free_resources()) >= u64::from(planned.count)
         })
     }
 
@@ -153,7 +153,7 @@
 
     /// Carries out the next action of each gang.
     pub(super) fn update_gangs(&mut self, now: Timestamp) {
-        let wait_limit = self.settings.deployment.workers.gang_wait().mul_f64(GANG_WAIT_SHARE);
+        let wait_limit = self.settings.deployment.workers.gang_wait_timeout().mul_f64(GANG_WAIT_SHARE);
         let actions: Vec<(JobId, GangAction)> = self
             .jobs
             .gangs()
@@ -228,7 +228,7 @@
     /// Machine on which a lost task is started again: one that can start it now, preferably with the image cached, then
     /// with the fewest free CPUs.
     fn replacement_machine(&self, job: &Job, task: TaskId, now: Timestamp) -> Option<MachineId> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let can_start = |machine: &&Machine| {
             machine.accepts_tasks()
                 && machine.reached_within(now, overdue)
--- a/src/leader/scheduling/machine_view.rs
+++ b/src/leader/scheduling/machine_view.rs
@@ -83,7 +83,7 @@
     /// A registered machine; `None` while it drains, is being reclaimed or is unreachable.
     fn planned_worker_machine(&mut self, now: Timestamp, id: MachineId) -> Option<PlannedMachine> {
         let machine = self.machines.get_mut(&id)?;
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue = self.settings.deployment.workers.heartbeat_overdue_after();
         let machine_type = self.cloud.machine_type(&machine.record.machine_type)?;
         if machine.capacity == Resources::default() {
             machine.capacity = jobs::capacity(machine_type);
--- a/src/leader/scheduling/unplanned_jobs.rs
+++ b/src/leader/scheduling/unplanned_jobs.rs
@@ -75,7 +75,7 @@
     /// would never start (docs/design.md, exception 8).
     pub(super) fn promote_starved(&mut self, now: Timestamp) {
         let starved: Vec<JobId> =
-            self.jobs.waiting().filter(|job| self.is_starved(job, now)).map(|job| job.spec.id).collect();
+            self.jobs.pending_jobs().filter(|job| self.is_starved(job, now)).map(|job| job.spec.id).collect();
         for id in starved {
             info!("job promoted job={id} reason=\"nothing of it has begun\"");
             self.planning.plans.unplan_job(id);
@@ -124,7 +124,7 @@
     /// round stopped. If every round began with the job of highest priority, a few services that fit on no machine
     /// could use up the budget of each round, and no other job would be planned as long as they are pending.
     pub(super) fn plan_unplanned_tasks(&mut self, now: Timestamp, usage: &TeamUsage) {
-        self.jobs.prune_waiting();
+        self.jobs.prune_pending_jobs();
         let unplanned = self.unplanned_tasks(now, usage);
         let mut progress = RoundProgress::default();
         let budget = self.planning.pacing.evaluation_budget(self.planning.plans.machines().count());
@@ -145,7 +145,7 @@
     /// Startable tasks that are in no queue, by job in order of priority.
     fn unplanned_tasks(&self, now: Timestamp, usage: &TeamUsage) -> Vec<UnplannedTasks> {
         self.jobs
-            .waiting()
+            .pending_jobs()
             .filter(|job| self.is_startable(job, now) && self.within_quota(usage, job, 1))
             .map(|job| UnplannedTasks { job: job.spec.id, count: self.unplanned_count(job) })
             .filter(|tasks| tasks.count > 0)
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -114,7 +114,7 @@
         misses_deadline,
         newly_late: if misses_deadline { 0 } else { outcome.newly_late },
         finish: finish_bucket(outcome.finish),
-        tasks_beyond_free_resources: u64::from(unplaced).saturating_sub(task.resources.copies_in(&machine.free)),
+        tasks_beyond_free_resources: u64::from(unplaced).saturating_sub(task.resources.count_fitting(&machine.free)),
         bias: machine.bias.for_other_tasks,
     };
     Some(RatedSlot { rating, machine: machine.id, finish: outcome.finish })
