--- a/src/leader/scheduling.rs
+++ b/src/leader/scheduling.rs
@@ -32,8 +32,7 @@
 pub(crate) use name_interner::NameInterner;
 pub(crate) use pacing::Pacing;
 
-/// Minimum interval between two periodic drain rounds. A successful write of drain records triggers
-/// additional rounds.
+/// Minimum interval between two periodic drain rounds. A successful write of drain records triggers additional rounds.
 const MIN_DRAIN_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The queues of all machines, and the state that planning carries over from one round to the next.
@@ -109,8 +108,8 @@
 }
 
 impl Leader {
-    /// Runs a round of planning if one is due. Provisioning and drains have intervals of their own and run in the same
-    /// call if they are due; they send requests to the cloud only while the leader's lease is valid.
+    /// Runs a round of planning if one is due. Provisioning and drains have longer intervals of their own; if they are
+    /// due, they run in the same call, but only while the leader's lease is valid.
     pub(crate) fn schedule_if_due(
         &mut self,
         now: Timestamp,
--- a/src/leader/scheduling/name_interner.rs
+++ b/src/leader/scheduling/name_interner.rs
@@ -48,8 +48,7 @@
         index
     }
 
-    /// Returns the index of a zone; `None` if this leader has seen no machine or pending instance
-    /// there.
+    /// Returns the index of a zone; `None` if this leader has seen no machine or pending instance there.
     pub(crate) fn zone_index_of(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone == name)
     }
--- a/src/leader/scheduling/preemption.rs
+++ b/src/leader/scheduling/preemption.rs
@@ -3,7 +3,7 @@
 use super::machine_view::may_be_preempted;
 use super::*;
 
-/// Only services of this priority preempt other tasks.
+/// The only priority at which services preempt other tasks. Gangs may preempt at any priority.
 const HIGHEST_PRIORITY: u8 = 0;
 
 /// A running task that may be preempted.
--- a/src/leader/scheduling/quotas.rs
+++ b/src/leader/scheduling/quotas.rs
@@ -1,4 +1,4 @@
-//! Admission of single starts: quotas of teams, and the conditions under which tasks of a job may start at all.
+//! Conditions under which tasks of a job may start: the quota of its team, and the state of the job.
 
 use super::*;
 
--- a/src/leader/scheduling/unplanned_jobs.rs
+++ b/src/leader/scheduling/unplanned_jobs.rs
@@ -94,8 +94,8 @@
 
     /// Removes queued tasks that violate their job's zone constraints: the job has its maximum of tasks in that zone
     /// already, or its tasks must share a zone and some run in another one. This happens when an idle machine steals a
-    /// task from a queue in another zone: one task too many stays queued in the job's own zone, fits there, but may not
-    /// start, and would wait forever.
+    /// task from a queue in another zone: one of the job's tasks that are queued in the zone of the idle machine is
+    /// then one too many. It fits on its machine, but may not start there, and would wait forever.
     pub(super) fn unplan_zone_violations(&mut self) {
         let mut violations: Vec<(MachineId, JobId)> = Vec::new();
         for planned in self.planning.plans.planned_jobs() {
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -34,8 +34,8 @@
 /// The same for other tasks, whose predicted ends are less accurate than this.
 const TASK_FINISH_GRANULARITY: Duration = Duration::from_millis(2000);
 
-/// Number of priorities, from 0 (the highest) on, at which services of priority 0 and gangs may preempt tasks of lower
-/// priority.
+/// Number of priorities, from 0 (the highest) on, at which jobs may preempt tasks of lower priority in the plan:
+/// services at 0 only, gangs at each of them.
 pub const PREEMPTING_PRIORITIES: usize = 3;
 
 /// Delay that the plan adds to a start by preemption. It is longer than `SERVICE_FINISH_GRANULARITY`, so that machines
