--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -192,7 +192,7 @@
     }
 
     /// Whether a machine is a replacement whose counterpart is still to be drained.
-    pub(crate) fn is_replacement(&self, id: MachineId) -> bool {
+    pub(crate) fn is_retained_replacement(&self, id: MachineId) -> bool {
         let Some(drains) = &self.drain_state.coordinator else { return false };
         let retained =
             |machine: &Machine| drains.retains_replacement(id, &pool_of(&machine.record), machine.record.rented_at);
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -1,4 +1,4 @@
-//! Provisioning: which instances are rented for tasks that wait, and which machines are emptied and given back.
+//! Provisioning: decides which instances to request for pending tasks, and which machines to empty and release.
 
 mod demand;
 mod expected_services;
@@ -15,25 +15,25 @@
 use crate::types::{Duration, Timestamp, WallClock};
 use log::debug;
 pub(crate) use solver::MachineDemand;
-use solver::{CpuSupply, Offers};
+use solver::{CpuSupply, InstanceOfferings};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A new leader waits this long before it scales out while machines of earlier leaders are not fenced: what they run
-/// is not known before.
+/// While machines of earlier leaders are not fenced, a new leader waits this long after its election before it scales
+/// out: until then it does not know which tasks those machines run.
 const SCALE_OUT_DELAY_AFTER_ELECTION: Duration = Duration::from_secs(3);
-/// How long nothing is rented in a zone in which most machines have fallen silent: what is rented there most likely
-/// cannot send heartbeats either.
-const ZONE_AVOIDANCE: Duration = Duration::from_secs(40);
+/// No instances are requested in a zone for this long after most of its machines were seen silent: new instances there
+/// most likely could not send heartbeats either.
+const ZONE_AVOIDANCE_PERIOD: Duration = Duration::from_secs(40);
 
-/// Instances of one pool that are asked for in one request.
+/// One request to the cloud for instances of one pool.
 struct PlannedRequest {
     pool: InstancePool,
     count: u32,
 }
 
 impl Leader {
-    /// Rents instances for what waits too long on the machines that there are, and for headroom.
+    /// Requests instances for tasks that the existing machines would start too late, for headroom and for drains.
     pub(crate) fn scale_out(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         if !self.may_scale_out(now) {
             return;
@@ -43,7 +43,7 @@
             return;
         }
         log_demands(&demands);
-        let counts = self.instances_to_rent(now, &demands);
+        let counts = self.instances_to_request(now, &demands);
         let mut events = Vec::new();
         for request in planned_requests(counts).into_iter().take(self.cloud.available_requests()) {
             self.cloud.scale_out(now, &request.pool, request.count, &mut events);
@@ -52,17 +52,18 @@
     }
 
     fn may_scale_out(&self, now: Timestamp) -> bool {
-        let leads_long_enough = now.since(self.leader_since) >= SCALE_OUT_DELAY_AFTER_ELECTION;
-        !self.cloud.scale_out_in_flight() && (self.all_machines_fenced() || leads_long_enough)
+        let delay_elapsed = now.since(self.leader_since) >= SCALE_OUT_DELAY_AFTER_ELECTION;
+        !self.cloud.scale_out_in_flight() && (self.all_machines_fenced() || delay_elapsed)
     }
 
-    /// How many instances of each pool are rented for these demands, and as probes of zones.
-    fn instances_to_rent(&self, now: Timestamp, demands: &[MachineDemand]) -> BTreeMap<InstancePool, u32> {
-        let offers = Offers {
+    /// Returns how many instances of each pool to request for these demands and as probes of suspected zones. At most
+    /// one at a time is requested per pool in a zone without machines, since the zone may be unreachable.
+    fn instances_to_request(&self, now: Timestamp, demands: &[MachineDemand]) -> BTreeMap<InstancePool, u32> {
+        let offerings = InstanceOfferings {
             machine_types: self.cloud.machine_types().unwrap_or_default(),
             is_avoided: &|pool| self.is_pool_avoided(pool, now),
         };
-        let mut counts = solver::instances_for(demands, &offers, self.cpu_supply());
+        let mut counts = solver::instances_for(demands, &offerings, self.cpu_supply());
         for (_, count) in counts.iter_mut().filter(|(pool, _)| self.zones.empty.contains(&pool.zone)) {
             *count = 1;
         }
@@ -70,15 +71,16 @@
         counts
     }
 
-    /// Whether nothing is to be rented in a pool now, because it refused or its zone may be out of reach.
+    /// Whether no instances may be requested from a pool now: the pool refused a recent request, its zone may be
+    /// unreachable, or its zone has no machines yet and one instance is already booting there.
     fn is_pool_avoided(&self, pool: &InstancePool, now: Timestamp) -> bool {
         self.cloud.recently_refused(pool, now)
-            || self.zone_unreachable_within(&pool.zone, now, ZONE_AVOIDANCE)
+            || self.zone_unreachable_within(&pool.zone, now, ZONE_AVOIDANCE_PERIOD)
             || self.zones.suspected.contains(&pool.zone)
             || (self.zones.empty.contains(&pool.zone) && self.has_pending_instance(&pool.zone))
     }
 
-    /// CPUs of the machines that are up or on their way.
+    /// Returns the CPUs of all registered machines and pending instances.
     fn cpu_supply(&self) -> CpuSupply {
         let mut supply = CpuSupply::default();
         for machine in self.machines.values() {
@@ -102,8 +104,8 @@
     }
 }
 
-/// The requests for so many instances of each pool; on-demand ones first, since services have no other place, and then
-/// the largest.
+/// Splits the instance counts into requests of at most `MAX_INSTANCES_PER_REQUEST`. The rate limit may allow only the
+/// first of them: requests for on-demand instances come first, since services run on nothing else, then larger ones.
 fn planned_requests(counts: BTreeMap<InstancePool, u32>) -> Vec<PlannedRequest> {
     let mut requests: Vec<PlannedRequest> = Vec::new();
     for (pool, count) in counts {
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -1,4 +1,5 @@
-//! Demand: tasks that a machine rented now would start soon enough, and the machines that there are would not.
+//! Machine demand: the pending tasks that the existing machines would start too late, and a machine requested now would
+//! start sooner.
 
 use super::MachineDemand;
 use crate::jobs::Job;
@@ -8,41 +9,42 @@
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::BTreeMap;
 
-/// Boot time in seconds while no machine type is known.
-const UNKNOWN_SHORTEST_BOOT_S: f64 = 30.0;
-/// A service is late if it would start this much later than on a machine rented now.
+/// Assumed boot time in seconds while the cloud's machine types have not been fetched.
+const DEFAULT_SHORTEST_BOOT_S: f64 = 30.0;
+/// A task of a service is late if it is predicted to start more than this much later than on a machine requested now.
 const SERVICE_START_MARGIN: Duration = Duration::from_secs(5);
-/// A task that ends by itself may be late only if it would start this much later than on a machine rented now.
+/// A batch task can be late only if it is predicted to start more than this much later than on a machine requested now.
 const BATCH_START_MARGIN: Duration = Duration::from_secs(3);
-/// A job that no round has planned for this time may find room yet, and is no demand.
-const RECENTLY_PLANNED: Duration = Duration::from_secs(5);
-/// An on-demand machine rented instead of a spot machine runs tasks in turn for about this time: it has to be worth its
-/// price.
-const ON_DEMAND_USE: Duration = Duration::from_secs(100);
-/// Most tasks that such a machine is expected to run in turn.
-const MAX_TASKS_IN_TURN: u64 = 4;
-/// Limits of teams are given in whole CPUs and GPUs, resources in thousandths.
-const THOUSANDTHS: f64 = 1000.0;
-
-/// What the demands of one round are measured against.
+/// Only jobs that a scheduling round has tried to place within this time create demand. For any other job it is not
+/// known yet whether the existing machines have capacity for it.
+const RECENT_PLANNING_WINDOW: Duration = Duration::from_secs(5);
+/// An on-demand machine that is requested in place of a spot machine should run tasks one after another for about this
+/// long, so that it is worth its price.
+const ON_DEMAND_BUSY_TIME: Duration = Duration::from_secs(100);
+/// Maximum number of tasks that such a machine is expected to run one after another.
+const MAX_SEQUENTIAL_TASKS: u64 = 4;
+/// Team limits are set in whole CPUs and GPUs, resources are counted in thousandths.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
+
+/// Conditions under which the demands of one provisioning round are determined.
 #[derive(Clone, Copy)]
 pub(super) struct DemandRound {
     pub(super) now: Timestamp,
-    /// How long a machine rented now takes to boot.
+    /// How long a machine requested now takes to boot.
     pub(super) boot: Duration,
-    /// Whether all spot pools refused to scale out lately.
+    /// Whether all spot pools are in the backoff that follows a refused request.
     pub(super) spot_unavailable: bool,
 }
 
 impl DemandRound {
-    /// When a machine that is rented now is up.
+    /// Returns when a machine that is requested now has booted.
     pub(super) fn machine_up_at(self) -> Timestamp {
         self.now + self.boot
     }
 }
 
-/// Late tasks are counted by job, those apart for which on-demand machines are rented too; the first in the queue come
-/// first.
+/// Key by which late tasks are counted, in the order of the scheduling queue. The tasks of a job that justify on-demand
+/// machines are counted apart from its other tasks.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct LateTasks {
     priority: QueuePriority,
@@ -51,7 +53,7 @@
 }
 
 impl Leader {
-    /// Machines that are wanted for what waits too long, for headroom and for drains.
+    /// Returns the demands for late tasks, for headroom and for the replicas that drains have to move.
     pub(super) fn machine_demands(&mut self, now: Timestamp) -> Vec<MachineDemand> {
         let round = DemandRound {
             now,
@@ -62,17 +64,17 @@
         self.count_late_planned_tasks(round, &mut late_tasks);
         self.count_unplanned_tasks(round, &mut late_tasks);
         let headroom = self.headroom(now, round.boot);
-        let of_jobs = late_tasks.into_iter().filter_map(|(late, count)| self.demand_of_job(&late, count));
-        let demands = of_jobs.chain(headroom).chain(self.replica_demands(now));
+        let job_demands = late_tasks.into_iter().filter_map(|(late, count)| self.demand_of_job(&late, count));
+        let demands = job_demands.chain(headroom).chain(self.replica_demands(now));
         demands.filter(|demand| demand.count > 0).collect()
     }
 
     fn shortest_boot(&self) -> Duration {
-        let boots_s = self.cloud.machine_types().into_iter().flatten().map(|machine_type| machine_type.boot_s);
-        Duration::from_secs_f64(boots_s.reduce(f64::min).unwrap_or(UNKNOWN_SHORTEST_BOOT_S))
+        let boot_times_s = self.cloud.machine_types().into_iter().flatten().map(|machine_type| machine_type.boot_s);
+        Duration::from_secs_f64(boot_times_s.reduce(f64::min).unwrap_or(DEFAULT_SHORTEST_BOOT_S))
     }
 
-    /// Counts tasks that wait in a machine's queue and would start too late there.
+    /// Counts the tasks in machines' queues that would start too late there.
     fn count_late_planned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
         for machine in self.planning.plans.machines().filter(|machine| !machine.queue.is_empty()) {
             for PredictedStart { task: entry, start } in self.planning.plans.predicted_starts(machine.id, round.now) {
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Whether a new machine would start a task of a queue sooner, and it is late without: a service always, other
-    /// tasks if they end past the target of their job.
+    /// Whether a queued task is late: a new machine would start it sooner by more than the margin and, unless it
+    /// belongs to a service, it is predicted to end after the completion target of its job.
     fn starts_late(&self, entry: &QueueEntry, predicted_start: Option<Timestamp>, round: DemandRound) -> bool {
         let Some(start) = predicted_start else { return true };
         if entry.is_service {
@@ -101,17 +103,17 @@
         start > round.machine_up_at() + BATCH_START_MARGIN && start + entry.predicted_duration > target
     }
 
-    /// Counts tasks for which no machine's queue has a place.
+    /// Counts the startable tasks that the last scheduling round could not add to any machine's queue.
     fn count_unplanned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
         let startable = self.jobs.waiting().filter(|job| self.is_startable(job, round.now));
-        for job in startable.filter(|job| round.now.since(job.last_planned_at) < RECENTLY_PLANNED) {
+        for job in startable.filter(|job| round.now.since(job.last_planned_at) < RECENT_PLANNING_WINDOW) {
             let unplanned = job.pending.len().saturating_sub(self.planning.plans.planned_count(job.spec.id));
             if unplanned > 0 {
-                let run = self.planning.correction.predict(job.spec.estimated_duration);
+                let predicted_duration = self.planning.correction.predict(job.spec.estimated_duration);
                 let late = LateTasks {
                     priority: queue_priority(job),
                     job: job.spec.id,
-                    justifies_on_demand: self.justifies_on_demand(job, round, None, run),
+                    justifies_on_demand: self.justifies_on_demand(job, round, None, predicted_duration),
                 };
                 *late_tasks.entry(late).or_insert(0) += unplanned;
             }
@@ -121,11 +123,11 @@
     fn demand_of_job(&self, late: &LateTasks, task_count: u32) -> Option<MachineDemand> {
         let job = self.jobs.get(late.job)?;
         let replaces_spot = late.justifies_on_demand && job.spec.allows_spot;
-        let tasks_in_turn = if replaces_spot { tasks_in_turn(job.spec.estimated_duration) } else { 1 };
+        let sequential_tasks = if replaces_spot { sequential_tasks(job.spec.estimated_duration) } else { 1 };
         Some(MachineDemand {
             job: late.job,
             resources: job.spec.resources,
-            count: task_count.div_ceil(tasks_in_turn).min(self.max_tasks_of_team(job)),
+            count: task_count.div_ceil(sequential_tasks).min(self.max_tasks_of_team(job)),
             allows_spot: job.spec.allows_spot,
             allows_on_demand: late.justifies_on_demand || !job.spec.allows_spot,
             machine_types: job.spec.machine_types.clone(),
@@ -135,7 +137,7 @@
         })
     }
 
-    /// The zone in which a gang that wants one zone is planned.
+    /// Returns the zone in which members of a gang that must run in a single zone are planned already.
     fn planned_gang_zone(&self, job: &Job) -> Option<String> {
         if !is_colocated_gang(job) {
             return None;
@@ -145,7 +147,7 @@
         self.planning.names.zone_name(zone).map(str::to_string)
     }
 
-    /// How many tasks of a job its team's limits let run at once.
+    /// Returns how many tasks of a job may run at the same time within the CPU and GPU limits of its team.
     fn max_tasks_of_team(&self, job: &Job) -> u32 {
         let teams = &self.settings.deployment.teams;
         let Some(team) = teams.iter().find(|team| team.name == job.spec.team) else { return 0 };
@@ -159,16 +161,16 @@
     job.gang.is_some() && job.spec.colocate_in_zone
 }
 
-/// How many tasks of this duration an on-demand machine runs in turn instead of spot machines.
-fn tasks_in_turn(duration: Duration) -> u32 {
-    (ON_DEMAND_USE.as_millis() / duration.as_millis().max(1)).clamp(1, MAX_TASKS_IN_TURN) as u32
+/// Returns how many tasks of this duration one on-demand machine runs one after another, in place of spot machines.
+fn sequential_tasks(duration: Duration) -> u32 {
+    (ON_DEMAND_BUSY_TIME.as_millis() / duration.as_millis().max(1)).clamp(1, MAX_SEQUENTIAL_TASKS) as u32
 }
 
-/// How many tasks that take so many thousandths fit a limit in whole units; a limit of 0 is none.
+/// Returns how many tasks, each with a request in thousandths, fit into a limit in whole units. 0 means no limit.
 fn tasks_within_limit(limit: f64, thousandths_per_task: u64) -> u64 {
     let has_limit = limit > 0.0;
     if !has_limit {
         return u64::MAX;
     }
-    ((limit * THOUSANDTHS) as u64).checked_div(thousandths_per_task).unwrap_or(u64::MAX)
+    ((limit * THOUSANDTHS_PER_UNIT) as u64).checked_div(thousandths_per_task).unwrap_or(u64::MAX)
 }
--- a/src/leader/provisioning/expected_services.rs
+++ b/src/leader/provisioning/expected_services.rs
@@ -1,41 +1,43 @@
-//! How many replicas of services are likely to need room soon: new ones, and those of zones that are out of reach.
+//! Estimates how many replicas of services will soon need capacity: those of services that are likely to be submitted,
+//! and those that are likely to be moved out of unreachable zones.
 
 use crate::jobs::Job;
 use crate::leader::Leader;
 use crate::types::{Duration, JobId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Services that came within this time tell how many come next.
+/// The arrival rate of services is estimated from the submissions of this period.
 const ARRIVAL_WINDOW: Duration = Duration::from_secs(120);
-/// Arrivals are counted in slots of this length.
+/// Length of the slots in which arrivals are counted.
 const ARRIVAL_SLOT: Duration = Duration::from_secs(10);
-/// Most tasks that a slot counts for. Jobs that come all at once, as at a start, say little of what comes next: a slot
-/// counts for no more than this, or than `SLOT_LIMIT_MEDIANS` usual ones.
-const SLOT_LIMIT_TASKS: u32 = 6;
-/// Most tasks that a slot counts for, in median slots.
-const SLOT_LIMIT_MEDIANS: u32 = 3;
-/// Seconds from the boot of a machine until what came meanwhile has started on it.
-const START_AFTER_BOOT_S: f64 = 10.0;
-/// Tasks that are expected at least, once a service has come.
+/// A slot contributes at most this many tasks, or `MAX_MEDIANS_PER_SLOT` times the median slot if that is more. Bursts,
+/// as at the start of a deployment, do not predict later arrivals.
+const MAX_TASKS_PER_SLOT: u32 = 6;
+/// Maximum contribution of a slot, as a multiple of the median slot.
+const MAX_MEDIANS_PER_SLOT: u32 = 3;
+/// Seconds from the end of a machine's boot until the tasks that were submitted in the meantime have started on it.
+const START_DELAY_AFTER_BOOT_S: f64 = 10.0;
+/// Minimum number of tasks that are expected while at least one service exists.
 const MIN_EXPECTED_TASKS: u64 = 3;
-/// A new leader waits this long for heartbeats before it takes a zone that does not answer for lost.
-const HEARTBEATS_AFTER_ELECTION: Duration = Duration::from_secs(3);
+/// A new leader waits this long for heartbeats before it assumes that a silent zone is lost.
+const HEARTBEAT_WAIT_AFTER_ELECTION: Duration = Duration::from_secs(3);
 
-/// Services that are likely to come.
+/// The services that are likely to be submitted soon.
 pub(super) struct ExpectedServices<'a> {
-    /// A job like them, the one with the largest tasks.
+    /// The existing service whose tasks request the most CPUs; stands for the expected ones.
     pub(super) typical_job: &'a Job,
-    /// Tasks of all of them.
+    /// Total number of tasks of the expected services.
     pub(super) tasks: u64,
 }
 
 impl Leader {
-    /// How many tasks of services are likely to come within a boot; nothing if there is no service to judge by.
+    /// Estimates how many service tasks are submitted until a machine requested now has booted and started them.
+    /// Returns `None` while there is no service to estimate from.
     pub(super) fn expected_services(&self, boot_s: f64) -> Option<ExpectedServices<'_>> {
         let now = self.planning.last_round_at;
         let mut tasks_by_slot: BTreeMap<u64, u32> = BTreeMap::new();
         let mut typical_job: Option<&Job> = None;
-        for job in self.jobs.live().filter(|job| is_unbound_service(job)) {
+        for job in self.jobs.live().filter(|job| needs_headroom(job)) {
             let age = now.since(job.submitted_at);
             if age < ARRIVAL_WINDOW {
                 let slot = age.as_millis() / ARRIVAL_SLOT.as_millis();
@@ -46,35 +48,37 @@
             }
         }
         let typical_job = typical_job?;
-        let window_s = boot_s + START_AFTER_BOOT_S;
+        let window_s = boot_s + START_DELAY_AFTER_BOOT_S;
         let tasks = (arrivals_per_s(&tasks_by_slot) * window_s * self.settings.tuning.room_ahead).ceil() as u64;
         Some(ExpectedServices { typical_job, tasks: tasks.max(MIN_EXPECTED_TASKS) })
     }
 
-    /// Replicas that a new leader holds back because a zone does not answer: they are most likely lost with it, and
-    /// the machines for them should be up when that is sure.
-    pub(super) fn replicas_held_back(&self, now: Timestamp) -> u64 {
+    /// Returns how many replicas a new leader does not start yet because they may still run in a zone that has been
+    /// silent since the election. They are most likely lost, and the machines for them should be up once that is
+    /// certain. Zones of recent leaders do not count: such a leader most likely keeps the leases of the machines in its
+    /// own zone alive.
+    pub(super) fn deferred_replicas(&self, now: Timestamp) -> u64 {
         if self.all_machines_fenced()
-            || now.since(self.leader_since) < HEARTBEATS_AFTER_ELECTION
+            || now.since(self.leader_since) < HEARTBEAT_WAIT_AFTER_ELECTION
             || self.mostly_unfenced_zones().is_subset(&self.zones.recent_leader_zones)
         {
             return 0;
         }
-        let held_back = self
+        let deferred_jobs = self
             .jobs
             .live()
             .filter(|job| job.spec.is_service && job.durable && !job.accepted_by_this_leader && !job.cancelling);
-        held_back.map(|job| u64::from(job.pending.len().min(job.spec.max_tasks_per_zone()))).sum()
+        deferred_jobs.map(|job| u64::from(job.pending.len().min(job.spec.max_tasks_per_zone()))).sum()
     }
 
-    /// Replicas in zones that are out of reach and may run elsewhere. They go on until their leases end; room for
-    /// them should be up by then.
-    pub(super) fn replicas_out_of_reach(&self, now: Timestamp) -> u64 {
-        let stranded = self.replicas_in_unreachable_zones(now);
+    /// Returns how many replicas in unreachable zones may run in other zones. They keep running until the leases of
+    /// their machines expire; the capacity to replace them should be up by then.
+    pub(super) fn movable_unreachable_replicas(&self, now: Timestamp) -> u64 {
+        let unreachable_replicas = self.replicas_in_unreachable_zones(now);
         let zones: BTreeSet<&String> = self.cloud.zones().collect();
         let reachable: Vec<&String> =
             zones.into_iter().filter(|zone| self.zone_unreachable_since(zone, now).is_none()).collect();
-        let movable = stranded.iter().filter_map(|(id, replicas)| {
+        let movable = unreachable_replicas.iter().filter_map(|(id, replicas)| {
             let job = self.jobs.get(*id)?;
             Some(u64::from(self.replicas_allowed_in(job, &reachable).min(*replicas)))
         });
@@ -95,7 +99,7 @@
         replicas
     }
 
-    /// How many more replicas of a job these zones may take.
+    /// Returns how many more replicas of a job may run in these zones within its limit per zone.
     fn replicas_allowed_in(&self, job: &Job, zones: &[&String]) -> u32 {
         let placed_by_zone = self.planning_view().tasks_by_zone(job);
         let placed = |zone: &str| {
@@ -107,18 +111,18 @@
     }
 }
 
-/// Whether a job is a service of the highest priority that may run in any zone: these are what headroom is kept for.
-fn is_unbound_service(job: &Job) -> bool {
+/// Whether headroom is reserved for services like this job: services of the highest priority that may run in any zone.
+fn needs_headroom(job: &Job) -> bool {
     job.spec.is_service && job.spec.priority == 0 && job.spec.zone.is_none()
 }
 
-/// Tasks that came each second, with slots of many arrivals cut to the limit.
+/// Returns the arrival rate in tasks per second, with each slot capped as `MAX_TASKS_PER_SLOT` describes.
 fn arrivals_per_s(tasks_by_slot: &BTreeMap<u64, u32>) -> f64 {
     let slots = 0..ARRIVAL_WINDOW.as_millis() / ARRIVAL_SLOT.as_millis();
     let mut tasks: Vec<u32> = slots.map(|slot| tasks_by_slot.get(&slot).copied().unwrap_or(0)).collect();
     tasks.sort_unstable();
     let median = tasks[tasks.len() / 2];
-    let limit = SLOT_LIMIT_TASKS.max(SLOT_LIMIT_MEDIANS * median);
+    let limit = MAX_TASKS_PER_SLOT.max(MAX_MEDIANS_PER_SLOT * median);
     let counted: f64 = tasks.iter().map(|tasks| f64::from((*tasks).min(limit))).sum();
     counted / ARRIVAL_WINDOW.as_secs_f64()
 }
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -1,4 +1,4 @@
-//! Headroom: room that is kept ahead for what must not wait until a machine has booted.
+//! Headroom: capacity that is reserved ahead for tasks that must start before a new machine could boot.
 
 use super::MachineDemand;
 use crate::arrivals::ClassArrivals;
@@ -7,26 +7,28 @@
 use crate::types::{Duration, MachineId, Resources, Timestamp};
 use std::collections::BTreeMap;
 
-/// From a job's submission until a machine for it is asked for, and from its boot until it can be used.
-const COMMIT_AND_REQUEST: Duration = Duration::from_secs(5);
-/// Share of the tasks expected within a boot for which room is kept ahead; the others find that of jobs that end.
+/// Time that provisioning takes beyond the boot: from a job's submission, over the commit of its record, to the request
+/// for a machine, and from the end of the boot until the machine accepts tasks.
+const PROVISIONING_OVERHEAD: Duration = Duration::from_secs(5);
+/// Share of the tasks expected within one boot time for which capacity is reserved. The others use the capacity of jobs
+/// that end in the meantime.
 const CLASS_HEADROOM_SHARE: f64 = 0.5;
-/// Room is kept for so many of the largest jobs of a class, whatever is expected.
+/// The headroom of a class has capacity for at least this many of its largest jobs, however few tasks are expected.
 const MIN_LARGEST_JOBS: u64 = 2;
 
-/// Resources of machines that are kept for jobs that must start at once.
-type ReservedRoom = BTreeMap<MachineId, Resources>;
+/// Resources reserved on each machine for jobs that must start at once.
+type ReservedCapacity = BTreeMap<MachineId, Resources>;
 
-/// Room of a machine that is not promised to anything yet.
-struct FreeRoom {
+/// Capacity of a machine that no headroom of this round has taken yet.
+struct FreeCapacity {
     machine: MachineId,
     free: Resources,
-    /// Resources of tasks that services may preempt.
+    /// Resources of the running tasks that a service may preempt.
     preemptible: Resources,
 }
 
-impl FreeRoom {
-    /// Takes free room for this many tasks at the most; how many fit.
+impl FreeCapacity {
+    /// Takes free resources for at most `limit` tasks and returns for how many they were sufficient.
     fn take(&mut self, per_task: &Resources, limit: u64) -> u64 {
         let count = per_task.copies_in(&self.free).min(limit);
         for _ in 0..count {
@@ -35,7 +37,7 @@
         count
     }
 
-    /// The same with the room of tasks that may be preempted, which goes first.
+    /// Like `take`, but counts the resources of preemptible tasks as well and uses them before the free resources.
     fn take_with_preemption(&mut self, per_task: &Resources, limit: u64) -> u64 {
         let mut total = self.free;
         total.add(&self.preemptible);
@@ -51,22 +53,23 @@
 }
 
 impl Leader {
-    /// On-demand machines for what is likely to come before a machine rented for it would be up and must not wait so
-    /// long: services, and jobs whose class has an objective at starting. Notes the machines whose room is kept for the
-    /// latter.
+    /// Returns the demand for on-demand machines that run tasks likely to be submitted within the next boot time and
+    /// that must not wait for a boot: those of services, and those of classes with an objective on the start time.
+    /// Records on which machines capacity is reserved for these classes.
     pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<MachineDemand> {
-        let mut rooms = self.free_rooms();
-        let mut demands: Vec<MachineDemand> = self.service_headroom(now, boot, &mut rooms).into_iter().collect();
+        let mut capacities = self.free_capacities();
+        let mut demands: Vec<MachineDemand> = self.service_headroom(now, boot, &mut capacities).into_iter().collect();
         self.planning.latency_sensitive_classes = self.settings.deployment.classes_to_start_within(boot);
-        let mut reserved = ReservedRoom::new();
+        let mut reserved = ReservedCapacity::new();
         for class in self.latency_sensitive_arrivals() {
-            demands.extend(self.class_headroom(now, boot, class, &mut rooms, &mut reserved));
+            demands.extend(self.class_headroom(now, boot, class, &mut capacities, &mut reserved));
         }
-        self.reserve_headroom(reserved);
+        self.replace_headroom(reserved);
         demands
     }
 
-    /// Arrivals of the classes that must start at once, the highest priority first; services have headroom of their own.
+    /// Returns the arrivals of the classes whose jobs must start at once, the highest priority first. Classes of
+    /// services are left out, since `service_headroom` covers them.
     fn latency_sensitive_arrivals(&self) -> Vec<&ClassArrivals> {
         let names = &self.planning.latency_sensitive_classes;
         let classes = self.planning.arrivals.classes().filter(|(name, _)| names.contains(*name));
@@ -76,36 +79,44 @@
         classes
     }
 
-    /// Keeps this room from now on. Machines whose part changes are planned anew.
-    fn reserve_headroom(&mut self, reserved: ReservedRoom) {
+    /// Replaces the reserved capacity. The machines on which it changes are replanned.
+    fn replace_headroom(&mut self, reserved: ReservedCapacity) {
         let old = &self.planning.headroom;
         let changed = old.keys().chain(reserved.keys()).filter(|id| old.get(id) != reserved.get(id));
         self.planning.changed_machines.extend(changed);
         self.planning.headroom = reserved;
     }
 
-    /// Free room of machines, the fullest first, so that others become idle.
-    fn free_rooms(&self) -> Vec<FreeRoom> {
-        let room_of = |machine: &PlannedMachine| FreeRoom {
+    /// Returns the free capacity of all machines, the fullest machine first, so that headroom concentrates on few
+    /// machines and others can become idle.
+    fn free_capacities(&self) -> Vec<FreeCapacity> {
+        let capacity_of = |machine: &PlannedMachine| FreeCapacity {
             machine: machine.id,
             free: machine.free,
             preemptible: machine.preemptible[0],
         };
-        let mut rooms: Vec<FreeRoom> = self.planning.plans.machines().map(room_of).collect();
-        rooms.sort_by_key(|room| (room.free.cpus, room.machine));
-        rooms
+        let mut capacities: Vec<FreeCapacity> = self.planning.plans.machines().map(capacity_of).collect();
+        capacities.sort_by_key(|capacity| (capacity.free.cpus, capacity.machine));
+        capacities
     }
 
-    /// Without room, even that of lower tasks, services would wait for the boot.
-    fn service_headroom(&self, now: Timestamp, boot: Duration, rooms: &mut [FreeRoom]) -> Option<MachineDemand> {
+    /// Returns the demand for the expected service tasks that do not fit into the free and preemptible capacity: they
+    /// would have to wait for a machine to boot. Replicas that are likely to be moved out of unreachable zones count as
+    /// expected.
+    fn service_headroom(
+        &self,
+        now: Timestamp,
+        boot: Duration,
+        capacities: &mut [FreeCapacity],
+    ) -> Option<MachineDemand> {
         let expected = self.expected_services(boot.as_secs_f64())?;
         let job = expected.typical_job;
         let profile = self.planning_view().job_profile(job);
-        let mut missing = expected.tasks + self.replicas_out_of_reach(now) + self.replicas_held_back(now);
-        for room in rooms.iter_mut() {
-            let machine = self.planning.plans.machine(room.machine);
+        let mut missing = expected.tasks + self.movable_unreachable_replicas(now) + self.deferred_replicas(now);
+        for capacity in capacities.iter_mut() {
+            let machine = self.planning.plans.machine(capacity.machine);
             if missing > 0 && machine.is_some_and(|machine| profile.predicted_duration(machine).is_some()) {
-                missing -= room.take_with_preemption(&job.spec.resources, missing);
+                missing -= capacity.take_with_preemption(&job.spec.resources, missing);
             }
         }
         Some(MachineDemand {
@@ -121,30 +132,31 @@
         })
     }
 
-    /// Room for jobs of a class that are likely to come within a boot: what ends meanwhile makes room for half of them,
-    /// but the largest one must find room at any time.
+    /// Reserves capacity for the tasks of a class that are likely to be submitted within one boot time, and returns the
+    /// demand for what the machines lack. Half of the expected tasks can use the capacity of tasks that end in the
+    /// meantime (`CLASS_HEADROOM_SHARE`), but the largest job must find capacity at any time.
     fn class_headroom(
         &self,
         now: Timestamp,
         boot: Duration,
         class: &ClassArrivals,
-        rooms: &mut [FreeRoom],
-        reserved: &mut ReservedRoom,
+        capacities: &mut [FreeCapacity],
+        reserved: &mut ReservedCapacity,
     ) -> Option<MachineDemand> {
         let spec = class.largest_job();
-        let expected = class.expected_tasks(now, boot + COMMIT_AND_REQUEST);
+        let expected = class.expected_tasks(now, boot + PROVISIONING_OVERHEAD);
         if expected <= 0.0 {
             return None;
         }
         let for_largest_jobs = MIN_LARGEST_JOBS * u64::from(spec.task_count);
         let mut missing = ((expected * CLASS_HEADROOM_SHARE).ceil() as u64).max(for_largest_jobs);
         let profile = self.planning_view().spec_profile(spec, Vec::new());
-        for room in rooms.iter_mut() {
-            let machine = self.planning.plans.machine(room.machine);
-            let may_run_there = machine.is_some_and(|machine| profile.predicted_duration(machine).is_some());
-            let taken = if may_run_there { room.take(&spec.resources, missing) } else { 0 };
+        for capacity in capacities.iter_mut() {
+            let machine = self.planning.plans.machine(capacity.machine);
+            let may_run = machine.is_some_and(|machine| profile.predicted_duration(machine).is_some());
+            let taken = if may_run { capacity.take(&spec.resources, missing) } else { 0 };
             if taken > 0 {
-                let reserved = reserved.entry(room.machine).or_default();
+                let reserved = reserved.entry(capacity.machine).or_default();
                 (0..taken).for_each(|_| reserved.add(&spec.resources));
                 missing -= taken;
             }
--- a/src/leader/provisioning/scale_in.rs
+++ b/src/leader/provisioning/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: machines that are emptied because their services fit elsewhere, and idle ones that are given back.
+//! Scale-in: consolidates services onto fewer machines, and releases machines that are idle.
 
 use crate::leader::Leader;
 use crate::leader::drains::SpareCapacityPlanner;
@@ -7,24 +7,24 @@
 use caperstile_disruption::Coordinator;
 use log::info;
 
-/// How long a replica runs, and a leader leads, before replicas are moved: a start counts only if the task is not stopped
-/// within 30 s.
+/// Minimum time that a replica has run, and that this leader has led, before consolidation moves the replica. A start
+/// counts only if the task is not stopped within 30 s.
 const MIN_RUN_BEFORE_MOVE: Duration = Duration::from_secs(40);
-/// A machine is paid for this time at least, which is better used than wasted.
+/// The cloud charges a machine for at least this time, so releasing it earlier saves nothing.
 const MINIMUM_CHARGE: Duration = Duration::from_secs(60);
-/// Savings are compared as whole ten-thousandths of the price unit.
+/// Savings are compared as integers, in ten-thousandths of the price unit.
 const SAVING_PRECISION: f64 = 1e4;
-/// Stopped replicas get no time to end by themselves, as they save nothing.
+/// Grace period of stopped replicas. They save no checkpoint, so they are stopped at once.
 const STOP_GRACE_S: f64 = 0.0;
 
 impl Leader {
-    /// Empties an on-demand machine whose services fit on others that hold their images: a replica is
-    /// moved within a fraction of a second, and an on-demand machine is dear.
+    /// Empties an on-demand machine if its services fit on other machines that hold their images. Moving a replica then
+    /// takes a fraction of a second, and the release of an on-demand machine saves its high price.
     pub(crate) fn consolidate(&mut self, now: Timestamp, wall: WallClock) {
         if !self.may_consolidate(now) {
             return;
         }
-        let Some(id) = self.best_to_consolidate(now) else { return };
+        let Some(id) = self.best_consolidation_candidate(now) else { return };
         if self.drain_state.coordinator.as_ref().is_some_and(Coordinator::enabled) {
             if self.consolidate_within_budgets(now, wall, id) {
                 info!("consolidation started machine={id} within_budgets=true");
@@ -34,7 +34,9 @@
         }
     }
 
-    /// One consolidation at a time, by a leader that knows all machines, and not while more are being rented.
+    /// Whether a consolidation may start: all machines are fenced, so that their tasks are known, no other
+    /// consolidation is in progress, this leader has led for `MIN_RUN_BEFORE_MOVE`, and no request for more machines is
+    /// in flight.
     fn may_consolidate(&self, now: Timestamp) -> bool {
         let consolidating = self.machines.values().any(|machine| machine.draining == Some(DrainReason::Consolidated))
             || self.drain_state.coordinator.as_ref().is_some_and(Coordinator::is_consolidating);
@@ -44,10 +46,10 @@
             && !self.cloud.scale_out_in_flight()
     }
 
-    /// The machine that saves most for each service that has to move.
-    fn best_to_consolidate(&self, now: Timestamp) -> Option<MachineId> {
-        let boots_s = self.cloud.machine_types().into_iter().flatten().map(|machine_type| machine_type.boot_s);
-        let longest_boot_s = boots_s.fold(0.0, f64::max);
+    /// Returns the machine whose release saves the most per replica that has to move.
+    fn best_consolidation_candidate(&self, now: Timestamp) -> Option<MachineId> {
+        let boot_times_s = self.cloud.machine_types().into_iter().flatten().map(|machine_type| machine_type.boot_s);
+        let longest_boot_s = boot_times_s.fold(0.0, f64::max);
         let mut best: Option<(u64, MachineId)> = None;
         for (id, machine) in &self.machines {
             let Some(services) = self.movable_services(now, *id, machine) else { continue };
@@ -62,7 +64,8 @@
         best.map(|(_, id)| id)
     }
 
-    /// The services of an on-demand machine that runs nothing else, if all of them may be moved.
+    /// Returns the replicas on a reachable on-demand machine if it runs nothing else, has no queued tasks, has used up
+    /// its minimum charge and all replicas may be moved. Returns `None` otherwise.
     fn movable_services<'a>(
         &self,
         now: Timestamp,
@@ -88,7 +91,7 @@
         self.planning.plans.machine(id).is_some_and(|planned| !planned.queue.is_empty())
     }
 
-    /// Stops all services of a machine, to start elsewhere, and drains it.
+    /// Stops all replicas on a machine, so that they start on other machines, and drains it.
     fn consolidate_now(&mut self, id: MachineId) {
         let Some(machine) = self.machines.get_mut(&id) else { return };
         let running = machine.attempts.iter().filter(|(_, attempt)| attempt.occupies_resources());
@@ -101,8 +104,8 @@
         self.planning.plans.remove_machine(id);
     }
 
-    /// Whether services of a machine fit into free room of others that hold their images, with room
-    /// left for those that are likely to come.
+    /// Whether the replicas of a machine fit on other machines that hold their images, and enough capacity remains for
+    /// the services that are likely to be submitted soon.
     fn services_fit_elsewhere(&self, from: MachineId, services: &[&TaskAttempt], boot_s: f64) -> bool {
         let mut capacity = SpareCapacityPlanner::for_consolidation(self, from);
         if !capacity.reserve_all(services.iter().copied()) {
@@ -112,10 +115,11 @@
         capacity.remaining_tasks(expected.typical_job) >= expected.tasks
     }
 
-    /// Gives back what has been idle for long enough and is not kept as headroom or for a drain.
+    /// Releases machines that have been idle for long enough and are kept neither as headroom nor as replacements for a
+    /// drain.
     pub(crate) fn scale_in_idle(&mut self, now: Timestamp) {
         let mut idle = self.idle_machines(now);
-        idle.retain(|id| !self.is_replacement(*id));
+        idle.retain(|id| !self.is_retained_replacement(*id));
         for id in idle {
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.draining = Some(DrainReason::Idle);
@@ -125,7 +129,8 @@
         }
     }
 
-    /// Notes since when each machine is idle; those that have been for long enough.
+    /// Updates since when each machine is idle, and returns those that have reached their idle timeout, are not needed
+    /// as headroom and have used up the minimum charge.
     fn idle_machines(&mut self, now: Timestamp) -> Vec<MachineId> {
         let overdue = self.settings.deployment.workers.overdue();
         let mut idle = Vec::new();
@@ -140,9 +145,9 @@
             let is_spot = machine.record.spot;
             let idle_timeout =
                 if is_spot { self.settings.tuning.idle_spot } else { self.settings.tuning.idle_ordinary };
-            let is_spare = is_spot || !self.planning.headroom.contains_key(id);
-            let is_paid_for = now.since(machine.known_since) >= MINIMUM_CHARGE;
-            if is_spare && is_paid_for && now.since(idle_since) >= idle_timeout {
+            let is_not_headroom = is_spot || !self.planning.headroom.contains_key(id);
+            let minimum_charge_used = now.since(machine.known_since) >= MINIMUM_CHARGE;
+            if is_not_headroom && minimum_charge_used && now.since(idle_since) >= idle_timeout {
                 idle.push(*id);
             }
         }
@@ -150,8 +155,9 @@
     }
 }
 
-/// Whether an attempt is of a service, has run for long enough and is not being stopped.
+/// Whether an attempt belongs to a service (only services have no predicted duration), has run for long enough and is
+/// not being stopped.
 fn is_movable_service(attempt: &TaskAttempt, now: Timestamp) -> bool {
-    let has_settled = attempt.running_since.is_some_and(|since| now.since(since) > MIN_RUN_BEFORE_MOVE);
-    attempt.predicted_duration.is_none() && has_settled && attempt.stop_grace_s.is_none()
+    let has_run_long_enough = attempt.running_since.is_some_and(|since| now.since(since) > MIN_RUN_BEFORE_MOVE);
+    attempt.predicted_duration.is_none() && has_run_long_enough && attempt.stop_grace_s.is_none()
 }
--- a/src/leader/provisioning/solver.rs
+++ b/src/leader/provisioning/solver.rs
@@ -1,4 +1,5 @@
-//! The provisioning solver: which instances to rent for tasks without a machine. The cheapest per task, spread over zones.
+//! The provisioning solver: chooses which instances to request for tasks without a machine. It prefers the instances
+//! with the lowest cost per task and, at equal cost, the zone with the least capacity.
 
 use crate::cloud::InstancePool;
 use crate::jobs;
@@ -6,44 +7,44 @@
 use crate::wire::MachineType;
 use std::collections::BTreeMap;
 
-/// Most instances that one run of the solver plans; each later demand adds one at the most.
+/// Once one run of the solver has planned this many instances, each further demand adds at most one.
 const MAX_PLANNED_INSTANCES: usize = 400;
-/// Costs are compared as whole millionths of the price unit.
+/// Costs per task are compared as integers, in millionths of the price unit.
 const COST_PRECISION: f64 = 1e6;
 
-/// Alike tasks that wait for machines.
+/// Tasks with the same requirements for which machines are to be provisioned.
 #[derive(Debug, Clone)]
 pub(crate) struct MachineDemand {
-    /// The job of these tasks, or one like those that are expected.
+    /// The job of these tasks; for headroom, an earlier job that resembles the expected ones.
     pub(crate) job: JobId,
-    /// What each task takes.
+    /// Resources of each task.
     pub(crate) resources: Resources,
-    /// How many tasks.
+    /// Number of tasks.
     pub(crate) count: u32,
-    /// Whether spot machines may be rented for it.
+    /// Whether spot machines may be requested.
     pub(crate) allows_spot: bool,
-    /// Whether on-demand machines may be rented for it.
+    /// Whether on-demand machines may be requested.
     pub(crate) allows_on_demand: bool,
-    /// Allowed machine types; all if none is named.
+    /// Allowed machine types; `None` allows all.
     pub(crate) machine_types: Option<Vec<String>>,
-    /// The only allowed zone, if there is one.
+    /// The only allowed zone; `None` allows all.
     pub(crate) zone: Option<String>,
-    /// Most of the tasks in one zone.
+    /// Maximum number of the tasks in one zone.
     pub(crate) max_per_zone: u32,
-    /// Whether all tasks must be in the same zone.
+    /// Whether all tasks must run in the same zone.
     pub(crate) colocate_in_zone: bool,
 }
 
 impl MachineDemand {
     fn allows(&self, pool: &InstancePool) -> bool {
-        let allows_kind = if pool.spot { self.allows_spot } else { self.allows_on_demand };
-        allows_kind
+        let allows_purchase_model = if pool.spot { self.allows_spot } else { self.allows_on_demand };
+        allows_purchase_model
             && self.zone.as_ref().is_none_or(|zone| *zone == pool.zone)
             && self.machine_types.as_ref().is_none_or(|names| names.contains(&pool.machine_type))
     }
 
-    /// Whether tasks of the other demand may share machines with these in any number.
-    fn is_alike(&self, other: &MachineDemand) -> bool {
+    /// Whether the tasks of both demands have the same resources and constraints, so that they fill the same machines.
+    fn has_same_requirements(&self, other: &MachineDemand) -> bool {
         self.resources == other.resources
             && self.allows_spot == other.allows_spot
             && self.allows_on_demand == other.allows_on_demand
@@ -52,7 +53,8 @@
     }
 }
 
-/// CPUs (in thousandths) of the machines that there are, by zone and kind: zones with fewer are preferred at the same cost.
+/// CPUs (in thousandths) of the existing machines, by zone and purchase model (spot or not). At the same cost the
+/// solver prefers zones with fewer CPUs.
 #[derive(Debug, Default)]
 pub(super) struct CpuSupply {
     by_zone: BTreeMap<(String, bool), u64>,
@@ -69,46 +71,46 @@
     }
 }
 
-/// What the solver may choose from.
-pub(super) struct Offers<'a> {
+/// The machine types and pools from which the solver chooses.
+pub(super) struct InstanceOfferings<'a> {
     /// All machine types of the cloud.
     pub(super) machine_types: &'a [MachineType],
-    /// Whether nothing is to be rented in a pool now.
+    /// Whether no instances may be requested from a pool now.
     pub(super) is_avoided: &'a dyn Fn(&InstancePool) -> bool,
 }
 
-/// How many instances of each pool to rent, so that all demands find room as far as the offers allow.
+/// Returns how many instances of each pool to request so that the demands are met as far as the offerings allow.
 pub(super) fn instances_for(
     demands: &[MachineDemand],
-    offers: &Offers<'_>,
+    offerings: &InstanceOfferings<'_>,
     supply: CpuSupply,
 ) -> BTreeMap<InstancePool, u32> {
     let mut plan = ProvisioningPlan { instances: Vec::new(), supply };
     for (index, demand) in demands.iter().enumerate() {
-        let later = &demands[index + 1..];
-        plan.add_demand(demand, later, offers);
+        let later_demands = &demands[index + 1..];
+        plan.add_demand(demand, later_demands, offerings);
     }
     plan.counts()
 }
 
-/// An instance that is to be rented.
+/// An instance that is to be requested.
 struct PlannedInstance {
     pool: InstancePool,
-    /// What the tasks that it is planned for leave over.
+    /// Resources that the tasks planned on it leave free.
     free: Resources,
 }
 
-/// What is left of a demand, and where the rest of it is planned.
+/// A demand in planning: how many of its tasks remain, and in which zones the others are planned.
 struct UnmetDemand<'a> {
     demand: &'a MachineDemand,
     remaining: u32,
     planned_per_zone: BTreeMap<String, u32>,
-    /// The zone of tasks that must be in the same one, once it is chosen.
+    /// For tasks that must run in the same zone: that zone, once it is chosen.
     colocation_zone: Option<String>,
 }
 
 impl UnmetDemand<'_> {
-    /// How many more tasks may be planned in a zone.
+    /// Returns how many more tasks may be planned in a zone.
     fn zone_allowance(&self, zone: &str) -> u32 {
         let planned = self.planned_per_zone.get(zone).copied().unwrap_or(0);
         self.demand.max_per_zone.saturating_sub(planned)
@@ -120,35 +122,41 @@
     }
 }
 
-/// An instance that might be rented for a demand.
+/// An instance that could be requested for a demand.
 struct Candidate {
     pool: InstancePool,
     capacity: Resources,
-    /// Tasks of the demand that it would take.
+    /// Number of tasks of the demand that would be planned on it.
     tasks: u32,
     cost_per_task: u64,
-    /// What there is already of its kind in its zone.
+    /// CPUs (in thousandths) that its zone already has with the same purchase model.
     supplied_cpus: u64,
 }
 
-/// Instances chosen so far.
+/// The instances chosen so far.
 struct ProvisioningPlan {
     instances: Vec<PlannedInstance>,
     supply: CpuSupply,
 }
 
 impl ProvisioningPlan {
-    fn add_demand(&mut self, demand: &MachineDemand, later: &[MachineDemand], offers: &Offers<'_>) {
-        // Tasks that must be together take what is planned already only where it has room for all of them.
-        let colocation_zone = if demand.colocate_in_zone { self.zone_with_room_for(demand) } else { None };
+    fn add_demand(
+        &mut self,
+        demand: &MachineDemand,
+        later_demands: &[MachineDemand],
+        offerings: &InstanceOfferings<'_>,
+    ) {
+        // Colocated tasks use the instances planned so far only if these have capacity for all of them in one zone.
+        let colocation_zone = if demand.colocate_in_zone { self.zone_with_capacity_for(demand) } else { None };
         let planned_per_zone = BTreeMap::new();
         let mut unmet = UnmetDemand { demand, remaining: demand.count, planned_per_zone, colocation_zone };
         self.fill_planned_instances(&mut unmet);
-        // What an instance costs per task is asked for the whole class: three replicas of one service do
-        // not fill a large machine, but those of the next ones do.
-        let alike_later: u32 = later.iter().filter(|other| demand.is_alike(other)).map(|other| other.count).sum();
+        // The cost per task is computed over all demands with the same requirements: three replicas of one service do
+        // not fill a large machine, but together with those of the following services they do.
+        let similar_later_tasks: u32 =
+            later_demands.iter().filter(|other| demand.has_same_requirements(other)).map(|other| other.count).sum();
         while unmet.remaining > 0 {
-            let Some(cheapest) = self.cheapest_candidate(&unmet, alike_later, offers) else { break };
+            let Some(cheapest) = self.cheapest_candidate(&unmet, similar_later_tasks, offerings) else { break };
             self.add_instance(cheapest, &mut unmet);
             if self.instances.len() >= MAX_PLANNED_INSTANCES {
                 break;
@@ -156,17 +164,17 @@
         }
     }
 
-    /// A zone in which what is planned already has room for all tasks of a demand.
-    fn zone_with_room_for(&self, demand: &MachineDemand) -> Option<String> {
-        let mut room_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
+    /// Returns a zone in which the planned instances have capacity for all tasks of a demand.
+    fn zone_with_capacity_for(&self, demand: &MachineDemand) -> Option<String> {
+        let mut slots_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
         for instance in self.instances.iter().filter(|instance| demand.allows(&instance.pool)) {
-            *room_by_zone.entry(&instance.pool.zone).or_default() += demand.resources.copies_in(&instance.free);
+            *slots_by_zone.entry(&instance.pool.zone).or_default() += demand.resources.copies_in(&instance.free);
         }
-        let mut zones = room_by_zone.into_iter();
-        zones.find(|(_, room)| *room >= u64::from(demand.count)).map(|(zone, _)| zone.to_string())
+        let mut zones = slots_by_zone.into_iter();
+        zones.find(|(_, slots)| *slots >= u64::from(demand.count)).map(|(zone, _)| zone.to_string())
     }
 
-    /// Plans tasks on instances that are chosen already.
+    /// Plans tasks of a demand on the instances chosen so far.
     fn fill_planned_instances(&mut self, unmet: &mut UnmetDemand<'_>) {
         let demand = unmet.demand;
         for instance in self.instances.iter_mut().filter(|instance| demand.allows(&instance.pool)) {
@@ -181,31 +189,38 @@
         }
     }
 
-    /// The candidate with the lowest cost per task; at the same cost, the one in the zone with the least supply.
-    fn cheapest_candidate(&self, unmet: &UnmetDemand<'_>, alike_later: u32, offers: &Offers<'_>) -> Option<Candidate> {
-        let offered = offers.machine_types.iter();
+    /// Returns the candidate with the lowest cost per task; at the same cost, the one whose zone has the fewest CPUs.
+    fn cheapest_candidate(
+        &self,
+        unmet: &UnmetDemand<'_>,
+        similar_later_tasks: u32,
+        offerings: &InstanceOfferings<'_>,
+    ) -> Option<Candidate> {
+        let offered = offerings.machine_types.iter();
         let offered = offered.flat_map(|machine_type| machine_type.zones.iter().map(move |zone| (machine_type, zone)));
         let offered = offered.flat_map(|(machine_type, zone)| [true, false].map(|spot| (machine_type, zone, spot)));
         let candidates = offered
-            .filter_map(|(machine_type, zone, spot)| self.candidate(machine_type, zone, spot, unmet, alike_later))
-            .filter(|candidate| !(offers.is_avoided)(&candidate.pool));
+            .filter_map(|(machine_type, zone, spot)| {
+                self.candidate(machine_type, zone, spot, unmet, similar_later_tasks)
+            })
+            .filter(|candidate| !(offerings.is_avoided)(&candidate.pool));
         candidates.min_by_key(|candidate| (candidate.cost_per_task, candidate.supplied_cpus))
     }
 
-    /// One instance as a candidate, if the demand allows it and it would take one of its tasks.
+    /// Returns an instance as a candidate, if the demand allows its pool and at least one of the tasks fits on it.
     fn candidate(
         &self,
         machine_type: &MachineType,
         zone: &str,
         spot: bool,
         unmet: &UnmetDemand<'_>,
-        alike_later: u32,
+        similar_later_tasks: u32,
     ) -> Option<Candidate> {
         let capacity = jobs::capacity(machine_type);
-        let fitting = unmet.demand.resources.copies_in(&capacity).min(u64::from(u32::MAX)) as u32;
-        let tasks = fitting.min(unmet.remaining).min(unmet.zone_allowance(zone));
-        let elsewhere = unmet.colocation_zone.as_ref().is_some_and(|only| only != zone);
-        if tasks == 0 || elsewhere {
+        let fitting_tasks = unmet.demand.resources.copies_in(&capacity).min(u64::from(u32::MAX)) as u32;
+        let tasks = fitting_tasks.min(unmet.remaining).min(unmet.zone_allowance(zone));
+        let is_other_zone = unmet.colocation_zone.as_ref().is_some_and(|only| only != zone);
+        if tasks == 0 || is_other_zone {
             return None;
         }
         let pool = InstancePool { machine_type: machine_type.name.clone(), zone: zone.to_string(), spot };
@@ -213,12 +228,12 @@
             return None;
         }
         let price = if spot { machine_type.spot_price_per_hour } else { machine_type.price_per_hour };
-        let tasks_of_class = fitting.min(unmet.remaining + alike_later);
+        let similar_tasks = fitting_tasks.min(unmet.remaining + similar_later_tasks);
         Some(Candidate {
             pool,
             capacity,
             tasks,
-            cost_per_task: (price / f64::from(tasks_of_class) * COST_PRECISION) as u64,
+            cost_per_task: (price / f64::from(similar_tasks) * COST_PRECISION) as u64,
             supplied_cpus: self.supply.cpus(zone, spot),
         })
     }
--- a/src/leader/provisioning/solver/tests.rs
+++ b/src/leader/provisioning/solver/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::jobs::tests::flavor;
 
-/// Three replicas of a service that is spread over zones.
+/// Three replicas of a service with at most two replicas per zone.
 fn replicas(job: u64) -> MachineDemand {
     MachineDemand {
         job: JobId(job),
@@ -16,41 +16,43 @@
     }
 }
 
-/// What is rented for demands while nothing is avoided and there are no machines.
-fn rented(demands: &[MachineDemand], machine_types: &[MachineType]) -> BTreeMap<InstancePool, u32> {
-    let offers = Offers { machine_types, is_avoided: &|_| false };
-    instances_for(demands, &offers, CpuSupply::default())
+/// Runs the solver with no existing machines and no avoided pools.
+fn solve(demands: &[MachineDemand], machine_types: &[MachineType]) -> BTreeMap<InstancePool, u32> {
+    let offerings = InstanceOfferings { machine_types, is_avoided: &|_| false };
+    instances_for(demands, &offerings, CpuSupply::default())
 }
 
-/// Many services of a few replicas each fill a large machine that is cheaper per CPU.
+/// One service of three replicas does not fill the large machine type, which is cheaper per CPU; eight services do. A
+/// solver that looks at one service at a time never chooses the large type.
 #[test]
-fn cost_per_task_counts_all_alike_demands() {
+fn cost_per_task_covers_all_demands_with_the_same_requirements() {
     let mut large = flavor();
     (large.name, large.cpus, large.memory_gb, large.price_per_hour) = ("large".into(), 16.0, 64.0, 0.99);
     let machine_types = [flavor(), large];
-    let rented_types = |job_count: u64| -> Vec<(String, u32)> {
+    let provisioned_types = |job_count: u64| -> Vec<(String, u32)> {
         let demands: Vec<MachineDemand> = (0..job_count).map(replicas).collect();
-        let counts = rented(&demands, &machine_types);
+        let counts = solve(&demands, &machine_types);
         counts.into_iter().map(|(pool, count)| (pool.machine_type, count)).collect()
     };
-    assert_eq!(rented_types(1), [("small".into(), 1), ("small".into(), 1)]);
-    assert_eq!(rented_types(8), [("large".into(), 1), ("large".into(), 1)]);
+    assert_eq!(provisioned_types(1), [("small".into(), 1), ("small".into(), 1)]);
+    assert_eq!(provisioned_types(8), [("large".into(), 1), ("large".into(), 1)]);
 }
 
 #[test]
-fn replicas_with_a_zone_limit_are_rented_for_in_several_zones() {
-    let counts = rented(&[replicas(1)], &[flavor()]);
+fn replicas_with_a_zone_limit_are_spread_over_zones() {
+    let counts = solve(&[replicas(1)], &[flavor()]);
     let by_zone: Vec<_> = counts.iter().map(|(pool, count)| (pool.zone.as_str(), pool.spot, *count)).collect();
     assert_eq!(by_zone, [("a", false, 1), ("b", false, 1)]);
 }
 
-/// A gang that wants one zone: what is rented for it has room for all its tasks in the same one.
+/// The instances requested for a gang that must run in one zone have capacity for all its tasks in that zone.
 #[test]
-fn colocated_tasks_are_rented_for_in_one_zone() {
+fn colocated_tasks_are_provisioned_in_one_zone() {
     let gang = |job, count| MachineDemand { count, max_per_zone: u32::MAX, colocate_in_zone: true, ..replicas(job) };
     let single = MachineDemand { max_per_zone: u32::MAX, count: 1, ..replicas(1) };
-    let counts = rented(&[single, gang(2, 7), gang(3, 3)], &[flavor()]);
-    // The first takes one of four CPUs in `a`; seven do not fit beside it and go to `b`, where one is left; three go to `a`.
+    let counts = solve(&[single, gang(2, 7), gang(3, 3)], &[flavor()]);
+    // The single task takes one of four CPUs in `a`. Seven tasks do not fit beside it and go to two instances in `b`,
+    // where one CPU is left. The last three tasks go to the instance in `a`.
     let by_zone: Vec<_> = counts.iter().map(|(pool, count)| (pool.zone.as_str(), *count)).collect();
     assert_eq!(by_zone, [("a", 1), ("b", 2)]);
 }
