--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud's machines: requests to scale out and in, instances that are still booting, and the cloud's list.
+//! The leader's view of the cloud: requests to scale out and in, instances that are still booting, and the cloud's list
+//! of machines.
 
 mod capacity;
 mod machine_list;
@@ -14,28 +15,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Most machines that one request rents.
+/// Maximum number of machines that the cloud provisions for one request.
 pub const MAX_INSTANCES_PER_REQUEST: u32 = 50;
-/// Share of the cloud's rate limit that a leader uses.
+/// Share of the cloud's request rate limit that a leader uses.
 const RATE_LIMIT_SHARE: f64 = 0.8;
-/// Boot time in seconds of a machine whose type is not known.
-const UNKNOWN_BOOT_S: f64 = 60.0;
-/// A machine is overdue after this many boot times and `OVERDUE_MARGIN_S`.
-const OVERDUE_BOOT_TIMES: f64 = 3.0;
-/// Seconds beyond `OVERDUE_BOOT_TIMES` until a machine is overdue.
+/// Assumed boot time in seconds of a machine whose type is not known.
+const DEFAULT_BOOT_S: f64 = 60.0;
+/// A pending instance is overdue after this many boot times plus `OVERDUE_MARGIN_S`.
+const OVERDUE_BOOT_FACTOR: f64 = 3.0;
+/// Seconds beyond the boot times of `OVERDUE_BOOT_FACTOR` after which a pending instance is overdue.
 const OVERDUE_MARGIN_S: f64 = 15.0;
 
-/// Why a machine is released that never sent a heartbeat.
-const DID_NOT_COME_UP: &str = "did not come up";
+/// Logged reason for the release of a machine that never sent a heartbeat.
+const BOOT_TIMEOUT_REASON: &str = "boot timed out";
 
-/// The machines of one type in one zone, spot or on-demand: what the cloud rents and refuses as one.
+/// An instance pool: the machines of one type in one zone, either spot or on-demand. The cloud has or lacks capacity
+/// separately for each pool.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstancePool {
-    /// Machine type.
+    /// Name of the machine type in the cloud's list of types.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Spot, else on-demand.
+    /// Whether these are spot machines; on-demand machines otherwise.
     pub spot: bool,
 }
 
@@ -51,28 +53,28 @@
     }
 }
 
-/// The keys of a log line.
+/// Formats the pool as the fields of a log line.
 impl fmt::Display for InstancePool {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "type={} zone={} spot={}", self.machine_type, self.zone, self.spot)
     }
 }
 
-/// A machine that was rented and has not sent a heartbeat yet.
+/// A machine that the cloud has provisioned and that has not sent a heartbeat yet.
 #[derive(Debug, Clone)]
 pub struct PendingInstance {
-    /// Machine type.
+    /// Name of the machine type in the cloud's list of types.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Spot, else on-demand.
+    /// Whether these are spot machines; on-demand machines otherwise.
     pub spot: bool,
-    /// When it was asked for.
+    /// When the request for it was sent.
     pub requested_at: Timestamp,
 }
 
 impl PendingInstance {
-    /// One of the machines that a request asked for.
+    /// Returns the pending instance for one of the machines that a request has provisioned.
     fn requested(request: &ScaleOutRequest, requested_at: Timestamp) -> PendingInstance {
         PendingInstance {
             machine_type: request.machine_type.clone(),
@@ -83,45 +85,46 @@
     }
 }
 
-/// What the leader is to do or to know.
+/// A request that the leader must send to the cloud, or a change that it must handle.
 #[derive(Debug)]
 pub enum CloudEvent {
-    /// Ask the cloud; the number comes back with the response.
+    /// Send this request to the cloud and pass its number along with the response to `CloudInstances::handle_response`.
     Request(u64, CloudRequest),
-    /// These machines were rented.
+    /// The cloud has provisioned these machines. They are pending instances now.
     MachinesProvisioned(Vec<MachineId>),
-    /// These machines are surely gone.
+    /// The cloud has confirmed the release of these machines.
     MachinesReleased(Vec<MachineId>),
-    /// The cloud lists this machine as failed.
+    /// The cloud lists this machine as failed. It will never work again and should be released.
     MachineFailed(MachineId),
 }
 
-/// What a leader knows of the cloud; made anew at each election.
+/// What a leader knows about the cloud's machines and about its own requests to the cloud. Each newly elected leader
+/// starts with an empty view.
 #[derive(Debug)]
 pub struct CloudInstances {
     token: FencingToken,
     rate_limit: TokenBucket,
-    /// Requests sent, repeats included; the last one's number.
+    /// Number of requests sent, retries included; also the number of the last request.
     request_counter: u64,
-    /// Requests to scale out that were named.
+    /// Number of scale-out requests; part of their names. A retry keeps its name.
     scale_out_counter: u64,
     machine_types: Option<Vec<MachineType>>,
     machine_types_at: Timestamp,
     listed_at: Timestamp,
-    /// How far the cloud's list may be behind.
+    /// Maximum time by which the cloud's list may lag behind its actual state.
     list_lag: Duration,
     in_flight: BTreeMap<u64, InFlightRequest>,
     pending: BTreeMap<MachineId, PendingInstance>,
-    /// Machines came to `pending` since `take_new_pending`.
+    /// Whether instances were added to `pending` since the last call of `take_new_pending`.
     has_new_pending: bool,
     refusals: CapacityRefusals,
-    /// Machines that are to be given back, or whose return is not confirmed.
+    /// Machines marked for release whose release the cloud has not confirmed yet.
     releasing: BTreeSet<MachineId>,
     released: BTreeSet<MachineId>,
 }
 
 impl CloudInstances {
-    /// A new leader's view: it knows nothing yet.
+    /// Creates the view of a leader that was elected at `now` with this fencing token.
     #[must_use]
     pub fn new(token: FencingToken, now: Timestamp, limits: &CloudLimits) -> CloudInstances {
         let rate_per_s = limits.rps * RATE_LIMIT_SHARE;
@@ -143,64 +146,64 @@
         }
     }
 
-    /// Machine types, once known.
+    /// Returns the machine types; `None` until the cloud has returned them for the first time.
     #[must_use]
     pub fn machine_types(&self) -> Option<&[MachineType]> {
         self.machine_types.as_deref()
     }
 
-    /// One machine type.
+    /// Returns the machine type of this name; `None` if the cloud does not offer it or the types are not known yet.
     #[must_use]
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.machine_types.iter().flatten().find(|machine_type| machine_type.name == name)
     }
 
-    /// Zones of all machine types, once for each type that is offered there.
+    /// Iterates over the zones of all machine types. A zone appears once for each type that is offered in it.
     pub fn zones(&self) -> impl Iterator<Item = &String> {
         self.machine_types.iter().flatten().flat_map(|machine_type| &machine_type.zones)
     }
 
-    /// Usual boot time of a machine type in seconds.
+    /// Returns the usual boot time of a machine type in seconds, or a default if the type is not known.
     #[must_use]
     pub fn boot_s(&self, machine_type: &str) -> f64 {
-        self.machine_type(machine_type).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s)
+        self.machine_type(machine_type).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s)
     }
 
-    /// Machines on their way, without those that are being released.
+    /// Iterates over the pending instances, without those that are being released.
     pub fn pending(&self) -> impl Iterator<Item = (&MachineId, &PendingInstance)> {
         self.pending.iter().filter(|(id, _)| !self.releasing.contains(id))
     }
 
-    /// Whether machines came to those on their way since this was asked last.
+    /// Whether pending instances were added since the last call; resets the flag.
     pub fn take_new_pending(&mut self) -> bool {
         std::mem::take(&mut self.has_new_pending)
     }
 
-    /// One machine on its way.
+    /// Returns the pending instance with this id, also if it is being released.
     #[must_use]
     pub fn pending_instance(&self, id: MachineId) -> Option<&PendingInstance> {
         self.pending.get(&id)
     }
 
-    /// Whether a machine is surely gone.
+    /// Whether the release of a machine is confirmed. Such a machine never comes back.
     #[must_use]
     pub fn is_released(&self, id: MachineId) -> bool {
         self.released.contains(&id)
     }
 
-    /// Whether a machine is being given back.
+    /// Whether a machine is marked for release and the cloud has not confirmed the release yet.
     #[must_use]
     pub fn is_releasing(&self, id: MachineId) -> bool {
         self.releasing.contains(&id)
     }
 
-    /// Whether a pool refused to scale out lately and is still avoided.
+    /// Whether a pool is avoided now because it had too little capacity for a recent request.
     #[must_use]
     pub fn recently_refused(&self, pool: &InstancePool, now: Timestamp) -> bool {
         self.refusals.is_avoided(pool, now)
     }
 
-    /// Whether all spot pools refused to scale out lately.
+    /// Whether all spot pools are avoided now because of refused requests.
     #[must_use]
     pub fn all_spot_recently_refused(&self, now: Timestamp) -> bool {
         let machine_types = self.machine_types.iter().flatten();
@@ -214,25 +217,26 @@
         spot_pools.all(|pool| self.recently_refused(&pool, now))
     }
 
-    /// A machine's worker sent its first heartbeat. Says when the machine was asked for, if that is known.
+    /// Removes a pending instance whose worker has sent its first heartbeat. Returns when the instance was requested,
+    /// or `None` if it was not pending.
     pub fn instance_discovered(&mut self, id: MachineId) -> Option<Timestamp> {
         self.pending.remove(&id).map(|instance| instance.requested_at)
     }
 
-    /// Adds a machine that is on its way, one that an earlier leader rented among them.
+    /// Adds a pending instance, either of this leader or of an earlier one.
     pub fn adopt_pending(&mut self, id: MachineId, instance: PendingInstance) {
         self.pending.insert(id, instance);
         self.has_new_pending = true;
     }
 
-    /// A machine is surely gone.
+    /// Records that the release of a machine is confirmed.
     pub fn instance_released(&mut self, id: MachineId) {
         self.releasing.remove(&id);
         self.pending.remove(&id);
         self.released.insert(id);
     }
 
-    /// Asks for this many machines of a pool, at most `MAX_INSTANCES_PER_REQUEST`.
+    /// Requests this many machines of a pool, at most `MAX_INSTANCES_PER_REQUEST`.
     pub fn scale_out(&mut self, now: Timestamp, pool: &InstancePool, count: u32, out: &mut Vec<CloudEvent>) {
         self.scale_out_counter += 1;
         let request_name = format!("r-{}-{}", self.token, self.scale_out_counter);
@@ -247,24 +251,25 @@
         self.send_request(now, CloudRequest::ScaleOut(request), out);
     }
 
-    /// Gives a machine back; final, since the cloud never uses a name again.
+    /// Marks a machine for release; `tick` sends the request. This is final, since the cloud never reuses the name of a
+    /// machine.
     pub fn release(&mut self, id: MachineId, reason: impl fmt::Display) {
         if self.releasing.insert(id) {
             info!("scale in requested machine={id} reason=\"{reason}\"");
         }
     }
 
-    /// Releases machines that should have come up long ago: some never do.
+    /// Releases overdue pending instances, since some instances never boot.
     pub fn release_overdue(&mut self, now: Timestamp) {
         let overdue = self.pending().filter(|(_, instance)| self.is_overdue(instance, now));
         let overdue: Vec<MachineId> = overdue.map(|(id, _)| *id).collect();
         for id in overdue {
-            self.release(id, DID_NOT_COME_UP);
+            self.release(id, BOOT_TIMEOUT_REASON);
         }
     }
 
     fn is_overdue(&self, instance: &PendingInstance, now: Timestamp) -> bool {
-        let limit_s = self.boot_s(&instance.machine_type) * OVERDUE_BOOT_TIMES + OVERDUE_MARGIN_S;
+        let limit_s = self.boot_s(&instance.machine_type) * OVERDUE_BOOT_FACTOR + OVERDUE_MARGIN_S;
         now.since(instance.requested_at) > Duration::from_secs_f64(limit_s)
     }
 }
--- a/src/cloud/machine_list.rs
+++ b/src/cloud/machine_list.rs
@@ -1,15 +1,16 @@
-//! Reconciling the cloud's list of machines with what this leader knows.
+//! Reconciles the cloud's list of machines with the machines that this leader knows.
 
 use super::{CloudEvent, CloudInstances, PendingInstance};
 use crate::types::{Duration, MachineId, Timestamp};
 use crate::wire::{ListedMachine, MachinePage};
 use log::info;
 
-/// The state in which the cloud lists a machine that will never work again.
+/// State that the cloud lists for a machine that will never work again.
 const FAILED_STATE: &str = "failed";
 
 impl CloudInstances {
-    /// Takes one page of the list: failed machines are reported, and machines that nobody here knows become pending instances.
+    /// Handles one page of the list: emits an event for each failed machine and adds unknown machines as pending
+    /// instances. Machines that are released or being released are skipped.
     pub(super) fn reconcile_list(
         &mut self,
         now: Timestamp,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// An unknown machine was rented by an earlier leader, or is a late copy of a request to scale out: it is used, or
-    /// released when it does not come up.
+    /// Adds an unknown machine as a pending instance. An earlier leader requested it, or a delayed duplicate of a
+    /// scale-out request provisioned it. It is used once it sends heartbeats, and released if it does not come up.
     fn adopt_listed(&mut self, now: Timestamp, id: MachineId, listed: ListedMachine) {
         info!("unknown instance listed machine={id} type={} zone={}", listed.machine_type, listed.zone);
         let age = Duration::from_secs_f64(listed.age_s) + self.list_lag;
--- a/src/cloud/requests.rs
+++ b/src/cloud/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud: when they are sent and repeated, and what their responses change.
+//! Requests to the cloud: sends and retries them within the rate limit, and handles the responses.
 
 use super::{CloudEvent, CloudInstances, InstancePool, PendingInstance};
 use crate::store::ServiceResponse;
@@ -6,45 +6,46 @@
 use crate::wire::{MachineNames, MachinePage, MachineTypes, ScaleOutRequest};
 use log::info;
 
-/// A request without a response is repeated after this time.
+/// A request without a response is retried after this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// A request that failed is repeated after this time.
+/// A request that failed is retried after this time.
 const RETRY_DELAY: Duration = Duration::from_millis(700);
-/// How old the machine types and prices may become.
+/// Interval at which machine types and prices are fetched.
 const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(30);
-/// Time between two listings of all machines.
+/// Interval at which all machines are listed.
 const LIST_INTERVAL: Duration = Duration::from_secs(5);
-/// Requests of the rate limit that are kept for what is urgent.
+/// Number of requests within the rate limit that scale-out and listing leave for more urgent requests.
 const RESERVED_REQUESTS: f64 = 2.0;
-/// Most machines that one request gives back.
-const MAX_RETURNS_PER_REQUEST: usize = 100;
-/// What the body of a 503 contains when the pool has no capacity; other 503s are troubles of the cloud itself.
+/// Maximum number of machines that one request releases.
+const MAX_RELEASES_PER_REQUEST: usize = 100;
+/// Text in the body of a 503 response when the pool has no capacity. Other 503 responses are failures of the cloud
+/// itself.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
 /// A request to the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudRequest {
-    /// Machine types and prices.
+    /// Fetch machine types and prices.
     MachineTypes,
-    /// Rent machines.
+    /// Provision machines.
     ScaleOut(ScaleOutRequest),
-    /// Give machines back.
+    /// Release machines.
     ScaleIn(Vec<MachineId>),
-    /// List machines after this one, or from the first.
+    /// List machines, starting after the one of this name, or with the first for `None`.
     ListMachines(Option<String>),
 }
 
-/// A request whose response has not come.
+/// A request without a response yet, or one that failed and is to be retried.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
     request: CloudRequest,
     sent_at: Timestamp,
-    /// When it is repeated, if it failed.
+    /// When the request is retried, if it failed.
     retry_at: Option<Timestamp>,
 }
 
 impl InFlightRequest {
-    /// Whether it is time to repeat the request.
+    /// Whether it is time to retry the request.
     fn is_due(&self, now: Timestamp) -> bool {
         match self.retry_at {
             Some(retry_at) => now >= retry_at,
@@ -53,7 +54,7 @@
     }
 }
 
-/// What becomes of a request after its response.
+/// What is done with a request after its response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RequestOutcome {
     Complete,
@@ -61,23 +62,23 @@
 }
 
 impl CloudInstances {
-    /// How many requests may be sent now beside those that are kept for what is urgent, at least one.
+    /// Returns how many requests may be sent now in addition to the reserved ones, at least one.
     #[must_use]
     pub fn available_requests(&self) -> usize {
         (self.rate_limit.available() - RESERVED_REQUESTS).max(1.0) as usize
     }
 
-    /// Whether a request to scale out has no response yet.
+    /// Whether a scale-out request has no response yet or is to be retried.
     #[must_use]
     pub fn scale_out_in_flight(&self) -> bool {
         self.any_in_flight(|request| matches!(request, CloudRequest::ScaleOut(_)))
     }
 
-    fn any_in_flight(&self, kind: fn(&CloudRequest) -> bool) -> bool {
-        self.in_flight.values().any(|in_flight| kind(&in_flight.request))
+    fn any_in_flight(&self, matches_kind: fn(&CloudRequest) -> bool) -> bool {
+        self.in_flight.values().any(|in_flight| matches_kind(&in_flight.request))
     }
 
-    /// Whether the rate limit allows one more request.
+    /// Whether the rate limit allows another request now.
     fn may_send(&self) -> bool {
         self.rate_limit.available() >= 1.0
     }
@@ -90,16 +91,17 @@
         out.push(CloudEvent::Request(self.request_counter, request));
     }
 
-    /// Sends what is due, as far as the rate limit allows: repeats first, then machine types, returns and the list.
+    /// Sends the requests that are due, as far as the rate limit allows: retries first, then the requests for machine
+    /// types, for releases and for the list of machines.
     pub fn tick(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
         self.rate_limit.refill(now);
-        self.repeat_due_requests(now, out);
+        self.retry_due_requests(now, out);
         self.refresh_machine_types(now, out);
-        self.return_released(now, out);
-        self.refresh_list(now, out);
+        self.request_releases(now, out);
+        self.refresh_machine_list(now, out);
     }
 
-    fn repeat_due_requests(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
+    fn retry_due_requests(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
         let due = self.in_flight.iter().filter(|(_, in_flight)| in_flight.is_due(now));
         let due: Vec<u64> = due.map(|(id, _)| *id).collect();
         for id in due {
@@ -107,39 +109,40 @@
                 return;
             }
             if let Some(in_flight) = self.in_flight.remove(&id) {
-                // A request to scale out is repeated under its name, so that nothing is rented twice.
+                // A scale-out request is retried under the same name, so that the cloud does not provision it twice.
                 self.send_request(now, in_flight.request, out);
             }
         }
     }
 
     fn refresh_machine_types(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
-        let outdated = self.machine_types.is_none() || now.since(self.machine_types_at) >= MACHINE_TYPES_INTERVAL;
+        let is_outdated = self.machine_types.is_none() || now.since(self.machine_types_at) >= MACHINE_TYPES_INTERVAL;
         let in_flight = self.any_in_flight(|request| matches!(request, CloudRequest::MachineTypes));
-        if outdated && !in_flight && self.may_send() {
+        if is_outdated && !in_flight && self.may_send() {
             self.send_request(now, CloudRequest::MachineTypes, out);
         }
     }
 
-    fn return_released(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
+    fn request_releases(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
         let in_flight = self.any_in_flight(|request| matches!(request, CloudRequest::ScaleIn(_)));
         if !self.releasing.is_empty() && !in_flight && self.may_send() {
-            let ids = self.releasing.iter().take(MAX_RETURNS_PER_REQUEST).copied().collect();
+            let ids = self.releasing.iter().take(MAX_RELEASES_PER_REQUEST).copied().collect();
             self.send_request(now, CloudRequest::ScaleIn(ids), out);
         }
     }
 
-    fn refresh_list(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
+    fn refresh_machine_list(&mut self, now: Timestamp, out: &mut Vec<CloudEvent>) {
         let never_listed = self.listed_at == Timestamp::ZERO;
-        let outdated = never_listed || now.since(self.listed_at) >= LIST_INTERVAL;
+        let is_outdated = never_listed || now.since(self.listed_at) >= LIST_INTERVAL;
         let in_flight = self.any_in_flight(|request| matches!(request, CloudRequest::ListMachines(_)));
-        if outdated && !in_flight && self.rate_limit.available() >= RESERVED_REQUESTS {
+        if is_outdated && !in_flight && self.rate_limit.available() >= RESERVED_REQUESTS {
             self.listed_at = now;
             self.send_request(now, CloudRequest::ListMachines(None), out);
         }
     }
 
-    /// Takes a response of the cloud; one to a request that was repeated meanwhile, or is complete, changes nothing.
+    /// Handles a response of the cloud to the request with this number. A response is ignored if the request has been
+    /// retried in the meantime or is complete.
     pub fn handle_response(
         &mut self,
         now: Timestamp,
@@ -167,8 +170,8 @@
         if response.status != 200 {
             return RequestOutcome::Retry;
         }
-        let Some(answer) = response.parse::<MachineTypes>() else { return RequestOutcome::Retry };
-        self.machine_types = Some(answer.machine_types);
+        let Some(parsed) = response.parse::<MachineTypes>() else { return RequestOutcome::Retry };
+        self.machine_types = Some(parsed.machine_types);
         self.machine_types_at = now;
         RequestOutcome::Complete
     }
@@ -184,7 +187,7 @@
     ) -> RequestOutcome {
         match response.status {
             200 => {
-                self.machines_rented(now, request, sent_at, response, is_known, out);
+                self.handle_provisioned(now, request, sent_at, response, is_known, out);
                 RequestOutcome::Complete
             }
             503 if lacks_capacity(response) => {
@@ -198,7 +201,7 @@
         }
     }
 
-    fn machines_rented(
+    fn handle_provisioned(
         &mut self,
         now: Timestamp,
         request: &ScaleOutRequest,
@@ -207,7 +210,7 @@
         is_known: &dyn Fn(MachineId) -> bool,
         out: &mut Vec<CloudEvent>,
     ) {
-        let names = response.parse::<MachineNames>().map(|answer| answer.machines).unwrap_or_default();
+        let names = response.parse::<MachineNames>().map(|parsed| parsed.machines).unwrap_or_default();
         info!("scale out completed request={} machines={}", request.request_name, names.join(","));
         let pool = InstancePool::from(request);
         if names.len() < request.count as usize {
@@ -215,14 +218,14 @@
         } else {
             self.refusals.note_success(&pool);
         }
-        let mut rented = Vec::new();
+        let mut provisioned = Vec::new();
         for id in names.iter().filter_map(|name| name.parse::<MachineId>().ok()) {
             if !is_known(id) && !self.is_released(id) {
                 self.adopt_pending(id, PendingInstance::requested(request, sent_at));
-                rented.push(id);
+                provisioned.push(id);
             }
         }
-        out.push(CloudEvent::MachinesProvisioned(rented));
+        out.push(CloudEvent::MachinesProvisioned(provisioned));
     }
 
     fn scale_in_response(
@@ -241,7 +244,8 @@
         RequestOutcome::Complete
     }
 
-    /// A list that failed is not repeated: the next one is due soon.
+    /// Handles a page of the machine list and requests the next page. A failed listing is not retried, since the next
+    /// one is due within `LIST_INTERVAL`.
     fn list_response(
         &mut self,
         now: Timestamp,
@@ -251,10 +255,10 @@
     ) -> RequestOutcome {
         let page = if response.status == 200 { response.parse::<MachinePage>() } else { None };
         let Some(page) = page else { return RequestOutcome::Complete };
-        let last_listed = page.machines.last().filter(|_| page.more).map(|listed| listed.machine.clone());
+        let cursor = page.machines.last().filter(|_| page.more).map(|listed| listed.machine.clone());
         self.reconcile_list(now, page, is_known, out);
-        if last_listed.is_some() {
-            self.send_request(now, CloudRequest::ListMachines(last_listed), out);
+        if cursor.is_some() {
+            self.send_request(now, CloudRequest::ListMachines(cursor), out);
         }
         RequestOutcome::Complete
     }
--- a/src/cloud/tests.rs
+++ b/src/cloud/tests.rs
@@ -10,7 +10,7 @@
     ServiceResponse { status, body: body.to_string().into() }
 }
 
-/// Numbers and names of the requests to scale out among these events.
+/// Removes all events and returns the numbers and names of the scale-out requests among them.
 fn scale_out_requests(events: &mut Vec<CloudEvent>) -> Vec<(u64, String)> {
     let requests = events.drain(..).filter_map(|event| match event {
         CloudEvent::Request(id, CloudRequest::ScaleOut(request)) => Some((id, request.request_name)),
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn scale_out_without_a_response_is_repeated_under_its_name() {
+fn unanswered_scale_out_is_retried_under_the_same_name() {
     let limits = CloudLimits { rps: 6.0, list_lag_s: 8.0 };
     let mut cloud = CloudInstances::new(FencingToken(41), Timestamp::from_millis(1), &limits);
     let mut events = Vec::new();
@@ -37,11 +37,14 @@
         &mut events,
     );
     assert_eq!(cloud.pending().map(|(id, _)| *id).collect::<Vec<_>>(), [MachineId(7)]);
-    assert!(cloud.recently_refused(&small_spot_pool(), Timestamp::from_millis(6000)), "only partly filled");
+    assert!(
+        cloud.recently_refused(&small_spot_pool(), Timestamp::from_millis(6000)),
+        "the request was filled only in part"
+    );
 }
 
 #[test]
-fn backoff_of_a_pool_without_capacity_doubles_up_to_its_limit() {
+fn backoff_of_a_pool_without_capacity_doubles_up_to_its_maximum() {
     let mut refusals = CapacityRefusals::default();
     let mut now = Timestamp::from_millis(1000);
     for backoff_s in [5, 10, 20, 30, 30] {
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn success_of_a_pool_ends_its_backoff() {
+fn a_complete_scale_out_resets_the_backoff_of_its_pool() {
     let now = Timestamp::from_millis(1000);
     let mut refusals = CapacityRefusals::default();
     refusals.note_refusal(now, small_spot_pool());
@@ -62,5 +65,8 @@
     refusals.note_success(&small_spot_pool());
     assert!(!refusals.is_avoided(&small_spot_pool(), now));
     refusals.note_refusal(now, small_spot_pool());
-    assert!(!refusals.is_avoided(&small_spot_pool(), now + Duration::from_secs(5)), "as after a first refusal");
+    assert!(
+        !refusals.is_avoided(&small_spot_pool(), now + Duration::from_secs(5)),
+        "the backoff is that of a first refusal"
+    );
 }
--- a/src/leader/drains.rs
+++ b/src/leader/drains.rs
@@ -1,4 +1,5 @@
-//! Drains under this leader: the coordinator decides on what it is shown of the fleet, and its effects are carried out here.
+//! Drains as this leader runs them: passes a view of the fleet to the drain coordinator, which makes the decisions, and
+//! applies the effects that it returns.
 
 mod fleet_view;
 mod record_store;
@@ -19,28 +20,29 @@
 use log::info;
 pub(crate) use spare_capacity::SpareCapacityPlanner;
 
-/// Share of the state service's changes that drains may use: the log has three quarters, elections need the rest.
+/// Share of the state service's write rate limit that drains may use. The write-ahead log uses three quarters,
+/// elections need the rest.
 const WRITE_RATE_SHARE: f64 = 0.15;
-/// Bytes of a value that are not used, as in the log.
+/// Safety margin below the state service's maximum value size, in bytes, as in the write-ahead log.
 const VALUE_MARGIN_BYTES: usize = 64;
-/// A replica that is evicted gets no time to save anything.
+/// Grace period of an evicted replica: services save no checkpoint, so they are stopped at once.
 const REPLICA_GRACE_S: f64 = 0.0;
 
-/// The drains of a leader.
+/// The drain coordinator of a leader and the time of its last round.
 pub(super) struct DrainState {
-    /// `None` while the operators have not enabled drains.
+    /// `None` until the operators enable drains for the first time.
     pub(super) coordinator: Option<Coordinator>,
     pub(super) last_round_at: Timestamp,
 }
 
 impl DrainState {
-    /// The drains of a new leader.
+    /// Creates the drain state of a newly elected leader.
     pub(super) fn new(settings: &Settings, now: Timestamp) -> DrainState {
         DrainState { coordinator: new_coordinator(settings, now), last_round_at: Timestamp::ZERO }
     }
 }
 
-/// The coordinator of a new leader's drains, if the operators have enabled them.
+/// Creates the drain coordinator, or returns `None` if the operators have not enabled drains.
 fn new_coordinator(settings: &Settings, now: Timestamp) -> Option<Coordinator> {
     if !settings.policy.enabled {
         return None;
@@ -55,12 +57,12 @@
 }
 
 impl Leader {
-    /// The drains, if they are enabled.
+    /// Returns the drain coordinator; `None` until the operators have enabled drains.
     pub fn drains(&self) -> Option<&Coordinator> {
         self.drain_state.coordinator.as_ref()
     }
 
-    /// Applies disruption budgets that the operators have changed.
+    /// Applies a changed disruption policy of the operators, and starts drains if it enables them.
     pub fn set_policy(&mut self, now: Timestamp, policy: Policy) {
         self.settings.policy = policy.clone();
         match &mut self.drain_state.coordinator {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Reads and writes the drains' records.
+    /// Sends the next due request that reads or writes drain records to the state service.
     pub(crate) fn sync_drain_records(&mut self, now: Timestamp, lease_valid: bool, out: &mut Vec<Effect>) {
         if !lease_valid || !self.is_loaded() {
             return;
@@ -86,18 +88,19 @@
         }
     }
 
-    /// Handles the state service's response to a request for the drains' records.
+    /// Handles the state service's response to a request for drain records. Steps down if a write failed because the
+    /// leader key has changed.
     pub fn handle_drain_store_response(
         &mut self,
         now: Timestamp,
         wall: WallClock,
         lease_valid: bool,
         id: u64,
-        reply: &ServiceResponse,
+        service_response: &ServiceResponse,
         out: &mut Vec<Effect>,
     ) {
-        let response = record_store::store_response(reply);
-        if response == StoreResponse::Conflict && record_store::leader_key_changed(reply, self.format()) {
+        let response = record_store::store_response(service_response);
+        if response == StoreResponse::Conflict && record_store::leader_key_changed(service_response, self.format()) {
             self.step_down_reason = Some(StepDownReason::LeaderKeyChanged);
             return;
         }
@@ -106,13 +109,14 @@
         let next = drains.record_store().handle_response(now, id, response);
         self.send_drain_request(next, out);
         if wrote && lease_valid {
-            // What was charged may be evicted now, without waiting for the next round.
+            // Tasks whose budget charges are durable now may be evicted at once instead of in the next round.
             self.run_drain_round(now, wall, out);
             self.flush(now, out);
         }
     }
 
-    /// Reconciles the drains once; only while no other node can have been elected.
+    /// Runs one reconciliation of the drains and applies its effects. Must be called only while this leader's lease is
+    /// valid, so that no other node can have been elected.
     pub(crate) fn run_drain_round(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let Some(mut drains) = self.drain_state.coordinator.take_if(|drains| !drains.is_idle()) else { return };
         let effects = drains.reconcile(now, wall, &FleetView::new(self, now, wall));
@@ -155,9 +159,10 @@
     }
 
     fn cordon(&mut self, id: MachineId) {
-        // What is on a machine that has not answered this leader is not known: it would be taken for empty and released.
-        let known = |machine: &&mut Machine| machine.fenced && machine.draining.is_none();
-        let Some(machine) = self.machines.get_mut(&id).filter(known) else { return };
+        // The tasks on a machine that has not responded to this leader yet are unknown: it would count as empty and be
+        // released.
+        let may_cordon = |machine: &&mut Machine| machine.fenced && machine.draining.is_none();
+        let Some(machine) = self.machines.get_mut(&id).filter(may_cordon) else { return };
         info!("machine cordoned machine={id}");
         machine.draining = Some(DrainReason::Drained);
         self.planning.plans.remove_machine(id);
@@ -166,8 +171,8 @@
 
     fn uncordon(&mut self, id: MachineId) {
         let releasing = self.cloud.is_releasing(id);
-        let drained = |machine: &&mut Machine| machine.draining == Some(DrainReason::Drained) && !releasing;
-        let Some(machine) = self.machines.get_mut(&id).filter(drained) else { return };
+        let may_uncordon = |machine: &&mut Machine| machine.draining == Some(DrainReason::Drained) && !releasing;
+        let Some(machine) = self.machines.get_mut(&id).filter(may_uncordon) else { return };
         info!("machine uncordoned machine={id}");
         machine.draining = None;
         self.planning.changed_machines.insert(id);
@@ -191,15 +196,16 @@
         self.apply_cloud_events(now, wall, events, out);
     }
 
-    /// Whether a machine is a replacement whose counterpart is still to be drained.
+    /// Whether a machine is a replacement that is kept because the machine it replaces is still to be drained.
     pub(crate) fn is_retained_replacement(&self, id: MachineId) -> bool {
         let Some(drains) = &self.drain_state.coordinator else { return false };
-        let retained =
+        let is_retained =
             |machine: &Machine| drains.retains_replacement(id, &pool_of(&machine.record), machine.record.rented_at);
-        self.machines.get(&id).is_some_and(retained)
+        self.machines.get(&id).is_some_and(is_retained)
     }
 
-    /// Drains a machine whose services fit elsewhere through the budgets, where these are in force; false: not at this time.
+    /// Starts to drain a machine whose services fit on others, within the disruption budgets. Returns false if the
+    /// machine cannot be drained now.
     pub(crate) fn consolidate_within_budgets(&mut self, now: Timestamp, wall: WallClock, id: MachineId) -> bool {
         let Some(mut drains) = self.drain_state.coordinator.take() else { return false };
         let started = drains.consolidate(now, wall, id, &FleetView::new(self, now, wall));
--- a/src/leader/drains/fleet_view.rs
+++ b/src/leader/drains/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The fleet as drains see it.
+//! The fleet as the drain coordinator sees it, derived from the leader's state.
 
 use super::SpareCapacityPlanner;
 use crate::cloud;
@@ -15,17 +15,17 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The machines and jobs of a leader at one moment.
+/// A view of a leader's machines and jobs at one point in time.
 pub(super) struct FleetView<'a> {
     leader: &'a Leader,
     now: Timestamp,
     wall: WallClock,
-    /// A machine that was not reached for so long is unreachable.
+    /// A machine that was not reached within this time is unreachable.
     overdue: Duration,
 }
 
 impl<'a> FleetView<'a> {
-    /// What a leader knows now.
+    /// Creates a view of the leader's current state.
     pub(super) fn new(leader: &'a Leader, now: Timestamp, wall: WallClock) -> FleetView<'a> {
         FleetView { leader, now, wall, overdue: leader.settings.deployment.workers.overdue() }
     }
@@ -34,7 +34,7 @@
         machine.reached_within(self.now, self.overdue)
     }
 
-    /// Whether a replica is available: it runs on a reachable machine.
+    /// Whether a replica is available: it is running, is not being stopped, and its machine is reachable.
     fn is_available(&self, machine: &Machine, task: &TaskAttempt) -> bool {
         is_running(task) && self.is_reachable(machine)
     }
@@ -90,10 +90,11 @@
         }
     }
 
-    /// What is desired, by team and class, with all replicas counted as unavailable.
+    /// Returns the desired number of tasks by team and class. Every replica counts as unavailable at first; the caller
+    /// subtracts the available ones.
     fn desired(&self) -> BTreeMap<ClassKey<'_>, ClassAvailability> {
         let mut availability: BTreeMap<ClassKey<'_>, ClassAvailability> = BTreeMap::new();
-        for job in self.leader.jobs.live().filter(|job| counts(job)) {
+        for job in self.leader.jobs.live().filter(|job| counts_as_desired(job)) {
             let class = availability.entry(ClassKey::of(job)).or_default();
             let desired = job.spec.task_count.saturating_sub(job.finished.len());
             class.desired += desired;
@@ -102,19 +103,19 @@
         availability
     }
 
-    /// Jobs of the replicas that run on a machine, one entry for each replica.
+    /// Iterates over the jobs of the replicas that run on a machine, with one entry per replica.
     fn running_replicas(&self, machine: &'a Machine) -> impl Iterator<Item = &'a Job> {
-        // Services alone have no predicted end.
+        // Only attempts of services have no predicted duration.
         let replicas = machine
             .attempts
             .values()
             .filter(|task| task.assigned && task.predicted_duration.is_none() && is_running(task));
         let jobs = replicas.filter_map(|task| self.leader.jobs.get(task.task.job));
-        jobs.filter(|job| counts(job) && job.spec.is_service)
+        jobs.filter(|job| counts_as_desired(job) && job.spec.is_service)
     }
 }
 
-/// Team and class of a job, borrowed.
+/// Team and class of a job, borrowed from its specification. The borrowed form of `TaskClass`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ClassKey<'a> {
     team: &'a str,
@@ -131,7 +132,7 @@
     }
 }
 
-/// The pool of a machine.
+/// Returns the instance pool that a machine belongs to.
 pub(super) fn pool_of(record: &MachineRecord) -> InstancePool {
     InstancePool { machine_type: record.machine_type.clone(), zone: record.zone.clone(), spot: record.spot }
 }
@@ -149,8 +150,8 @@
     }
 }
 
-/// Whether a job counts for its class.
-fn counts(job: &Job) -> bool {
+/// Whether the tasks of a job count as desired in its class: the job is durable and is not being cancelled.
+fn counts_as_desired(job: &Job) -> bool {
     job.durable && !job.cancelling
 }
 
@@ -188,7 +189,7 @@
             pool: pool_of(&machine.record),
             rented_at: machine.record.rented_at,
             reachable: self.is_reachable(machine),
-            // A quarantined one keeps the services that run on it, so it does not leave by itself.
+            // A quarantined machine keeps the services that run on it, so it does not become empty without a drain.
             leaving: self.leader.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
             tasks: on_machine.filter_map(|(attempt, task)| self.task_view(machine, attempt, task)).collect(),
         })
@@ -227,7 +228,7 @@
     ) -> ReplacementSupply {
         let cloud = &self.leader.cloud;
         let pool = cloud::InstancePool::from(pool.clone());
-        let is_fresh = |machine: &&Machine| {
+        let is_replacement = |machine: &&Machine| {
             let record = &machine.record;
             is_in_pool(&pool, &record.machine_type, &record.zone, record.spot)
                 && record.rented_at >= since
@@ -236,11 +237,11 @@
                 && machine.reclaim_at.is_none()
                 && !cloud.is_releasing(machine.id())
         };
-        let (ready, coming): (Vec<&Machine>, Vec<&Machine>) = self
+        let (ready, booting): (Vec<&Machine>, Vec<&Machine>) = self
             .leader
             .machines
             .values()
-            .filter(is_fresh)
+            .filter(is_replacement)
             .partition(|machine| machine.accepts_tasks() && self.is_reachable(machine));
         let pending = cloud.pending().filter(|(_, instance)| {
             is_in_pool(&pool, &instance.machine_type, &instance.zone, instance.spot)
@@ -248,7 +249,7 @@
         });
         ReplacementSupply {
             ready: ready.len() as u32,
-            booting: (coming.len() + pending.count()) as u32,
+            booting: (booting.len() + pending.count()) as u32,
             recently_refused: cloud.recently_refused(&pool, self.now),
         }
     }
--- a/src/leader/drains/record_store.rs
+++ b/src/leader/drains/record_store.rs
@@ -1,4 +1,4 @@
-//! Carries the record store's requests to the state service, and the service's responses back to it.
+//! Translates requests of the drain record store into requests to the state service, and the responses back.
 
 use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::{FencingToken, Revision};
@@ -6,7 +6,7 @@
 use crate::wire::{CompareAndSwap, CompareAndSwapResponse, KeyPage, StoreWrite};
 use caperstile_disruption::record_store::{self, ConditionalWrite, StoreEntry, StoreResponse};
 
-/// The state service's form of a request of the record store.
+/// Translates a request of the record store into a request to the state service.
 pub(super) fn service_request(
     request: record_store::StoreRequest,
     format: Format,
@@ -18,7 +18,8 @@
     }
 }
 
-/// A write of the record store, on the further condition that this node still leads.
+/// Translates a write of the record store, with the further condition that this node still leads: the leader key still
+/// has the revision that is this leader's fencing token.
 fn fenced_write(write: ConditionalWrite, format: Format, token: FencingToken) -> CompareAndSwap {
     let still_leads = condition(format.leader_key(), Revision(token.0));
     let unchanged = write.conditions.iter().map(|unchanged| condition(&unchanged.key, Revision(unchanged.revision)));
@@ -28,7 +29,8 @@
     CompareAndSwap { conditions, writes: puts.chain(removals).collect() }
 }
 
-/// The record store's form of a response of the state service.
+/// Translates a response of the state service into a response to the record store. Status 0 means that no response
+/// came, so that the outcome is unknown.
 pub(super) fn store_response(response: &ServiceResponse) -> StoreResponse {
     match response.status {
         200 => page(response).or_else(|| written(response)).unwrap_or(StoreResponse::Unknown),
@@ -48,7 +50,7 @@
     Some(StoreResponse::Written { revision: response.parse::<CompareAndSwapResponse>()?.revision })
 }
 
-/// Whether a compare-and-swap failed because another node leads.
+/// Whether a compare-and-swap failed because the leader key has changed, so that another node leads.
 pub(super) fn leader_key_changed(response: &ServiceResponse, format: Format) -> bool {
     let failed = response.parse::<CompareAndSwapResponse>();
     failed.is_some_and(|response| response.failed_keys.iter().any(|key| key == format.leader_key()))
--- a/src/leader/drains/replica_demand.rs
+++ b/src/leader/drains/replica_demand.rs
@@ -1,4 +1,4 @@
-//! Machines for replicas that have to leave theirs and have no other to move to.
+//! Machine demand for replicas that a drain has to move and for which no machine has capacity.
 
 use super::SpareCapacityPlanner;
 use crate::leader::Leader;
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// On-demand machines for replicas that have to leave theirs and have no place to move to, neither on machines that are up
-    /// nor on those that are booting.
+    /// Returns the demand for on-demand machines for replicas that a drain has to move, as far as neither running
+    /// machines nor booting instances have capacity for them.
     pub(crate) fn replica_demands(&self, now: Timestamp) -> Vec<MachineDemand> {
         let unplaceable =
             self.drain_state.coordinator.as_ref().map(Coordinator::unplaceable_replicas).unwrap_or_default();
@@ -42,7 +42,7 @@
         })
     }
 
-    /// The reachable zone that holds the fewest replicas of the same job.
+    /// Returns the reachable zone, among those that the job allows, with the fewest replicas of the job.
     fn zone_for_replica(&self, now: Timestamp, replica: &TaskAttempt) -> Option<String> {
         let job = self.jobs.get(replica.task.job)?;
         let tasks_by_zone = self.planning_view().tasks_by_zone(job);
--- a/src/leader/drains/spare_capacity.rs
+++ b/src/leader/drains/spare_capacity.rs
@@ -1,4 +1,4 @@
-//! Spare capacity for replicas that have to leave their machines.
+//! Spare capacity for replicas that are evicted from their machines.
 
 use crate::jobs::{self, Job};
 use crate::leader::Leader;
@@ -7,10 +7,10 @@
 use caperstile_disruption::SpareCapacity;
 use std::collections::{BTreeSet, HashMap};
 
-/// The capacity of one machine that is not reserved yet.
+/// A machine with its capacity that is not reserved yet.
 struct MachineCapacity<'a> {
     id: MachineId,
-    /// None for one that is booting.
+    /// `None` for a booting instance.
     machine: Option<&'a Machine>,
     machine_type: &'a str,
     zone_name: &'a str,
@@ -18,28 +18,30 @@
     free: Resources,
 }
 
-/// A job in a zone.
+/// A job and a zone, as a key for the replicas of the job in the zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct JobZone {
     job: JobId,
     zone: usize,
 }
 
-/// Spare capacity that is reserved step by step, so that several replicas do not count on the same.
+/// Plans moves of replicas by reserving spare capacity for one after the other, so that no two replicas are planned on
+/// the same capacity.
 pub(crate) struct SpareCapacityPlanner<'a> {
     leader: &'a Leader,
     machines: Vec<MachineCapacity<'a>>,
-    /// How many replicas of a job have a reservation in a zone.
+    /// Number of replicas by job and target zone for which capacity is reserved.
     arriving: HashMap<JobZone, u32>,
-    /// How many replicas of a job leave a zone.
+    /// Number of replicas by job and current zone that are to be moved.
     leaving: HashMap<JobZone, u32>,
-    /// Only machines that hold the replica's image count, and replicas count where they are until they were moved.
+    /// Whether replicas are moved only to save cost. Then only machines that hold a replica's image are eligible, and a
+    /// replica counts against the limit of its current zone until it has been moved.
     consolidating: bool,
 }
 
-/// The capacity that is reserved for one replica.
+/// Capacity that is reserved for one replica.
 struct Reservation {
-    /// Index of the machine.
+    /// Index in `SpareCapacityPlanner::machines`.
     machine: usize,
     resources: Resources,
     arriving: JobZone,
@@ -47,7 +49,7 @@
 }
 
 impl<'a> SpareCapacityPlanner<'a> {
-    /// Capacity of on-demand machines that accept tasks and are reachable, without the excluded ones.
+    /// Plans with the free capacity of reachable on-demand machines that accept tasks, without the excluded machines.
     pub(crate) fn for_drains(leader: &'a Leader, excluded: &BTreeSet<MachineId>) -> SpareCapacityPlanner<'a> {
         let mut planner = SpareCapacityPlanner {
             leader,
@@ -60,26 +62,27 @@
         planner
     }
 
-    /// The same, for replicas that are moved only to save cost.
+    /// Like `for_drains`, but for replicas that are moved from the given machine only to save cost.
     pub(crate) fn for_consolidation(leader: &'a Leader, from: MachineId) -> SpareCapacityPlanner<'a> {
         let planner = SpareCapacityPlanner::for_drains(leader, &BTreeSet::from([from]));
         SpareCapacityPlanner { consolidating: true, ..planner }
     }
 
-    /// The same as for drains, with the capacity of machines that are booting.
+    /// Like `for_drains`, with the capacity of booting instances in addition.
     pub(crate) fn with_booting(leader: &'a Leader, excluded: &BTreeSet<MachineId>) -> SpareCapacityPlanner<'a> {
         let mut planner = SpareCapacityPlanner::for_drains(leader, excluded);
         planner.machines.extend(booting_machines(leader));
         planner
     }
 
-    /// Full machines first, so that larger capacity stays together; those that are to be drained themselves last.
+    /// Orders the machines by free CPUs, the fullest machine first, so that large free capacity on other machines is
+    /// preserved. Members of running drains come last, since they will be emptied themselves.
     fn sort(&mut self) {
         let is_member = |id: MachineId| self.leader.drains().is_some_and(|drains| drains.is_member(id));
         self.machines.sort_by_cached_key(|machine| (is_member(machine.id), machine.free.cpus));
     }
 
-    /// Reserves capacity for all of these replicas, or for none.
+    /// Reserves capacity for all of these replicas and returns true, or reserves nothing and returns false.
     pub(crate) fn reserve_all<'t>(&mut self, replicas: impl Iterator<Item = &'t TaskAttempt>) -> bool {
         let mut reservations = Vec::new();
         for replica in replicas {
@@ -109,7 +112,7 @@
         Some(Reservation { machine, resources: replica.resources, arriving, leaving })
     }
 
-    /// The index of the first machine that a replica may move to.
+    /// Returns the index of the first machine that a replica may move to.
     fn find_machine(&self, job: &Job, replica: &TaskAttempt) -> Option<usize> {
         if job.spec.colocate_in_zone {
             return None;
@@ -129,7 +132,7 @@
         })
     }
 
-    /// The zone in which a replica is.
+    /// Returns the index of the zone in which a replica runs.
     fn zone_of(&self, job: &Job, replica: &TaskAttempt) -> Option<usize> {
         let machine = self.leader.machines.get(&job.placements.get(&replica.task.index)?.machine)?;
         self.leader.planning.names.zone_index_of(&machine.record.zone)
@@ -155,7 +158,7 @@
         }
     }
 
-    /// How many more tasks of a job fit.
+    /// Returns how many more tasks of a job fit into the capacity that is not reserved.
     pub(crate) fn remaining_tasks(&self, job: &Job) -> u64 {
         let machines = self.machines.iter().filter(|machine| self.allows(job, machine));
         machines.map(|machine| job.spec.resources.copies_in(&machine.free)).sum()
@@ -166,11 +169,11 @@
     capacity.machine.is_some_and(|machine| machine.images.contains(&replica.image))
 }
 
-/// On-demand machines that accept tasks and are reachable.
+/// Returns the reachable on-demand machines that accept tasks and have free CPUs.
 fn running_machines<'a>(leader: &'a Leader, excluded: &BTreeSet<MachineId>) -> Vec<MachineCapacity<'a>> {
     let overdue = leader.settings.deployment.workers.overdue();
-    // One that is unreachable, as all are in a zone that is cut off, is no place to move to.
-    let is_open = |machine: &&Machine| {
+    // Replicas cannot be moved to an unreachable machine, such as those of an isolated zone.
+    let is_eligible = |machine: &&Machine| {
         !excluded.contains(&machine.id())
             && machine.accepts_tasks()
             && !machine.record.spot
@@ -188,10 +191,11 @@
             free,
         })
     };
-    leader.machines.values().filter(is_open).filter_map(capacity).collect()
+    leader.machines.values().filter(is_eligible).filter_map(capacity).collect()
 }
 
-/// On-demand machines that were rented and have not sent a heartbeat yet, or cannot be used yet.
+/// Returns the on-demand machines that have been provisioned but do not accept tasks yet: pending instances, and
+/// discovered machines that are not fenced or not durably registered yet.
 fn booting_machines(leader: &Leader) -> Vec<MachineCapacity<'_>> {
     let capacity = |id: MachineId, machine_type, zone_name| {
         let free = jobs::capacity(leader.cloud.machine_type(machine_type)?);
@@ -200,11 +204,12 @@
     };
     let pending = leader.cloud.pending().filter(|(_, instance)| !instance.spot);
     let pending = pending.filter_map(|(id, instance)| capacity(*id, &instance.machine_type, &instance.zone));
-    let is_coming = |machine: &&Machine| !machine.record.spot && !machine.accepts_tasks() && machine.draining.is_none();
-    let coming = leader.machines.values().filter(is_coming);
-    let coming =
-        coming.filter_map(|machine| capacity(machine.id(), &machine.record.machine_type, &machine.record.zone));
-    pending.chain(coming).collect()
+    let is_booting =
+        |machine: &&Machine| !machine.record.spot && !machine.accepts_tasks() && machine.draining.is_none();
+    let booting = leader.machines.values().filter(is_booting);
+    let booting =
+        booting.filter_map(|machine| capacity(machine.id(), &machine.record.machine_type, &machine.record.zone));
+    pending.chain(booting).collect()
 }
 
 impl SpareCapacity for SpareCapacityPlanner<'_> {
--- a/src/leader/drains/tests.rs
+++ b/src/leader/drains/tests.rs
@@ -1,4 +1,4 @@
-//! Transactions of the drains, as they are sent to the state service.
+//! Translation of drain records between the record store and the state service.
 
 use super::record_store::{leader_key_changed, service_request, store_response};
 use crate::fixture::{self, Example, example};
@@ -11,7 +11,7 @@
 use serde_json::json;
 
 #[test]
-fn writes_of_the_drains_keep_their_form() {
+fn drain_writes_keep_their_wire_format() {
     let condition = |key: &str, revision| RevisionCondition { key: key.into(), revision };
     let write = ConditionalWrite {
         conditions: vec![condition("drain/machine/m-000007", 0), condition("drain/request/kernel-5", 29)],
@@ -21,14 +21,14 @@
     let sent =
         |format| match service_request(record_store::StoreRequest::Write(write.clone()), format, FencingToken(41)) {
             StoreRequest::CompareAndSwap(txn) => serde_json::to_string(&txn).expect("JSON"),
-            _ => panic!("a write is a transaction"),
+            _ => panic!("a write must be sent as a compare-and-swap"),
         };
-    let made: [Example; 2] = [example("before-gangs", sent(Format::One)), example("with-gangs", sent(Format::Two))];
-    fixture::assert_examples("stored/drain-writes.txt", &made);
+    let examples: [Example; 2] = [example("before-gangs", sent(Format::One)), example("with-gangs", sent(Format::Two))];
+    fixture::assert_examples("stored/drain-writes.txt", &examples);
 }
 
 #[test]
-fn answers_to_the_drains_are_told_apart_as_before() {
+fn state_service_responses_map_to_record_store_responses() {
     let reply = |status, body: serde_json::Value| ServiceResponse { status, body: body.to_string().into() };
     let entry = StoreEntry { key: "drain/status/x".into(), value: json!(1), revision: 5 };
     let page = json!({"Pairs": [{"K": "drain/status/x", "V": 1, "Stamp": 5}], "More": true, "Ledger": 9});
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -101,8 +101,8 @@
     }
 
     /// Returns the demand for the expected service tasks that do not fit into the free and preemptible capacity: they
-    /// would have to wait for a machine to boot. Replicas that are likely to be moved out of unreachable zones count as
-    /// expected.
+    /// would have to wait for a machine to boot. Replicas that are likely to be lost with an unreachable or silent zone
+    /// count as expected.
     fn service_headroom(
         &self,
         now: Timestamp,
--- a/src/leader/provisioning/zones.rs
+++ b/src/leader/provisioning/zones.rs
@@ -13,7 +13,7 @@
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(120);
 /// A pending instance in an empty zone is late after this many boot times plus `LATE_MARGIN_S`.
 const LATE_BOOT_FACTOR: f64 = 1.6;
-/// Seconds added to the boot times of `LATE_BOOT_FACTOR` before a pending instance in an empty zone is late.
+/// Seconds beyond the boot times of `LATE_BOOT_FACTOR` after which a pending instance in an empty zone is late.
 const LATE_MARGIN_S: f64 = 3.0;
 
 impl Leader {
