--- a/src/leader/cloud_events.rs
+++ b/src/leader/cloud_events.rs
@@ -43,7 +43,7 @@
             match event {
                 CloudEvent::Request(id, request) => out.push(Effect::CallCloud(self.token.0, id, request)),
                 CloudEvent::MachineFailed(id) => self.machine_failed(id),
-                CloudEvent::MachinesProvisioned(ids) => self.machines_rented(now, wall, &ids),
+                CloudEvent::MachinesProvisioned(ids) => self.machines_provisioned(now, wall, &ids),
                 CloudEvent::MachinesReleased(ids) => self.machines_gone(now, &ids),
             }
         }
@@ -57,10 +57,10 @@
         self.cloud.release(id, DrainReason::CloudFailure);
     }
 
-    fn machines_rented(&mut self, now: Timestamp, wall: WallClock, ids: &[MachineId]) {
+    fn machines_provisioned(&mut self, now: Timestamp, wall: WallClock, ids: &[MachineId]) {
         for id in ids {
             if let Some(instance) = self.cloud.pending_instance(*id) {
-                self.log.append(rental_record(*id, instance, now, wall));
+                self.log.append(provisioning_record(*id, instance, now, wall));
             }
         }
     }
@@ -82,13 +82,18 @@
 }
 
 /// The record that a machine was rented. The address of its worker is learnt from its first heartbeat.
-pub(super) fn rental_record(id: MachineId, instance: &PendingInstance, now: Timestamp, wall: WallClock) -> LogRecord {
-    LogRecord::MachineRented(MachineRecord {
+pub(super) fn provisioning_record(
+    id: MachineId,
+    instance: &PendingInstance,
+    now: Timestamp,
+    wall: WallClock,
+) -> LogRecord {
+    LogRecord::MachineProvisioned(MachineRecord {
         id,
         endpoint: String::new(),
         machine_type: instance.machine_type.clone(),
         zone: instance.zone.clone(),
         spot: instance.spot,
-        rented_at: wall.at_timestamp(now, instance.requested_at),
+        provisioned_at: wall.at_timestamp(now, instance.requested_at),
     })
 }
--- a/src/leader/drains/fleet_view.rs
+++ b/src/leader/drains/fleet_view.rs
@@ -21,17 +21,17 @@
     now: Timestamp,
     wall: WallClock,
     /// A machine that was not reached within this time is unreachable.
-    overdue: Duration,
+    overdue_after: Duration,
 }
 
 impl<'a> FleetView<'a> {
     /// Creates a view of the leader's current state.
     pub(super) fn new(leader: &'a Leader, now: Timestamp, wall: WallClock) -> FleetView<'a> {
-        FleetView { leader, now, wall, overdue: leader.settings.deployment.workers.overdue() }
+        FleetView { leader, now, wall, overdue_after: leader.settings.deployment.workers.heartbeat_overdue_after() }
     }
 
     fn is_reachable(&self, machine: &Machine) -> bool {
-        machine.reached_within(self.now, self.overdue)
+        machine.reached_within(self.now, self.overdue_after)
     }
 
     /// Whether a replica is available: it is running, is not being stopped, and its machine is reachable.
@@ -187,7 +187,7 @@
         let on_machine = machine.attempts.iter().filter(|(_, task)| task.assigned && task.occupies_resources());
         Some(MachineView {
             pool: pool_of(&machine.record),
-            rented_at: machine.record.rented_at,
+            rented_at: machine.record.provisioned_at,
             reachable: self.is_reachable(machine),
             // A quarantined machine keeps the services that run on it, so it does not become empty without a drain.
             leaving: self.leader.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
@@ -231,7 +231,7 @@
         let is_replacement = |machine: &&Machine| {
             let record = &machine.record;
             is_in_pool(&pool, &record.machine_type, &record.zone, record.spot)
-                && record.rented_at >= since
+                && record.provisioned_at >= since
                 && !excluded.contains(&machine.id())
                 && machine.draining.is_none()
                 && machine.reclaim_at.is_none()
--- a/src/leader/drains/spare_capacity.rs
+++ b/src/leader/drains/spare_capacity.rs
@@ -161,7 +161,7 @@
     /// Returns how many more tasks of a job fit into the capacity that is not reserved.
     pub(crate) fn remaining_tasks(&self, job: &Job) -> u64 {
         let machines = self.machines.iter().filter(|machine| self.allows(job, machine));
-        machines.map(|machine| job.spec.resources.copies_in(&machine.free)).sum()
+        machines.map(|machine| job.spec.resources.count_fitting(&machine.free)).sum()
     }
 }
 
@@ -171,13 +171,13 @@
 
 /// Returns the reachable on-demand machines that accept tasks and have free CPUs.
 fn running_machines<'a>(leader: &'a Leader, excluded: &BTreeSet<MachineId>) -> Vec<MachineCapacity<'a>> {
-    let overdue = leader.settings.deployment.workers.overdue();
+    let overdue_after = leader.settings.deployment.workers.heartbeat_overdue_after();
     // Replicas cannot be moved to an unreachable machine, such as those of an isolated zone.
     let is_eligible = |machine: &&Machine| {
         !excluded.contains(&machine.id())
             && machine.accepts_tasks()
             && !machine.record.spot
-            && machine.reached_within(leader.planning.last_round_at, overdue)
+            && machine.reached_within(leader.planning.last_round_at, overdue_after)
     };
     let capacity = |machine: &'a Machine| {
         let free = machine.free_resources();
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -105,7 +105,7 @@
 
     /// Counts the startable tasks that the last scheduling round could not add to any machine's queue.
     fn count_unplanned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
-        let startable = self.jobs.waiting().filter(|job| self.is_startable(job, round.now));
+        let startable = self.jobs.pending_jobs().filter(|job| self.is_startable(job, round.now));
         for job in startable.filter(|job| round.now.since(job.last_planned_at) < RECENT_PLANNING_WINDOW) {
             let unplanned = job.pending.len().saturating_sub(self.planning.plans.planned_count(job.spec.id));
             if unplanned > 0 {
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -30,7 +30,7 @@
 impl FreeCapacity {
     /// Takes free resources for at most `limit` tasks and returns for how many they were sufficient.
     fn take(&mut self, per_task: &Resources, limit: u64) -> u64 {
-        let count = per_task.copies_in(&self.free).min(limit);
+        let count = per_task.count_fitting(&self.free).min(limit);
         for _ in 0..count {
             self.free.saturating_sub(per_task);
         }
@@ -41,7 +41,7 @@
     fn take_with_preemption(&mut self, per_task: &Resources, limit: u64) -> u64 {
         let mut total = self.free;
         total.add(&self.preemptible);
-        let count = per_task.copies_in(&total).min(limit);
+        let count = per_task.count_fitting(&total).min(limit);
         for _ in 0..count {
             let mut from_free = *per_task;
             from_free.saturating_sub(&self.preemptible);
@@ -59,7 +59,7 @@
     pub(super) fn headroom(&mut self, now: Timestamp, boot: Duration) -> Vec<MachineDemand> {
         let mut capacities = self.free_capacities();
         let mut demands: Vec<MachineDemand> = self.service_headroom(now, boot, &mut capacities).into_iter().collect();
-        self.planning.latency_sensitive_classes = self.settings.deployment.classes_to_start_within(boot);
+        self.planning.latency_sensitive_classes = self.settings.deployment.classes_with_wait_objective_below(boot);
         let mut reserved = ReservedCapacity::new();
         for class in self.latency_sensitive_arrivals() {
             demands.extend(self.class_headroom(now, boot, class, &mut capacities, &mut reserved));
--- a/src/leader/provisioning/objectives.rs
+++ b/src/leader/provisioning/objectives.rs
@@ -53,10 +53,10 @@
         prediction_counts && misses_deadline && new_machine_meets_deadline
     }
 
-    /// Returns when a job must have ended to meet an objective that at least the share `strict_aim` of jobs must meet;
-    /// `None` if its class has no such objective.
+    /// Returns when a job must have ended to meet a strict objective, which is one that at least the share
+    /// `strict_objective_share` of jobs must meet. Returns `None` if its class has no such objective.
     fn strict_deadline(&self, job: &Job) -> Option<Timestamp> {
-        let is_strict = |objective: &Objective| objective.share >= self.settings.tuning.strict_aim;
+        let is_strict = |objective: &Objective| objective.share >= self.settings.tuning.strict_objective_share;
         if job.spec.deadline.is_some() && self.objectives(job, DEADLINE_KIND).any(is_strict) {
             return Some(job.deadline());
         }
--- a/src/leader/provisioning/scale_in.rs
+++ b/src/leader/provisioning/scale_in.rs
@@ -72,10 +72,10 @@
         id: MachineId,
         machine: &'a Machine,
     ) -> Option<Vec<&'a TaskAttempt>> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue_after = self.settings.deployment.workers.heartbeat_overdue_after();
         let is_eligible = machine.accepts_tasks()
             && !machine.record.spot
-            && machine.reached_within(now, overdue)
+            && machine.reached_within(now, overdue_after)
             && now.since(machine.known_since) >= MINIMUM_CHARGE
             && !self.has_queued_tasks(id);
         if !is_eligible {
@@ -132,19 +132,22 @@
     /// Updates since when each machine is idle, and returns those that have reached their idle timeout, are not needed
     /// as headroom and have used up the minimum charge.
     fn idle_machines(&mut self, now: Timestamp) -> Vec<MachineId> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue_after = self.settings.deployment.workers.heartbeat_overdue_after();
         let mut idle = Vec::new();
         for (id, machine) in &mut self.machines {
             let is_busy = machine.attempts.values().any(TaskAttempt::occupies_resources)
                 || self.planning.plans.machine(*id).is_some_and(|planned| !planned.queue.is_empty());
-            if is_busy || !machine.accepts_tasks() || !machine.reached_within(now, overdue) {
+            if is_busy || !machine.accepts_tasks() || !machine.reached_within(now, overdue_after) {
                 machine.idle_since = None;
                 continue;
             }
             let idle_since = *machine.idle_since.get_or_insert(now);
             let is_spot = machine.record.spot;
-            let idle_timeout =
-                if is_spot { self.settings.tuning.idle_spot } else { self.settings.tuning.idle_ordinary };
+            let idle_timeout = if is_spot {
+                self.settings.tuning.spot_idle_timeout
+            } else {
+                self.settings.tuning.on_demand_idle_timeout
+            };
             let is_not_headroom = is_spot || !self.planning.headroom.contains_key(id);
             let minimum_charge_used = now.since(machine.known_since) >= MINIMUM_CHARGE;
             if is_not_headroom && minimum_charge_used && now.since(idle_since) >= idle_timeout {
--- a/src/leader/provisioning/solver.rs
+++ b/src/leader/provisioning/solver.rs
@@ -168,7 +168,7 @@
     fn zone_with_capacity_for(&self, demand: &MachineDemand) -> Option<String> {
         let mut slots_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
         for instance in self.instances.iter().filter(|instance| demand.allows(&instance.pool)) {
-            *slots_by_zone.entry(&instance.pool.zone).or_default() += demand.resources.copies_in(&instance.free);
+            *slots_by_zone.entry(&instance.pool.zone).or_default() += demand.resources.count_fitting(&instance.free);
         }
         let mut zones = slots_by_zone.into_iter();
         zones.find(|(_, slots)| *slots >= u64::from(demand.count)).map(|(zone, _)| zone.to_string())
@@ -217,7 +217,7 @@
         similar_later_tasks: u32,
     ) -> Option<Candidate> {
         let capacity = jobs::capacity(machine_type);
-        let fitting_tasks = unmet.demand.resources.copies_in(&capacity).min(u64::from(u32::MAX)) as u32;
+        let fitting_tasks = unmet.demand.resources.count_fitting(&capacity).min(u64::from(u32::MAX)) as u32;
         let tasks = fitting_tasks.min(unmet.remaining).min(unmet.zone_allowance(zone));
         let is_other_zone = unmet.colocation_zone.as_ref().is_some_and(|only| only != zone);
         if tasks == 0 || is_other_zone {
--- a/src/leader/provisioning/solver/tests.rs
+++ b/src/leader/provisioning/solver/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::jobs::tests::flavor;
+use crate::jobs::tests::sample_machine_type;
 
 /// Three replicas of a service with at most two replicas per zone.
 fn replicas(job: u64) -> MachineDemand {
@@ -26,9 +26,9 @@
 /// solver that looks at one service at a time never chooses the large type.
 #[test]
 fn cost_per_task_covers_all_demands_with_the_same_requirements() {
-    let mut large = flavor();
+    let mut large = sample_machine_type();
     (large.name, large.cpus, large.memory_gb, large.price_per_hour) = ("large".into(), 16.0, 64.0, 0.99);
-    let machine_types = [flavor(), large];
+    let machine_types = [sample_machine_type(), large];
     let provisioned_types = |job_count: u64| -> Vec<(String, u32)> {
         let demands: Vec<MachineDemand> = (0..job_count).map(replicas).collect();
         let counts = solve(&demands, &machine_types);
@@ -40,7 +40,7 @@
 
 #[test]
 fn replicas_with_a_zone_limit_are_spread_over_zones() {
-    let counts = solve(&[replicas(1)], &[flavor()]);
+    let counts = solve(&[replicas(1)], &[sample_machine_type()]);
     let by_zone: Vec<_> = counts.iter().map(|(pool, count)| (pool.zone.as_str(), pool.spot, *count)).collect();
     assert_eq!(by_zone, [("a", false, 1), ("b", false, 1)]);
 }
@@ -50,7 +50,7 @@
 fn colocated_tasks_are_provisioned_in_one_zone() {
     let gang = |job, count| MachineDemand { count, max_per_zone: u32::MAX, colocate_in_zone: true, ..replicas(job) };
     let single = MachineDemand { max_per_zone: u32::MAX, count: 1, ..replicas(1) };
-    let counts = solve(&[single, gang(2, 7), gang(3, 3)], &[flavor()]);
+    let counts = solve(&[single, gang(2, 7), gang(3, 3)], &[sample_machine_type()]);
     // The single task takes one of four CPUs in `a`. Seven tasks do not fit beside it and go to two instances in `b`,
     // where one CPU is left. The last three tasks go to the instance in `a`.
     let by_zone: Vec<_> = counts.iter().map(|(pool, count)| (pool.zone.as_str(), *count)).collect();
--- a/src/leader/provisioning/zones.rs
+++ b/src/leader/provisioning/zones.rs
@@ -47,10 +47,10 @@
 
     /// Returns the zones without a machine that is up, or no zones while fewer than `MIN_MACHINES_ELSEWHERE` are up.
     fn zones_without_machines(&self, now: Timestamp) -> BTreeSet<String> {
-        let overdue = self.settings.deployment.workers.overdue();
+        let overdue_after = self.settings.deployment.workers.heartbeat_overdue_after();
         let machines = self.machines.values();
         let mut up_by_zone: HashMap<&str, usize> = HashMap::new();
-        for machine in machines.filter(|machine| machine.fenced && now.since(machine.last_reached_at) < overdue) {
+        for machine in machines.filter(|machine| machine.fenced && now.since(machine.last_reached_at) < overdue_after) {
             *up_by_zone.entry(&machine.record.zone).or_default() += 1;
         }
         if up_by_zone.values().sum::<usize>() < MIN_MACHINES_ELSEWHERE {
