--- a/src/gang/tests.rs
+++ b/src/gang/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_gang_awaits_its_members_runs_stops_and_is_queued_again() {
+fn gang_passes_through_all_phases_and_is_queued_again() {
     let mut gang = awaiting_members();
     assert_eq!(
         (gang.phase, gang.is_queued(), gang.is_running()),
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_lost_task_is_replaced_only_while_the_gang_has_not_started() {
+fn lost_task_can_be_replaced_only_before_the_gang_runs() {
     let mut gang = awaiting_members();
     gang.task_lost(Timestamp::from_millis(20));
     gang.task_lost(Timestamp::from_millis(30));
@@ -37,33 +37,33 @@
     assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO });
 }
 
-/// Two attempts are never mixed: what belongs to an earlier one is left over, whichever is found first.
+/// Attempts are never mixed: tasks of an earlier attempt are stale, in whichever order the attempts are reported.
 #[test]
 fn a_new_leader_takes_the_latest_attempt_that_it_finds() {
     let mut gang = Gang::default();
     assert_eq!(gang.adopt(Timestamp::from_millis(1), AttemptNumber(5), MACHINE, true), Adoption::Live);
-    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "something of it has ended");
+    assert_eq!(gang.phase, GangPhase::Stopping { grace: Duration::ZERO }, "a task of the adopted attempt has ended");
     assert_eq!(gang.adopt(Timestamp::from_millis(2), AttemptNumber(9), MACHINE, false), Adoption::Supersedes);
     assert_eq!(gang.phase, GangPhase::AwaitingMembers { since: Timestamp::from_millis(2) });
     assert_eq!(gang.adopt(Timestamp::from_millis(3), AttemptNumber(5), MACHINE, false), Adoption::Stale);
     assert_eq!(gang.adopt(Timestamp::from_millis(4), AttemptNumber(9), MACHINE, false), Adoption::Live);
     gang.task_running(AttemptNumber(5));
-    assert!(!gang.is_running(), "a leftover says nothing of the live attempt");
+    assert!(!gang.is_running(), "a stale attempt does not change the phase of the live one");
     gang.task_running(AttemptNumber(9));
     assert!(gang.is_running());
 }
 
 #[test]
-fn a_stop_while_nothing_is_on_a_machine_changes_nothing() {
+fn stop_or_task_loss_leaves_a_queued_gang_unchanged() {
     let mut gang = Gang::default();
     gang.stop(Duration::from_millis(5));
     gang.task_lost(Timestamp::from_millis(1));
     assert!(gang.is_queued());
 }
 
-/// A failure during an orderly stop does not take away the others' time for their checkpoints.
+/// A task failure during a graceful stop does not shorten the time that the other tasks have for their checkpoints.
 #[test]
-fn an_orderly_stop_keeps_its_grace_period() {
+fn graceful_stop_keeps_its_grace_period_after_task_failures() {
     let mut gang = awaiting_members();
     gang.task_running(AttemptNumber(5));
     gang.stop(Duration::from_secs(3));
