--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -1,7 +1,8 @@
-//! Records of the write-ahead log: what is read back after an election, and what is told and done once a record is durable.
+//! Log records: restoring the leader's state from them after an election, and acting on this leader's own records once
+//! they are durable.
 
 use super::Leader;
-use super::cloud_events::rental_record;
+use super::cloud_events::provisioning_record;
 use crate::api::ApiResponse;
 use crate::cloud::PendingInstance;
 use crate::effects::{Effect, StoreCaller};
@@ -15,7 +16,7 @@
 use log::{debug, info};
 
 impl Leader {
-    /// Takes the key-value store's response to a request of the log.
+    /// Processes the state service's response to a request of the log.
     pub fn handle_store_response(
         &mut self,
         now: Timestamp,
@@ -55,11 +56,11 @@
         }
     }
 
-    /// Applies a record that was read back after the election.
+    /// Applies a record that was loaded after the election.
     pub(super) fn restore_record(&mut self, now: Timestamp, wall: WallClock, record: &LogRecord) {
         match record {
             LogRecord::MachineRegistered(machine) => self.restore_machine(now, wall, machine),
-            LogRecord::MachineProvisioned(machine) => self.restore_rental(now, wall, machine),
+            LogRecord::MachineProvisioned(machine) => self.restore_pending_instance(now, wall, machine),
             LogRecord::ImageCached(id, image) => {
                 if let Some(machine) = self.machines.get_mut(id) {
                     machine.images.insert(image.clone());
@@ -87,8 +88,9 @@
         self.machines.insert(record.id, machine);
     }
 
-    /// Rentals are written later than other records: by now the machine may be known to be up, or gone.
-    fn restore_rental(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
+    /// Restores an instance that was still booting. Provisioning records are written later than other records, so the
+    /// machine may already be registered or gone; in that case the record is ignored.
+    fn restore_pending_instance(&mut self, now: Timestamp, wall: WallClock, record: &MachineRecord) {
         if self.machines.contains_key(&record.id) || self.cloud.is_released(record.id) {
             return;
         }
@@ -101,7 +103,7 @@
         self.cloud.adopt_pending(record.id, instance);
     }
 
-    /// All records were read back: from now on this node serves as leader.
+    /// Completes the loading of the log: from now on this node serves requests as the leader.
     fn finish_loading(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         self.fencing.completion_logged = self.fencing.unfenced.is_empty();
         info!(
@@ -116,12 +118,13 @@
         for job in jobs {
             self.planning.arrivals.record(job.submitted_at, &job.spec);
         }
-        self.command_dispatch.request_all(self.machines.keys().copied());
+        self.command_dispatch.enqueue_all(self.machines.keys().copied());
         self.planning.changed_machines.extend(self.machines.keys());
         self.flush(now, out);
     }
 
-    /// A record of this leader has become durable: now it may be told and acted on.
+    /// Applies a record of this leader that has become durable. Only from now on may the leader act on it and confirm
+    /// it to users.
     pub(super) fn apply_durable_record(
         &mut self,
         now: Timestamp,
@@ -131,17 +134,17 @@
     ) {
         self.planning.replan_needed = true;
         match record {
-            LogRecord::MachineRegistered(machine) => self.registration_durable(machine.id),
+            LogRecord::MachineRegistered(machine) => self.handle_durable_registration(machine.id),
             LogRecord::MachineGone(_)
             | LogRecord::MachineProvisioned(_)
             | LogRecord::ImageCached(..)
             | LogRecord::CorrectionUpdated(..) => {}
             job_record => {
                 if let LogRecord::TasksDone(job, tasks) = job_record {
-                    self.finishes_durable(*job, tasks);
+                    self.handle_durable_finishes(*job, tasks);
                 }
                 match self.jobs.apply(job_record, now, wall) {
-                    ApplyOutcome::JobAccepted(id) => self.acceptance_durable(now, id, out),
+                    ApplyOutcome::JobAccepted(id) => self.handle_durable_acceptance(now, id, out),
                     ApplyOutcome::JobEnded(id, placements) => self.job_ended(now, id, &placements, out),
                     ApplyOutcome::Unchanged => {}
                 }
@@ -149,30 +152,30 @@
         }
     }
 
-    fn registration_durable(&mut self, id: MachineId) {
+    fn handle_durable_registration(&mut self, id: MachineId) {
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.registration = Registration::Durable;
             self.planning.changed_machines.insert(id);
         }
     }
 
-    fn finishes_durable(&mut self, job: JobId, tasks: &TaskIndexSet) {
+    fn handle_durable_finishes(&mut self, job: JobId, tasks: &TaskIndexSet) {
         for index in tasks.iter() {
-            self.allow_forgetting(TaskId { job, index });
+            self.confirm_finish(TaskId { job, index });
         }
     }
 
-    fn acceptance_durable(&mut self, now: Timestamp, id: JobId, out: &mut Vec<Effect>) {
+    fn handle_durable_acceptance(&mut self, now: Timestamp, id: JobId, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(id) else { return };
         self.planning.arrivals.record(now, &job.spec);
         self.admission.accepted(now, id);
         debug!("job accepted job={id} class={} tasks={}", job.spec.class, job.spec.task_count);
-        for origin in self.pending.take_submissions(id) {
+        for origin in self.pending_requests.take_submissions(id) {
             out.push(Effect::Respond(origin, ApiResponse::accepted(id)));
         }
     }
 
-    /// A job's terminal state is durable; what is left of it on machines is stopped.
+    /// Handles the durable end of a job: stops its remaining attempts and responds to pending cancellations.
     fn job_ended(&mut self, now: Timestamp, id: JobId, placements: &[Placement], out: &mut Vec<Effect>) {
         let done = matches!(self.jobs.terminal_state(id), Some(TerminalState::Done(_)));
         info!("job ended job={id} state={}", if done { "done" } else { "cancelled" });
@@ -182,16 +185,16 @@
         }
         let tasks: Vec<TaskId> = self.unconfirmed_finishes.keys().filter(|task| task.job == id).copied().collect();
         for task in tasks {
-            self.allow_forgetting(task);
+            self.confirm_finish(task);
         }
         let response = self.job_status(true, &id.to_string());
-        for origin in self.pending.take_cancellations(id) {
+        for origin in self.pending_requests.take_cancellations(id) {
             out.push(Effect::Respond(origin, response.clone()));
         }
         self.flush(now, out);
     }
 
-    /// Begins a snapshot of everything that is durable, if one is due.
+    /// Starts a snapshot of the durable state if one is due.
     pub(super) fn write_snapshot_if_due(&mut self, now: Timestamp, wall: WallClock) {
         if !self.log.snapshot_due() {
             return;
@@ -209,7 +212,7 @@
             let cached = |image: &String| LogRecord::ImageCached(machine.id(), image.clone());
             records.extend(machine.images.iter().map(cached));
         }
-        records.extend(self.cloud.pending().map(|(id, instance)| rental_record(*id, instance, now, wall)));
+        records.extend(self.cloud.pending().map(|(id, instance)| provisioning_record(*id, instance, now, wall)));
         let correction = &self.planning.correction;
         records.push(LogRecord::CorrectionUpdated(correction.percent, correction.executions));
         records.extend(self.jobs.snapshot_records());
--- a/src/leader/scheduling/starts.rs
+++ b/src/leader/scheduling/starts.rs
@@ -1,45 +1,47 @@
-//! Starts: of what is planned where it has room.
+//! Starts queued tasks on the machine whose queue holds them, as soon as they fit into its free resources.
 
 use super::reservation::GangReservation;
 use super::*;
 use caperstile_admission::Pair;
 
-/// Pending tasks of a job that are looked through for one that the machine does not hold yet.
-const MAX_PENDING_LOOKED_THROUGH: usize = 64;
+/// Number of a job's pending tasks that are examined to find one of which the machine holds no other attempt.
+const MAX_PENDING_SCANNED: usize = 64;
 
-/// What is done with an entry of a machine's queue.
-enum QueueStep {
+/// What to do with one entry of a machine's queue.
+enum QueueAction {
     StartTask,
     StartGang,
-    /// The gang waits for room elsewhere: its room here is reserved.
+    /// The gang cannot start yet because other machines lack resources: reserves its resources on this machine.
     ReserveForGang,
-    /// What is behind the entry need not wait for it.
+    /// The entry cannot start now, but the entries behind it may.
     Skip,
-    /// What is behind the entry waits for it.
-    Wait,
+    /// The entry cannot start now, and the entries behind it must not overtake it.
+    Block,
 }
 
 impl Leader {
-    /// Whether a task of this job may start on this machine at this moment.
+    /// Whether a task of this job may start on this machine now, as far as the machine's state, the job's state, the
+    /// team's quota, zone constraints and headroom are concerned. Always false for gangs, which start as a whole.
     pub(super) fn may_start(&self, job: &Job, machine: &Machine, now: Timestamp, usage: &TeamUsage) -> bool {
         let is_startable = job.gang.is_none() && self.is_startable(job, now);
         machine.accepts_tasks()
             && is_startable
             && self.within_quota(usage, job, 1)
             && self.fits_on(job, machine)
-            && self.leaves_headroom(job, machine)
+            && self.respects_headroom(job, machine)
     }
 
-    /// Whether the machine's free resources without its headroom are enough for a task of this job, if it must leave
-    /// that.
-    fn leaves_headroom(&self, job: &Job, machine: &Machine) -> bool {
+    /// Whether a task of this job fits into the machine's free resources without taking headroom, or the job may use
+    /// headroom.
+    fn respects_headroom(&self, job: &Job, machine: &Machine) -> bool {
         let Some(headroom) = self.planning.headroom.get(&machine.id()) else { return true };
         let mut usable = machine.free_resources();
         usable.saturating_sub(headroom);
         job.spec.resources.fits(&usable) || may_use_headroom(job, &self.planning.latency_sensitive_classes)
     }
 
-    /// Whether one more task of this job may be on this machine, given its free resources and the job's other tasks.
+    /// Whether one more task of this job may be placed on this machine: the job allows the machine, the task fits into
+    /// the free resources, and the job's zone constraints hold together with its tasks that are placed already.
     pub(super) fn fits_on(&self, job: &Job, machine: &Machine) -> bool {
         let view = self.planning_view();
         if !view.allows_machine(job, machine.id()) || !job.spec.resources.fits(&machine.free_resources()) {
@@ -56,74 +58,77 @@
         tasks_by_zone.get(&zone).copied().unwrap_or(0) < job.spec.max_tasks_per_zone()
     }
 
-    /// Starts what has room on the machine that it was planned for.
+    /// Starts queued tasks on these machines, as far as they fit.
     pub(super) fn start_planned(&mut self, now: Timestamp, machines: &[MachineId], usage: &mut TeamUsage) {
         for id in machines.iter().copied() {
             self.start_from_queue(now, id, usage);
         }
     }
 
-    /// Starts what has room of one machine's queue.
+    /// Goes through one machine's queue in order of priority and starts all tasks that fit.
     fn start_from_queue(&mut self, now: Timestamp, id: MachineId, usage: &mut TeamUsage) {
         let mut position = 0;
         let mut reservation = GangReservation::default();
         while let Some(entry) = self.planning.plans.machine(id).and_then(|machine| machine.queue.get(position)).copied()
         {
-            match self.queue_step(now, id, &entry, &reservation, usage) {
-                QueueStep::StartTask => {
+            match self.queue_action(now, id, &entry, &reservation, usage) {
+                QueueAction::StartTask => {
                     self.planning.plans.dequeue_one(id, position);
                     self.start_task(now, id, entry, usage);
                 }
-                QueueStep::StartGang => self.start_gang(now, entry.job, usage),
-                QueueStep::ReserveForGang => {
+                QueueAction::StartGang => self.start_gang(now, entry.job, usage),
+                QueueAction::ReserveForGang => {
                     reservation.reserve(&entry, self.planning.plans.common_start(entry.job, now));
                     position += 1;
                 }
-                QueueStep::Skip => position += 1,
-                QueueStep::Wait => return,
+                QueueAction::Skip => position += 1,
+                QueueAction::Block => return,
             }
         }
     }
 
-    /// What is to be done with an entry of a machine's queue, after those before it.
-    fn queue_step(
+    /// Decides what to do with an entry of a machine's queue. `reservation` holds the resources reserved for gangs
+    /// ahead of the entry.
+    fn queue_action(
         &self,
         now: Timestamp,
         id: MachineId,
         entry: &QueueEntry,
         reservation: &GangReservation,
         usage: &TeamUsage,
-    ) -> QueueStep {
+    ) -> QueueAction {
         let (Some(machine), Some(job)) = (self.machines.get(&id), self.jobs.get(entry.job)) else {
-            return QueueStep::Wait;
+            return QueueAction::Block;
         };
         if !machine.accepts_tasks() {
-            return QueueStep::Wait;
+            return QueueAction::Block;
         }
         if entry.is_gang {
             let may_start = self.gang_may_start(job, now, usage);
-            return if may_start { QueueStep::StartGang } else { QueueStep::ReserveForGang };
+            return if may_start { QueueAction::StartGang } else { QueueAction::ReserveForGang };
         }
         let free = machine.free_resources();
         if !reservation.allows(entry, &free, now) {
-            QueueStep::Skip
+            QueueAction::Skip
         } else if self.may_start(job, machine, now, usage) {
-            QueueStep::StartTask
+            QueueAction::StartTask
         } else if entry.resources.fits(&free) || entry.is_service {
-            // Held back by something else than room, or behind room that services keep.
-            QueueStep::Skip
+            // The task fits, so something other than resources prevents its start; or it is a service, which may wait
+            // for resources that other services hold for good. Entries behind it need not wait.
+            QueueAction::Skip
         } else {
-            QueueStep::Wait
+            QueueAction::Block
         }
     }
 
-    /// Starts a pending task of an entry's job on a machine.
+    /// Starts one pending task of an entry's job on a machine. Skips tasks of which the machine still holds an earlier
+    /// attempt, because a worker refuses a second attempt of the same task.
     pub(super) fn start_task(&mut self, now: Timestamp, id: MachineId, entry: QueueEntry, usage: &mut TeamUsage) {
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.get(entry.job) else { return };
         let Some(machine) = self.machines.get(&id) else { return };
-        let is_held = |index: &u32| machine.holds_task(TaskId { job: entry.job, index: *index });
-        let candidate = job.pending.iter().take(MAX_PENDING_LOOKED_THROUGH).find(|index| !is_held(index));
+        let holds_task_already = |index: &u32| machine.holds_task(TaskId { job: entry.job, index: *index });
+        let candidate = job.pending.iter().take(MAX_PENDING_SCANNED).find(|index| !holds_task_already(index));
         let Some(index) = candidate else { return };
         let attempt = AttemptId { attempt, task: TaskId { job: entry.job, index } };
         let predicted_duration = (!entry.is_service).then_some(entry.predicted_duration);
@@ -131,7 +136,8 @@
         self.end_promotion(entry.job);
     }
 
-    /// Something of a promoted job has begun: the rest of it waits at its own priority again.
+    /// Ends the promotion of a job once one of its tasks has been started: its remaining tasks are queued at the job's
+    /// own priority.
     pub(super) fn end_promotion(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.is_promoted() {
@@ -140,7 +146,8 @@
         }
     }
 
-    /// Requests the start of an attempt at a task that is on no machine.
+    /// Places a pending task on a machine under this attempt and requests its start. `predicted_duration` is `None` for
+    /// services.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -183,7 +190,7 @@
             },
         );
         self.planning.plans.set_free(id, machine.free_resources());
-        self.command_dispatch.request(id);
+        self.command_dispatch.enqueue(id);
         self.planning.changed_machines.insert(id);
         self.planning.replan_needed = true;
     }
