--- a/src/operator/error.rs
+++ b/src/operator/error.rs
@@ -3,7 +3,7 @@
 /// Error of an operator's command. The variant determines the exit code.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The request was refused; nothing was changed.
+    /// The request was refused by this command, by the state service or by the leader.
     #[error("refused: {0}")]
     Refused(Refusal),
     /// The state service was unreachable; nothing was changed.
--- a/src/plan/gangs.rs
+++ b/src/plan/gangs.rs
@@ -1,9 +1,10 @@
-//! Placing a gang: Algorithm 3 over all its machines at once.
+//! Placement of gangs: Algorithm 3 of the paper, applied to all tasks of a gang at once.
 //!
-//! Where the paper asks one machine after the other what inserting one task would do, a gang is inserted into
-//! trial copies of queues until all its tasks have a machine, zone by zone where the job wants one zone. The trial
-//! that meets the deadline and pushes fewest tasks past theirs is taken, then the one whose common end is sooner;
-//! without a complete trial nothing is planned.
+//! The paper rates the insertion of a single task on one machine after the other. A gang is instead inserted into
+//! copies of the queues until each of its tasks has a machine. If all tasks have to share a zone, each zone is tried
+//! separately. Of the complete placements, those that meet the deadline are preferred, then the one with the fewest
+//! other tasks that newly miss theirs, then the one with the earliest common end. If there is no complete placement, no
+//! task of the gang is planned.
 
 use super::queues::insertion_position;
 use super::simulation::{LateTasks, insertion_outcome, late_tasks};
@@ -15,48 +16,48 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// One task of a gang on a machine, in a trial.
+/// A task of the gang and its machine in a candidate placement.
 #[derive(Debug, Clone, Copy)]
 struct TaskSlot {
     machine: MachineId,
-    /// Predicted time of the task on this machine.
+    /// Predicted duration of the task on this machine.
     predicted_duration: Duration,
-    /// Predicted end.
+    /// Predicted end of the task.
     finish: Timestamp,
 }
 
-/// A way to place all tasks of a gang.
+/// A candidate placement of all tasks of a gang.
 #[derive(Debug, Clone, Default)]
-struct GangTrial {
+struct GangPlacement {
     slots: Vec<TaskSlot>,
     misses_deadline: bool,
-    /// Tasks of others that are pushed past their deadline.
-    fallbacked: u32,
+    /// Number of tasks of other jobs that would newly miss their deadline.
+    newly_late: u32,
     machine_count: usize,
 }
 
-/// The paper's order of preference among trials: the fields stand in the order in which they decide, the smallest
-/// rating is the best.
+/// Rates a candidate placement by the paper's order of preference. The derived order compares the fields from top to
+/// bottom; the smallest rating is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct TrialRating {
+struct GangPlacementRating {
     misses_deadline: bool,
-    fallbacked: u32,
-    /// Common end, in units of the granularity.
+    newly_late: u32,
+    /// Predicted end of the last task, in units of the finish granularity.
     finish: u64,
     machine_count: usize,
 }
 
-impl GangTrial {
-    /// When all tasks are predicted to be over.
+impl GangPlacement {
+    /// Predicted end of the last task.
     fn finish(&self) -> Timestamp {
         self.slots.iter().map(|slot| slot.finish).max().unwrap_or(Timestamp::NEVER)
     }
 
-    fn rating(&self) -> TrialRating {
-        TrialRating {
+    fn rating(&self) -> GangPlacementRating {
+        GangPlacementRating {
             misses_deadline: self.misses_deadline,
-            fallbacked: self.fallbacked,
-            finish: in_granules(self.finish()),
+            newly_late: self.newly_late,
+            finish: finish_bucket(self.finish()),
             machine_count: self.machine_count,
         }
     }
@@ -66,37 +67,39 @@
     }
 }
 
-/// What one more task of the gang would do to a machine. The fields stand in the order in which they decide; the
-/// smallest rating is the best.
+/// Effect of placing one more task of the gang on a machine. The derived order compares the fields from top to bottom;
+/// the smallest rating is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SlotRating {
     misses_deadline: bool,
-    /// Tasks of others that it pushes past their deadline.
-    fallbacked: u32,
-    /// Predicted end, in units of the granularity.
+    /// Number of tasks of other jobs that would newly miss their deadline.
+    newly_late: u32,
+    /// Predicted end of the task, in units of the finish granularity.
     finish: u64,
-    /// How many of the gang's tasks that are not placed yet find no free resources there now.
-    tasks_without_room: u64,
-    /// `PlacementBias` of the machine.
+    /// Number of the gang's tasks without a machine that exceed what fits into this machine's free resources now.
+    /// Prefers machines that can hold many of them, so that the gang uses few machines.
+    tasks_beyond_free_resources: u64,
+    /// The machine's `PlacementBias` for tasks that end by themselves.
     bias: u64,
 }
 
-/// A machine for the next task, as the heap of candidates orders them.
+/// Element of the heap of candidate machines for the next task, which is ordered by rating.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RatedSlot {
     rating: SlotRating,
     machine: MachineId,
-    /// Predicted end of the task there.
+    /// Predicted end of the task on this machine.
     finish: Timestamp,
 }
 
-/// A predicted end in units of the granularity below which ends of gangs count as equal.
-fn in_granules(finish: Timestamp) -> u64 {
+/// Index of the interval of length `SERVICE_FINISH_GRANULARITY` into which a predicted end falls. Ends in the same
+/// interval count as equal.
+fn finish_bucket(finish: Timestamp) -> u64 {
     finish.as_millis() / SERVICE_FINISH_GRANULARITY.as_millis()
 }
 
-/// Rates one more task of a gang on a machine, with so many of its tasks not placed yet; `None` if it may not or
-/// cannot be placed there.
+/// Rates placing one more task of a gang on a machine while `unplaced` of its tasks have no machine; `None` if the task
+/// may not run there, the queue is full, or the task would never start.
 fn rate_slot(
     machine: &PlannedMachine,
     now: Timestamp,
@@ -109,22 +112,23 @@
     let misses_deadline = outcome.finish > task.deadline;
     let rating = SlotRating {
         misses_deadline,
-        fallbacked: if misses_deadline { 0 } else { outcome.fallbacked },
-        finish: in_granules(outcome.finish),
-        tasks_without_room: u64::from(unplaced).saturating_sub(task.resources.count_fitting(&machine.free)),
+        newly_late: if misses_deadline { 0 } else { outcome.newly_late },
+        finish: finish_bucket(outcome.finish),
+        tasks_beyond_free_resources: u64::from(unplaced).saturating_sub(task.resources.count_fitting(&machine.free)),
         bias: machine.bias.for_other_tasks,
     };
     Some(RatedSlot { rating, machine: machine.id, finish: outcome.finish })
 }
 
 impl Plans {
-    /// Plans all `count` tasks of a gang, or none; whether it did.
+    /// Inserts all `count` tasks of a gang into machine queues, or none; returns whether they were inserted.
     pub fn place_gang(&mut self, now: Timestamp, task: QueueEntry, count: u32, jobs: &dyn JobDirectory) -> bool {
         let Some(profile) = jobs.profile(task.job) else { return false };
         let zones = jobs.zone_allowance(task.job, &BTreeMap::new());
-        let trials =
-            zone_choices(&zones).into_iter().filter_map(|zones| self.gang_trial(now, &task, count, &profile, zones));
-        let Some(best) = trials.min_by_key(GangTrial::rating) else { return false };
+        let placements = candidate_zones(&zones)
+            .into_iter()
+            .filter_map(|zones| self.try_gang_placement(now, &task, count, &profile, zones));
+        let Some(best) = placements.min_by_key(GangPlacement::rating) else { return false };
         let late_before: Vec<(MachineId, Vec<LateTasks>)> =
             best.machines().into_iter().map(|id| (id, late_tasks(&self.machines[&id], now))).collect();
         for slot in &best.slots {
@@ -139,46 +143,47 @@
         true
     }
 
-    /// Places all tasks of a gang in copies of the queues; `None` if some find no machine.
-    fn gang_trial(
+    /// Tries to place all tasks of a gang in copies of the queues; `None` if there is no machine for some of them.
+    fn try_gang_placement(
         &self,
         now: Timestamp,
         task: &QueueEntry,
         count: u32,
         profile: &JobProfile,
         mut zones: ZoneAllowance,
-    ) -> Option<GangTrial> {
-        let mut copies: BTreeMap<MachineId, PlannedMachine> = BTreeMap::new();
+    ) -> Option<GangPlacement> {
+        let mut machine_copies: BTreeMap<MachineId, PlannedMachine> = BTreeMap::new();
         let mut candidates: BinaryHeap<Reverse<RatedSlot>> = self
             .machines
             .values()
-            .filter(|machine| zones.has_room(machine.zone))
+            .filter(|machine| zones.allows_task(machine.zone))
             .filter_map(|machine| rate_slot(machine, now, task, profile, count).map(Reverse))
             .collect();
-        let mut trial = GangTrial::default();
-        while (trial.slots.len() as u32) < count {
+        let mut placement = GangPlacement::default();
+        while (placement.slots.len() as u32) < count {
             let Reverse(RatedSlot { rating, machine: id, finish }) = candidates.pop()?;
-            let Some(machine) = copies.get(&id).or_else(|| self.machines.get(&id)) else { continue };
-            if !zones.has_room(machine.zone) {
+            let Some(machine) = machine_copies.get(&id).or_else(|| self.machines.get(&id)) else { continue };
+            if !zones.allows_task(machine.zone) {
                 continue;
             }
             let Some(predicted_duration) = profile.predicted_duration(machine) else { continue };
             zones.add_task(machine.zone);
-            trial.misses_deadline |= rating.misses_deadline;
-            trial.fallbacked += rating.fallbacked;
-            trial.slots.push(TaskSlot { machine: id, predicted_duration, finish });
-            let copy = copies.entry(id).or_insert_with(|| self.machines[&id].clone());
-            let position = insertion_position(&copy.queue, task.queue_priority);
-            copy.queue.insert(position, QueueEntry { predicted_duration, count: 1, ..*task });
-            copy.queued_tasks = (copy.queued_tasks + 1).min(MAX_QUEUED_TASKS);
-            let unplaced = count - trial.slots.len() as u32;
-            candidates.extend(rate_slot(copy, now, task, profile, unplaced).map(Reverse));
+            placement.misses_deadline |= rating.misses_deadline;
+            placement.newly_late += rating.newly_late;
+            placement.slots.push(TaskSlot { machine: id, predicted_duration, finish });
+            let machine_copy = machine_copies.entry(id).or_insert_with(|| self.machines[&id].clone());
+            let position = insertion_position(&machine_copy.queue, task.queue_priority);
+            machine_copy.queue.insert(position, QueueEntry { predicted_duration, count: 1, ..*task });
+            machine_copy.queued_tasks = (machine_copy.queued_tasks + 1).min(MAX_QUEUED_TASKS);
+            let unplaced = count - placement.slots.len() as u32;
+            candidates.extend(rate_slot(machine_copy, now, task, profile, unplaced).map(Reverse));
         }
-        trial.machine_count = copies.len();
-        Some(trial)
+        placement.machine_count = machine_copies.len();
+        Some(placement)
     }
 
-    /// When all planned tasks of a job are predicted to have room at once; `None` if some never have.
+    /// Earliest time at which all queued tasks of a job are predicted to fit at once; `None` if one of them never
+    /// starts.
     pub fn common_start(&self, job: JobId, now: Timestamp) -> Option<Timestamp> {
         let mut latest = now;
         for PlannedTasks { machine, .. } in self.planned_tasks(job) {
@@ -191,16 +196,17 @@
     }
 }
 
-/// The zones in which a gang may be tried: each alone if all tasks must be in the same one.
-fn zone_choices(zones: &ZoneAllowance) -> Vec<ZoneAllowance> {
+/// The zone allowances to try for a gang: one per usable zone if all tasks have to share a zone, otherwise one for all
+/// zones.
+fn candidate_zones(zones: &ZoneAllowance) -> Vec<ZoneAllowance> {
     if !zones.colocate {
         return vec![zones.clone()];
     }
-    let only = |zone: usize| ZoneAllowance {
+    let restricted_to = |zone: usize| ZoneAllowance {
         remaining_tasks: (zones.remaining_tasks.iter().enumerate())
             .map(|(other, remaining)| if other == zone { *remaining } else { 0 })
             .collect(),
         colocate: true,
     };
-    (0..zones.remaining_tasks.len()).filter(|zone| zones.has_room(*zone)).map(only).collect()
+    (0..zones.remaining_tasks.len()).filter(|zone| zones.allows_task(*zone)).map(restricted_to).collect()
 }
--- a/src/runtime/clients.rs
+++ b/src/runtime/clients.rs
@@ -57,7 +57,7 @@
     }
 
     /// Sends a request to the state service.
-    pub fn query_store(&self, caller: StoreCaller, id: u64, request: StoreRequest) {
+    pub fn call_store(&self, caller: StoreCaller, id: u64, request: StoreRequest) {
         // If the queue is full, the request gets no response, as if it had been lost on the network.
         let _ = self.store_requests.try_send((caller, id, request));
     }
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -109,7 +109,7 @@
     pub fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Respond(origin, response) => self.respond(origin, response),
-            Effect::QueryStore(caller, id, request) => self.clients.query_store(caller, id, request),
+            Effect::CallStore(caller, id, request) => self.clients.call_store(caller, id, request),
             Effect::CallCloud(token, id, request) => self.clients.call_cloud(token, id, request),
             Effect::SendCommands { token, machine, endpoint, id, body } => {
                 self.clients.send_commands(token, machine, &endpoint, id, &body);
