--- a/src/operator/drain_requests.rs
+++ b/src/operator/drain_requests.rs
@@ -50,14 +50,14 @@
         match response.status {
             200 => Ok(response.parse::<CompareAndSwapResponse>().map(|response| response.revision)),
             409 => Ok(None),
-            0 => self.resolve_unanswered_write(name, request, revision),
+            0 => self.resolve_write_without_response(name, request, revision),
             status => Err(CommandError::Refused(Refusal::StoreStatus(status))),
         }
     }
 
     /// Determines from the key whether a write without a response was carried out. An unchanged key leaves that
     /// unknown, since the write may still be applied.
-    fn resolve_unanswered_write(
+    fn resolve_write_without_response(
         &self,
         name: &str,
         request: &DrainRequest,
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -34,7 +34,7 @@
         Duration::from_secs_f64(self.max_heartbeat_interval_s() + UNREACHABLE_MARGIN_S)
     }
 
-    /// A machine that has not been reached for this long and leaves commands unanswered is released.
+    /// A machine that has not been reached for this long and has not responded to commands is released.
     pub fn release_unreachable_after(&self) -> Duration {
         Duration::from_secs_f64(self.max_heartbeat_interval_s() + RELEASE_MARGIN_S)
     }
