--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -74,7 +74,7 @@
         Duration::from_secs_f64(boot_times_s.reduce(f64::min).unwrap_or(DEFAULT_SHORTEST_BOOT_S))
     }
 
-    /// Counts the tasks in machines' queues that would start too late there.
+    /// Counts the tasks that are queued on a machine and would start too late there.
     fn count_late_planned_tasks(&self, round: DemandRound, late_tasks: &mut BTreeMap<LateTasks, u32>) {
         for machine in self.planning.plans.machines().filter(|machine| !machine.queue.is_empty()) {
             for PredictedStart { task: entry, start } in self.planning.plans.predicted_starts(machine.id, round.now) {
--- a/src/leader/provisioning/expected_services.rs
+++ b/src/leader/provisioning/expected_services.rs
@@ -24,7 +24,7 @@
 
 /// The services that are likely to be submitted soon.
 pub(super) struct ExpectedServices<'a> {
-    /// The existing service whose tasks request the most CPUs; stands for the expected ones.
+    /// The existing service whose tasks request the most CPUs. The expected services are assumed to be like it.
     pub(super) typical_job: &'a Job,
     /// Total number of tasks of the expected services.
     pub(super) tasks: u64,
