--- a/src/job_spec.rs
+++ b/src/job_spec.rs
@@ -55,7 +55,7 @@
     /// The user's estimate of a task's run time; 0 for services without one.
     #[serde(rename = "e")]
     pub estimated_duration: Duration,
-    /// Run time after which a task saves a periodic checkpoint; 0 if it saves none.
+    /// Run time between two periodic checkpoints of a task; 0 if it saves none.
     #[serde(rename = "q", default)]
     pub checkpoint_interval: Duration,
     /// Time that a task needs to save a checkpoint during a graceful stop.
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -44,7 +44,7 @@
     pub placements: BTreeMap<u32, Placement>,
     /// Whether a cancellation was requested and is not durable yet.
     pub cancelling: bool,
-    /// Machines on which tasks of the job failed.
+    /// Machines on which tasks of the job failed since its last backoff.
     pub failed_on: Vec<MachineId>,
     /// Consecutive failures of any of its tasks.
     pub consecutive_failures: u32,
--- a/src/jobs/store.rs
+++ b/src/jobs/store.rs
@@ -242,7 +242,7 @@
     }
 }
 
-/// Delta-encodes ascending numbers: each is replaced by its difference from the previous one, the first by itself.
+/// Delta-encodes ascending numbers: each is replaced by its difference from the previous one, the first from 0.
 fn delta_encoded(numbers: impl Iterator<Item = u64>) -> impl Iterator<Item = u64> {
     let mut previous = 0;
     numbers.map(move |number| number - std::mem::replace(&mut previous, number))
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -82,7 +82,7 @@
 const NO_TOKEN: u64 = 0;
 
 impl Frame {
-    /// Creates the first frame that a node sends on a link that it opens, which tells the peer that the node accepts
+    /// Creates the first frame that a node sends on a link that it opens, which informs the peer that the node accepts
     /// admission tables.
     ///
     /// It is encoded as a leader announcement with a fencing token that no leader has: earlier versions decode and
--- a/src/store.rs
+++ b/src/store.rs
@@ -27,7 +27,7 @@
     RevokeLease(LeaseId),
 }
 
-/// An HTTP response of the state service, the cloud or a worker, or the absence of one.
+/// An HTTP response of the state service, the cloud or a worker, or the absence of one (status 0).
 #[derive(Debug, Clone)]
 pub struct ServiceResponse {
     /// HTTP status, or 0 if no response was received.
--- a/src/workers/drain_reason.rs
+++ b/src/workers/drain_reason.rs
@@ -7,7 +7,7 @@
 pub enum DrainReason {
     /// The cloud reports that the machine has failed.
     CloudFailure,
-    /// Tasks of several different jobs failed on it.
+    /// Tasks fail on it, and the fault is attributed to the machine rather than to their jobs.
     FailingTasks,
     /// Its worker sends no messages.
     Silent,
@@ -28,7 +28,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             DrainReason::CloudFailure => "failed",
-            DrainReason::FailingTasks => "tasks of several jobs failed",
+            DrainReason::FailingTasks => "tasks fail on it",
             DrainReason::Silent => "silent",
             DrainReason::Unreachable => "takes nothing in",
             DrainReason::Reclaimed => "reclaimed by the cloud",
--- a/src/workers/reconciliation.rs
+++ b/src/workers/reconciliation.rs
@@ -21,7 +21,7 @@
     AttemptRunning(AttemptId),
     /// The machine has this image in its cache now.
     ImageCached(String),
-    /// An attempt has ended and its result is known.
+    /// An attempt has ended, as reported by its worker.
     AttemptExited(AttemptExit),
     /// The assigned attempt of this task does not exist any more, and no result was reported.
     AttemptLost(TaskId),
@@ -34,8 +34,8 @@
     /// applied, does not renew the lease and needs no response.
     ///
     /// A heartbeat that is newer than the last heartbeat but older than the response to a direct command is not a
-    /// duplicate: its worker may be waiting for the response, which renews its lease. `has_peers` tells whether there
-    /// are other controllers that the worker could send its heartbeats to.
+    /// duplicate: its worker may be waiting for the response, which renews its lease. `has_peers` indicates whether
+    /// there are other controllers that the worker could send its heartbeats to.
     #[must_use]
     pub fn accept_heartbeat(&mut self, now: Timestamp, heartbeat: &Heartbeat, has_peers: bool) -> bool {
         let position = MessagePosition::from(heartbeat);
