--- a/crates/disruption/src/acceptance.rs
+++ b/crates/disruption/src/acceptance.rs
@@ -4,7 +4,7 @@
 use crate::budget::{Policy, scopes_for_class};
 use crate::drain::{Drain, DrainRefusal, Member};
 use crate::fleet::{Fleet, MachineView, TaskKind};
-use crate::record_keys::valid_name;
+use crate::record_keys::is_valid_drain_name;
 use crate::records::{DrainRequest, DrainStatus, MachineFilter, MachineSelector};
 use caperstile_types::{MachineId, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
     });
     status.machine_count = machines.len() as u32;
     note_overlaps(&machines, context.others, &mut status.notes);
-    let member = |machine: MachineView| Member { pool: machine.pool, rented_at: machine.rented_at };
+    let member = |machine: MachineView| Member { pool: machine.pool, provisioned_at: machine.provisioned_at };
     let members = machines.into_iter().map(|(id, machine)| (id, member(machine))).collect();
     Drain { request: request.clone(), status, members, is_durable: false }
 }
@@ -47,7 +47,7 @@
     context: &RequestContext<'_>,
     notes: &mut Vec<String>,
 ) -> Result<SelectedMachines, DrainRefusal> {
-    if !valid_name(name) {
+    if !is_valid_drain_name(name) {
         return Err(DrainRefusal::InvalidName(name.chars().take(MAX_INVALID_NAME_CHARS).collect()));
     }
     let machines = match selector {
@@ -66,7 +66,7 @@
     let mut found = SelectedMachines::new();
     let mut gone = BTreeSet::new();
     for id in ids {
-        match fleet.machine(*id).filter(|machine| !machine.leaving) {
+        match fleet.machine(*id).filter(|machine| !machine.terminating) {
             Some(machine) => {
                 found.insert(*id, machine);
             }
@@ -92,15 +92,15 @@
     fleet: &dyn Fleet,
 ) -> Result<SelectedMachines, DrainRefusal> {
     let matches = |machine: &MachineView| {
-        let age = wall.as_millis().saturating_sub(machine.rented_at.as_millis());
-        !machine.leaving
+        let age = wall.as_millis().saturating_sub(machine.provisioned_at.as_millis());
+        !machine.terminating
             && filter.zone.as_ref().is_none_or(|zone| *zone == machine.pool.zone)
             && filter.machine_type.as_ref().is_none_or(|kind| *kind == machine.pool.machine_type)
             && filter.older_than.is_none_or(|least| age >= least.as_millis())
     };
     let all = fleet.machine_ids().into_iter().filter_map(|id| Some((id, fleet.machine(id)?)));
     let mut found: Vec<(MachineId, MachineView)> = all.filter(|(_, machine)| matches(machine)).collect();
-    found.sort_by_key(|(id, machine)| (machine.rented_at, *id));
+    found.sort_by_key(|(id, machine)| (machine.provisioned_at, *id));
     found.truncate(filter.count.map_or(usize::MAX, |count| count as usize));
     if found.is_empty() { Err(DrainRefusal::NoMachineMatches) } else { Ok(found.into_iter().collect()) }
 }
@@ -113,7 +113,7 @@
         let classes: BTreeSet<_> = replicas.map(|task| &task.class).collect();
         for scope in classes.into_iter().flat_map(scopes_for_class) {
             let desired = desired.get(&scope).copied().unwrap_or(0);
-            if let Some(limit) = policy.standing_limit(&scope).filter(|limit| limit.resolve(desired) == 0) {
+            if let Some(limit) = policy.base_limit(&scope).filter(|limit| limit.resolve(desired) == 0) {
                 let limit = limit.to_string();
                 return Err(DrainRefusal::ZeroBudget { machine: *machine, scope, limit, desired });
             }
--- a/crates/disruption/src/budget.rs
+++ b/crates/disruption/src/budget.rs
@@ -162,7 +162,7 @@
     /// The limit of a scope outside of windows; `None`: no limit of its own.
     ///
     /// A class without a statement has the default, unless its team states a limit, which is then the only one.
-    pub fn standing_limit(&self, scope: &Scope) -> Option<Limit> {
+    pub fn base_limit(&self, scope: &Scope) -> Option<Limit> {
         let stated = self.budget_for(scope).and_then(|budget| budget.max_unavailable);
         match scope {
             Scope::Team(_) => stated,
@@ -187,7 +187,7 @@
     pub fn max_unavailable(&self, scope: &Scope, desired: u32, wall: WallClock) -> Option<u32> {
         let windows = self.budget_for(scope).into_iter().flat_map(|budget| &budget.windows);
         let in_force = windows.filter(|limited| limited.window.may_contain(wall, self.clock_error));
-        let limits = self.standing_limit(scope).into_iter().chain(in_force.map(|limited| limited.limit));
+        let limits = self.base_limit(scope).into_iter().chain(in_force.map(|limited| limited.limit));
         limits.map(|limit| limit.resolve(desired)).min()
     }
 
--- a/crates/disruption/src/candidates.rs
+++ b/crates/disruption/src/candidates.rs
@@ -103,7 +103,7 @@
 /// Examines the tasks of waiting machines. One that is unreachable or leaves anyhow is passed over.
 pub(crate) fn drainable_machines(waiting: Vec<WaitingMachine>, fleet: &dyn Fleet) -> Vec<DrainableMachine> {
     let examine = |WaitingMachine { drain, machine }| {
-        let view = fleet.machine(machine).filter(|view| view.reachable && !view.leaving)?;
+        let view = fleet.machine(machine).filter(|view| view.reachable && !view.terminating)?;
         Some(DrainableMachine {
             drain,
             machine,
--- a/crates/disruption/src/coordinator.rs
+++ b/crates/disruption/src/coordinator.rs
@@ -115,11 +115,11 @@
     }
 
     /// Whether a machine was rented to replace one of a running drain, so that it is kept although it is idle.
-    pub fn retains_replacement(&self, machine: MachineId, pool: &InstancePool, rented_at: WallClock) -> bool {
+    pub fn retains_replacement(&self, machine: MachineId, pool: &InstancePool, provisioned_at: WallClock) -> bool {
         let replaces = |drain: &Drain| {
             drain.is_running()
                 && drain.replaces_machines()
-                && rented_at >= drain.status.accepted_at
+                && provisioned_at >= drain.status.accepted_at
                 && !drain.members.contains_key(&machine)
                 && drain.members.values().any(|member| member.pool == *pool)
         };
--- a/crates/disruption/src/coordinator/charges.rs
+++ b/crates/disruption/src/coordinator/charges.rs
@@ -8,7 +8,7 @@
 use crate::effect::UnplaceableReplica;
 use crate::eviction_load::EvictionLoad;
 use crate::fleet::{MachineView, SpareCapacity, TaskKind, TaskView};
-use crate::records::{BudgetCharge, MAX_CHARGE_BYTES, MAX_MACHINE_RECORD_BYTES};
+use crate::records::{BudgetCharge, MAX_CHARGE_BYTES, MAX_MACHINE_RECORD_OVERHEAD_BYTES};
 use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
 use std::collections::BTreeSet;
 
@@ -141,7 +141,7 @@
     }
 
     fn max_charges_per_machine(&self) -> usize {
-        (self.max_value_bytes.saturating_sub(MAX_MACHINE_RECORD_BYTES) / MAX_CHARGE_BYTES).max(1)
+        (self.max_value_bytes.saturating_sub(MAX_MACHINE_RECORD_OVERHEAD_BYTES) / MAX_CHARGE_BYTES).max(1)
     }
 
     /// Opens the drain of a machine. Charges that are left from a drain that was cancelled still count.
--- a/crates/disruption/src/coordinator/machine_selection.rs
+++ b/crates/disruption/src/coordinator/machine_selection.rs
@@ -5,7 +5,7 @@
 use crate::allowance::Allowances;
 use crate::candidates::{self, DrainableMachine};
 use crate::fleet::{Fleet, TaskView};
-use crate::selection::{Candidate, StepLimits, select_machines};
+use crate::selection::{Candidate, SelectionLimits, select_machines};
 use caperstile_types::{AttemptId, MachineId};
 use std::collections::BTreeSet;
 
@@ -51,9 +51,9 @@
         }
         let candidates: Vec<Candidate> =
             machines.iter().map(|machine| candidates::candidate(machine, &self.drains)).collect();
-        let limits = StepLimits {
+        let limits = SelectionLimits {
             allowances: budget.allowances,
-            machines: budget.max_machines,
+            max_machines: budget.max_machines,
             ready_replacements: budget.replacements.by_pool().clone(),
         };
         let selected: BTreeSet<MachineId> = select_machines(&candidates, &limits).into_iter().collect();
--- a/crates/disruption/src/coordinator/persistence.rs
+++ b/crates/disruption/src/coordinator/persistence.rs
@@ -40,8 +40,8 @@
         let records = stored.filter_map(|(_, value)| parse::<MemberRecord>(value));
         let members = records.flat_map(|record| {
             let pool = record.pool;
-            let member = move |rented_at| Member { pool: pool.clone(), rented_at };
-            record.machines.into_iter().map(move |machine| (machine.id, member(machine.rented_at)))
+            let member = move |provisioned_at| Member { pool: pool.clone(), provisioned_at };
+            record.machines.into_iter().map(move |machine| (machine.id, member(machine.provisioned_at)))
         });
         members.collect()
     }
@@ -60,8 +60,8 @@
         let desired = self.desired_records();
         let keys: BTreeSet<&String> = desired.iter().map(|(key, _)| key).collect();
         let obsolete: Vec<String> = self.store.desired_keys().filter(|key| !keys.contains(key)).cloned().collect();
-        obsolete.into_iter().for_each(|key| self.store.remove(key));
-        desired.into_iter().for_each(|(key, value)| self.store.put(key, value));
+        obsolete.into_iter().for_each(|key| self.store.clear_desired(key));
+        desired.into_iter().for_each(|(key, value)| self.store.set_desired(key, value));
     }
 
     /// All records, in the order in which they are to be written.
--- a/crates/disruption/src/coordinator/replacements.rs
+++ b/crates/disruption/src/coordinator/replacements.rs
@@ -77,7 +77,7 @@
             let replacement = pools.entry(member.pool.clone()).or_default();
             if fleet.exists(*machine) && !draining.contains(machine) {
                 replacement.remaining += 1;
-            } else if member.rented_at < since {
+            } else if member.provisioned_at < since {
                 replacement.consumed += 1;
             }
         }
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Member {
     pub pool: InstancePool,
-    pub rented_at: WallClock,
+    pub provisioned_at: WallClock,
 }
 
 /// A drain that operators requested.
@@ -83,7 +83,10 @@
         let most = (max_value_bytes.saturating_sub(MAX_MEMBER_RECORD_OVERHEAD_BYTES) / MAX_MEMBER_BYTES).max(1);
         let mut by_pool: BTreeMap<&InstancePool, Vec<MemberMachine>> = BTreeMap::new();
         for (id, member) in &self.members {
-            by_pool.entry(&member.pool).or_default().push(MemberMachine { id: *id, rented_at: member.rented_at });
+            by_pool
+                .entry(&member.pool)
+                .or_default()
+                .push(MemberMachine { id: *id, provisioned_at: member.provisioned_at });
         }
         let mut records = Vec::new();
         for (pool, machines) in by_pool {
--- a/crates/disruption/src/fleet.rs
+++ b/crates/disruption/src/fleet.rs
@@ -48,11 +48,11 @@
     /// Machine type, zone and purchase model.
     pub pool: InstancePool,
     /// When it was rented.
-    pub rented_at: WallClock,
+    pub provisioned_at: WallClock,
     /// Whether it was reached within the overdue time of a heartbeat.
     pub reachable: bool,
     /// Whether it leaves anyhow: it is being released, or the cloud reclaims it.
-    pub leaving: bool,
+    pub terminating: bool,
     /// Tasks on it.
     pub tasks: Vec<TaskView>,
 }
--- a/crates/disruption/src/policy_parser.rs
+++ b/crates/disruption/src/policy_parser.rs
@@ -1,7 +1,7 @@
 //! Reads budgets from the sections of the operators' INI file and checks them.
 
 use crate::budget::{BatchEviction, Budget, Limit, Policy, TaskClass, WindowLimit};
-use crate::window::{Minute, Window};
+use crate::window::{MinuteOfDay, Window};
 use caperstile_types::Duration;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -214,15 +214,15 @@
 }
 
 fn parse_window(section: &Section, name: &str) -> Result<Window, PolicyError> {
-    let (mut zone, mut days, mut from, mut until) = (None, [true; 7], None, None);
+    let (mut time_zone, mut days, mut from, mut until) = (None, [true; 7], None, None);
     let minute = |key: &str, value: &str| {
-        Minute::parse(value).ok_or_else(|| error(section, key, InvalidSetting::NotATimeOfDay(value.to_string())))
+        MinuteOfDay::parse(value).ok_or_else(|| error(section, key, InvalidSetting::NotATimeOfDay(value.to_string())))
     };
     for (key, value) in &section.entries {
         match key.as_str() {
             "zone" => {
                 let unknown = |_| error(section, key, InvalidSetting::UnknownTimeZone(value.clone()));
-                zone = Some(value.parse().map_err(unknown)?);
+                time_zone = Some(value.parse().map_err(unknown)?);
             }
             "days" => days = parse_days(section, key, value)?,
             "from" => from = Some(minute(key, value)?),
@@ -235,7 +235,7 @@
     if from == until {
         return Err(error(section, "until", InvalidSetting::EmptyWindow));
     }
-    Ok(Window { name: name.to_string(), zone: zone.ok_or_else(|| missing("zone"))?, days, from, until })
+    Ok(Window { name: name.to_string(), time_zone: time_zone.ok_or_else(|| missing("zone"))?, days, from, until })
 }
 
 /// `mon,wed` or `mon-fri`, or both together.
--- a/crates/disruption/src/record_keys.rs
+++ b/crates/disruption/src/record_keys.rs
@@ -42,7 +42,7 @@
 const MAX_NAME_BYTES: usize = 40;
 
 /// Whether a drain may have this name: it becomes a part of keys.
-pub fn valid_name(name: &str) -> bool {
+pub fn is_valid_drain_name(name: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed)
 }
--- a/crates/disruption/src/record_store.rs
+++ b/crates/disruption/src/record_store.rs
@@ -133,7 +133,7 @@
     }
 
     /// Desires a key to have this value.
-    pub fn put(&mut self, key: String, value: Value) {
+    pub fn set_desired(&mut self, key: String, value: Value) {
         if self.desired.get(&key) != Some(&value) {
             self.desired.insert(key.clone(), value);
             self.enqueue(key);
@@ -141,7 +141,7 @@
     }
 
     /// Desires a key to be gone.
-    pub fn remove(&mut self, key: String) {
+    pub fn clear_desired(&mut self, key: String) {
         if self.desired.remove(&key).is_some() || self.observed.contains_key(&key) {
             self.enqueue(key);
         }
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -162,18 +162,18 @@
     /// The machine.
     pub id: MachineId,
     /// When it was rented.
-    pub rented_at: WallClock,
+    pub provisioned_at: WallClock,
 }
 
 impl From<(MachineId, WallClock)> for MemberMachine {
-    fn from((id, rented_at): (MachineId, WallClock)) -> MemberMachine {
-        MemberMachine { id, rented_at }
+    fn from((id, provisioned_at): (MachineId, WallClock)) -> MemberMachine {
+        MemberMachine { id, provisioned_at }
     }
 }
 
 impl From<MemberMachine> for (MachineId, WallClock) {
     fn from(machine: MemberMachine) -> (MachineId, WallClock) {
-        (machine.id, machine.rented_at)
+        (machine.id, machine.provisioned_at)
     }
 }
 
@@ -211,7 +211,7 @@
 /// Most bytes that a charge takes in its record: `{"j":…,"i":…,"a":…,"n":…},` with the largest numbers.
 pub const MAX_CHARGE_BYTES: usize = 84;
 /// Bytes of a machine's record without charges, with the longest name of a drain.
-pub const MAX_MACHINE_RECORD_BYTES: usize = 128;
+pub const MAX_MACHINE_RECORD_OVERHEAD_BYTES: usize = 128;
 /// Most bytes that a machine takes in a record of members: `[123456789012345,1234567890123],`.
 pub const MAX_MEMBER_BYTES: usize = 32;
 /// Bytes of a record of members without machines, generously: names of types and zones are short.
--- a/crates/disruption/src/selection.rs
+++ b/crates/disruption/src/selection.rs
@@ -29,16 +29,16 @@
 
 /// What a selection may use.
 #[derive(Debug, Clone)]
-pub struct StepLimits<'a> {
+pub struct SelectionLimits<'a> {
     /// Budgets.
     pub allowances: &'a Allowances,
     /// Most machines.
-    pub machines: u32,
+    pub max_machines: u32,
     /// Replacements that are ready, by pool.
     pub ready_replacements: BTreeMap<InstancePool, u32>,
 }
 
-impl StepLimits<'_> {
+impl SelectionLimits<'_> {
     /// Whether all of these may be drained together.
     fn allow(&self, selected: &[&Candidate]) -> bool {
         let mut load = EvictionLoad::default();
@@ -49,7 +49,7 @@
                 *replaced.entry(pool).or_default() += 1;
             }
         }
-        selected.len() <= self.machines as usize
+        selected.len() <= self.max_machines as usize
             && self.allowances.check(&load).is_ok()
             && replaced.into_iter().all(|(pool, count)| count <= self.replacements_in(pool))
     }
@@ -60,7 +60,7 @@
 }
 
 /// Candidates in order as long as they fit.
-pub fn select_greedily(candidates: &[Candidate], limits: &StepLimits<'_>) -> Vec<MachineId> {
+pub fn select_greedily(candidates: &[Candidate], limits: &SelectionLimits<'_>) -> Vec<MachineId> {
     let mut selected: Vec<&Candidate> = Vec::new();
     for candidate in candidates {
         selected.push(candidate);
@@ -72,7 +72,7 @@
 }
 
 /// As many candidates as fit. The first one that fits alone is always among them, so that no drain starves.
-pub fn select_machines(candidates: &[Candidate], limits: &StepLimits<'_>) -> Vec<MachineId> {
+pub fn select_machines(candidates: &[Candidate], limits: &SelectionLimits<'_>) -> Vec<MachineId> {
     let Some(first) = candidates.iter().find(|candidate| limits.allow(&[candidate])) else { return Vec::new() };
     let greedy = select_greedily(candidates, limits);
     let Some(solved) = solve(candidates, first, limits) else { return greedy };
@@ -123,9 +123,9 @@
 }
 
 impl Constraint<'_> {
-    fn upper_bound(&self, limits: &StepLimits<'_>) -> u32 {
+    fn upper_bound(&self, limits: &SelectionLimits<'_>) -> u32 {
         match self {
-            Constraint::Machines => limits.machines,
+            Constraint::Machines => limits.max_machines,
             Constraint::Replacements(pool) => limits.replacements_in(pool),
             Constraint::Budget(scope) => limits.allowances.remaining(scope),
         }
@@ -133,7 +133,7 @@
 }
 
 /// The machines that the integer program selects; none without a solution.
-fn solve(candidates: &[Candidate], first: &Candidate, limits: &StepLimits<'_>) -> Option<Vec<MachineId>> {
+fn solve(candidates: &[Candidate], first: &Candidate, limits: &SelectionLimits<'_>) -> Option<Vec<MachineId>> {
     let groups = group_candidates(candidates);
     let mut problem = Problem::new(OptimizationDirection::Maximize);
     let variables = add_variables(&mut problem, &groups, first, limits)?;
@@ -155,11 +155,11 @@
     problem: &mut Problem,
     groups: &[CandidateGroup<'_>],
     first: &Candidate,
-    limits: &StepLimits<'_>,
+    limits: &SelectionLimits<'_>,
 ) -> Option<Vec<Variable>> {
     let mut variables = Vec::new();
     for group in groups {
-        let most = group.machines.len().min(limits.machines as usize);
+        let most = group.machines.len().min(limits.max_machines as usize);
         let least = i32::from(group.machines.contains(&first.machine));
         variables.push(problem.add_integer_var(1.0, (least, i32::try_from(most).ok()?)));
     }
@@ -170,7 +170,7 @@
     problem: &mut Problem,
     groups: &[CandidateGroup<'_>],
     variables: &[Variable],
-    limits: &StepLimits<'_>,
+    limits: &SelectionLimits<'_>,
 ) {
     let mut constraints: BTreeMap<Constraint<'_>, Vec<(Variable, f64)>> = BTreeMap::new();
     for (group, variable) in groups.iter().zip(variables) {
--- a/crates/disruption/src/window.rs
+++ b/crates/disruption/src/window.rs
@@ -9,16 +9,16 @@
 
 /// A minute of the day, from 0 up to and including 24:00.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Minute(u32);
+pub struct MinuteOfDay(u32);
 
-impl Minute {
+impl MinuteOfDay {
     /// Reads `HH:MM`; 24:00 is the end of the day.
-    pub fn parse(text: &str) -> Option<Minute> {
+    pub fn parse(text: &str) -> Option<MinuteOfDay> {
         let (hours, minutes) = text.split_once(':')?;
         let two_digits = |part: &str| (part.len() == 2).then(|| part.parse::<u32>().ok()).flatten();
         let (hours, minutes) = (two_digits(hours)?, two_digits(minutes)?);
         let minute = hours * 60 + minutes;
-        (minutes < 60 && minute <= MINUTES_PER_DAY).then_some(Minute(minute))
+        (minutes < 60 && minute <= MINUTES_PER_DAY).then_some(MinuteOfDay(minute))
     }
 }
 
@@ -28,13 +28,13 @@
     /// Name, as the operators' settings give it.
     pub name: String,
     /// Time zone.
-    pub zone: Tz,
+    pub time_zone: Tz,
     /// On which days it begins, Monday first.
     pub days: [bool; DAYS_PER_WEEK],
     /// When it begins.
-    pub from: Minute,
+    pub from: MinuteOfDay,
     /// When it ends; not later than `from`: on the next day.
-    pub until: Minute,
+    pub until: MinuteOfDay,
 }
 
 impl Window {
@@ -46,8 +46,8 @@
         let Some(utc) = i64::try_from(wall.as_millis()).ok().and_then(DateTime::<Utc>::from_timestamp_millis) else {
             return false;
         };
-        let local = utc.with_timezone(&self.zone);
-        let minute = Minute(local.hour() * 60 + local.minute());
+        let local = utc.with_timezone(&self.time_zone);
+        let minute = MinuteOfDay(local.hour() * 60 + local.minute());
         let today = local.weekday().num_days_from_monday() as usize;
         if self.from < self.until {
             return self.days[today] && self.from <= minute && minute < self.until;
--- a/crates/disruption/tests/measure.rs
+++ b/crates/disruption/tests/measure.rs
@@ -3,7 +3,7 @@
 //!     cargo test --release -p caperstile-disruption --test measure -- --ignored --nocapture
 
 use caperstile_disruption::allowance::{Allowances, DisruptionState, LastEvictions};
-use caperstile_disruption::selection::{Candidate, StepLimits, select_greedily, select_machines};
+use caperstile_disruption::selection::{Candidate, SelectionLimits, select_greedily, select_machines};
 use caperstile_disruption::{Budget, ClassAvailability, EvictionLoad, Limit, Policy, TaskClass};
 use caperstile_types::{MachineId, Timestamp, WallClock};
 use std::collections::BTreeMap;
@@ -59,7 +59,8 @@
         let mut times: Vec<Duration> = Vec::new();
         for _ in 0..STEPS {
             let (allowances, candidates) = step(&mut numbers, machines);
-            let limits = StepLimits { allowances: &allowances, machines: 400, ready_replacements: BTreeMap::new() };
+            let limits =
+                SelectionLimits { allowances: &allowances, max_machines: 400, ready_replacements: BTreeMap::new() };
             let greedy = select_greedily(&candidates, &limits).len();
             let begin = Instant::now();
             let chosen = select_machines(&candidates, &limits).len();
--- a/crates/disruption/tests/policy.rs
+++ b/crates/disruption/tests/policy.rs
@@ -49,7 +49,7 @@
 fn team_names_may_hold_slashes() {
     let policy =
         read(&[section("budget a/b/c", &[("max_unavailable", "2"), ("evict_batch", "always")])]).expect("valid");
-    assert_eq!(policy.standing_limit(&class("a/b", "c")), Some(Limit::Count(2)));
+    assert_eq!(policy.base_limit(&class("a/b", "c")), Some(Limit::Count(2)));
     assert_eq!(policy.batch_eviction(&TaskClass { team: "a/b".into(), class: "c".into() }), BatchEviction::Always);
 }
 
--- a/crates/disruption/tests/record_store.rs
+++ b/crates/disruption/tests/record_store.rs
@@ -34,10 +34,10 @@
 fn a_write_that_is_carried_out_late_never_replaces_a_newer_one() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 16, 100.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
-    store.put("drain/machine/m-000001".into(), json!({"charges": 1}));
+    store.set_desired("drain/machine/m-000001".into(), json!({"charges": 1}));
     let (id, late) = next_write(&mut store, 200);
     store.handle_response(Timestamp::from_millis(300), id, StoreResponse::Unknown);
-    store.put("drain/machine/m-000001".into(), json!({"charges": 2}));
+    store.set_desired("drain/machine/m-000001".into(), json!({"charges": 2}));
     run(&mut store, &mut service, 300, 5000);
     assert_eq!(store.observed("drain/machine/m-000001"), Some(&json!({"charges": 2})));
     assert_eq!(service.apply(&late), StoreResponse::Conflict);
@@ -48,7 +48,7 @@
 fn a_write_that_was_carried_out_without_an_answer_is_found_by_reading() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 16, 100.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
-    store.put("drain/machine/m-000001".into(), json!(1));
+    store.set_desired("drain/machine/m-000001".into(), json!(1));
     let (id, write) = next_write(&mut store, 200);
     assert_eq!(service.apply(&write), StoreResponse::Written { revision: 1 });
     assert!(store.observed("drain/machine/m-000001").is_none(), "it is not durable before that is known");
@@ -63,9 +63,9 @@
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 3, 100.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
     for n in 0..7 {
-        store.put(format!("drain/member/all/{:04}", 9 - n), json!(n));
+        store.set_desired(format!("drain/member/all/{:04}", 9 - n), json!(n));
     }
-    store.put("drain/status/all".into(), json!("running"));
+    store.set_desired("drain/status/all".into(), json!("running"));
     let mut order = Vec::new();
     let mut now = 200;
     while !store.is_reconciled() {
@@ -91,7 +91,7 @@
 fn writes_are_paced_and_a_refused_one_is_tried_again() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 16, 2.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
-    (0..20).for_each(|n| store.put(format!("drain/machine/m-{n:06}"), json!(n)));
+    (0..20).for_each(|n| store.set_desired(format!("drain/machine/m-{n:06}"), json!(n)));
     let (id, _) = next_write(&mut store, 200);
     store.handle_response(Timestamp::from_millis(250), id, StoreResponse::Rejected);
     run(&mut store, &mut service, 300, 5300);
--- a/crates/disruption/tests/selection.rs
+++ b/crates/disruption/tests/selection.rs
@@ -1,7 +1,7 @@
 //! Which machines a step takes: never more than fits, and at least as many as the greedy way.
 
 use caperstile_disruption::allowance::{Allowances, DisruptionState, LastEvictions};
-use caperstile_disruption::selection::{Candidate, StepLimits, select_greedily, select_machines};
+use caperstile_disruption::selection::{Candidate, SelectionLimits, select_greedily, select_machines};
 use caperstile_disruption::{Budget, ClassAvailability, EvictionLoad, InstancePool, Limit, Policy, TaskClass};
 use caperstile_types::{MachineId, Timestamp, WallClock};
 use proptest::prelude::*;
@@ -34,8 +34,8 @@
     Candidate { machine: MachineId(machine as u64), load, replacement_pool: None }
 }
 
-fn limits(allowances: &Allowances, machines: u32) -> StepLimits<'_> {
-    StepLimits { allowances, machines, ready_replacements: BTreeMap::new() }
+fn limits(allowances: &Allowances, max_machines: u32) -> SelectionLimits<'_> {
+    SelectionLimits { allowances, max_machines, ready_replacements: BTreeMap::new() }
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let allowances = allowances(&[9]);
     let pool = InstancePool { machine_type: "g8".into(), zone: "a".into(), spot: false };
     let at = |machine| Candidate { replacement_pool: Some(pool.clone()), ..candidate(machine, &[1]) };
-    let step = StepLimits { ready_replacements: BTreeMap::from([(pool.clone(), 2)]), ..limits(&allowances, 10) };
+    let step = SelectionLimits { ready_replacements: BTreeMap::from([(pool.clone(), 2)]), ..limits(&allowances, 10) };
     assert_eq!(select_machines(&[at(1), at(2), at(3)], &step).len(), 2);
     assert!(select_machines(&[at(1)], &limits(&allowances, 10)).is_empty(), "nothing is ready");
 }
--- a/crates/disruption/tests/support/fleet.rs
+++ b/crates/disruption/tests/support/fleet.rs
@@ -60,9 +60,9 @@
         let pool = InstancePool { machine_type: "g8".into(), zone: "a".into(), spot: false };
         let view = MachineView {
             pool,
-            rented_at: WallClock::from_millis(START - 1000),
+            provisioned_at: WallClock::from_millis(START - 1000),
             reachable: true,
-            leaving: false,
+            terminating: false,
             tasks,
         };
         self.machines.insert(MachineId(id), view);
--- a/src/leader/drains/fleet_view.rs
+++ b/src/leader/drains/fleet_view.rs
@@ -187,10 +187,10 @@
         let on_machine = machine.attempts.iter().filter(|(_, task)| task.assigned && task.occupies_resources());
         Some(MachineView {
             pool: pool_of(&machine.record),
-            rented_at: machine.record.provisioned_at,
+            provisioned_at: machine.record.provisioned_at,
             reachable: self.is_reachable(machine),
             // A quarantined machine keeps the services that run on it, so it does not become empty without a drain.
-            leaving: self.leader.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
+            terminating: self.leader.cloud.is_releasing(id) || machine.reclaim_at.is_some(),
             tasks: on_machine.filter_map(|(attempt, task)| self.task_view(machine, attempt, task)).collect(),
         })
     }
--- a/src/operator/drain.rs
+++ b/src/operator/drain.rs
@@ -5,7 +5,7 @@
 use super::report;
 use super::state_client::Versioned;
 use crate::types::{self, MachineId};
-use caperstile_disruption::record_keys::valid_name;
+use caperstile_disruption::record_keys::is_valid_drain_name;
 use caperstile_disruption::records::{
     DesiredState, DrainMode, DrainPhase, DrainRequest, MachineFilter, MachineSelector,
 };
@@ -140,7 +140,7 @@
     request: &DrainRequest,
     timeout: Duration,
 ) -> Result<DrainSummary, CommandError> {
-    if !valid_name(name) {
+    if !is_valid_drain_name(name) {
         return Err(CommandError::Refused(Refusal::InvalidName(name.to_string())));
     }
     let revision = match requests.write(name, request, 0)? {
--- a/tests/characterization/settings.rs
+++ b/tests/characterization/settings.rs
@@ -7,7 +7,7 @@
 };
 use caperstile_admission::{AdmissionPolicy, BacklogBound};
 use caperstile_disruption::budget::{BatchEviction, WindowLimit};
-use caperstile_disruption::window::Minute;
+use caperstile_disruption::window::MinuteOfDay;
 use caperstile_disruption::{Budget, Limit, Policy, TaskClass};
 use std::path::Path;
 
@@ -132,10 +132,13 @@
         let Budget { max_unavailable, windows, min_interval, batch_wait, batch_eviction } = budget;
         self.add_option(&format!("{scope}.max_unavailable"), max_unavailable.as_ref().map(Limit::to_string));
         for WindowLimit { window, limit } in windows {
-            let minute = |text| Minute::parse(text).expect("a time");
+            let minute = |text| MinuteOfDay::parse(text).expect("a time");
             assert_eq!((window.from, window.until), (minute("09:30"), minute("17:00")));
             let days: String = window.days.iter().map(|day| if *day { 'x' } else { '-' }).collect();
-            self.add(&format!("{scope}.max_unavailable.window"), format!("{} {} {days}", window.name, window.zone));
+            self.add(
+                &format!("{scope}.max_unavailable.window"),
+                format!("{} {} {days}", window.name, window.time_zone),
+            );
             self.add(&format!("{scope}.max_unavailable.in-window"), limit);
         }
         self.add_option(&format!("{scope}.min_interval_s"), min_interval.map(|span| span.as_secs_f64()));
--- a/tests/characterization/stored_drains.rs
+++ b/tests/characterization/stored_drains.rs
@@ -99,8 +99,8 @@
     let part = |spot| MemberRecord {
         pool: InstancePool { machine_type: "g8".into(), zone: "a".into(), spot },
         machines: vec![
-            MemberMachine { id: MachineId(7), rented_at: WallClock::from_millis(1_700_000_000_123) },
-            MemberMachine { id: MachineId(231), rented_at: WallClock::from_millis(0) },
+            MemberMachine { id: MachineId(7), provisioned_at: WallClock::from_millis(1_700_000_000_123) },
+            MemberMachine { id: MachineId(231), provisioned_at: WallClock::from_millis(0) },
         ],
     };
     assert_stored("stored/drain-members.txt", &[("spot", part(true)), ("on-demand", part(false))]);
