--- a/benches/admission.rs
+++ b/benches/admission.rs
@@ -21,9 +21,9 @@
         for (team, class) in names.iter().chain(names) {
             job += 1;
             control.decide(now, &Submission { job: JobId(job), team, class }, 4);
-            control.accepted(now, JobId(job));
+            control.record_accepted(now, JobId(job));
         }
-        control.observe(now, Utilization(1.0), Duration::from_millis(800));
+        control.observe_load(now, Utilization(1.0), Duration::from_millis(800));
         control.tick(now);
     }
     (control, now)
@@ -36,7 +36,7 @@
         let names = names(pairs);
         let (control, now) = overloaded(&names);
         let table: AdmissionTable = control.table().clone();
-        assert!(!table.is_open(), "everything is refused in part");
+        assert!(!table.admits_all(), "everything is refused in part");
         let mut job = 0u64;
         group.bench_with_input(BenchmarkId::new("a decision", pairs), &table, |b, table| {
             b.iter(|| {
--- a/crates/admission/src/codec.rs
+++ b/crates/admission/src/codec.rs
@@ -1,6 +1,6 @@
 //! What the encoded messages between controllers have in common.
 
-use crate::submission::Pair;
+use crate::submission::TeamClassPair;
 
 /// Most bytes of an encoded message: it fits into one frame between controllers.
 pub(crate) const MAX_BYTES: usize = 60 * 1024;
@@ -39,10 +39,14 @@
 }
 
 /// Reads the names of an entry; what comes behind it.
-pub(crate) fn take_pair(bytes: &[u8], team_length: u8, class_length: u8) -> Result<(Pair, &[u8]), DecodeError> {
+pub(crate) fn take_pair(
+    bytes: &[u8],
+    team_length: u8,
+    class_length: u8,
+) -> Result<(TeamClassPair, &[u8]), DecodeError> {
     let (team, rest) = take_name(bytes, team_length)?;
     let (class, rest) = take_name(rest, class_length)?;
-    Ok((Pair::new(team, class), rest))
+    Ok((TeamClassPair::new(team, class), rest))
 }
 
 fn take_name(bytes: &[u8], length: u8) -> Result<(&str, &[u8]), DecodeError> {
--- a/crates/admission/src/control.rs
+++ b/crates/admission/src/control.rs
@@ -6,7 +6,7 @@
 use crate::fair_share::{Claim, max_min};
 use crate::policy::{AdmissionPolicy, BacklogBound};
 use crate::report::DemandReport;
-use crate::submission::{OTHER_CLASSES, Pair, Submission};
+use crate::submission::{OTHER_CLASSES, Submission, TeamClassPair};
 use crate::table::{AdmissionTable, DRAW_LENGTH, Decision, Ratio, TableEntry, TableNumber};
 use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use roaring::RoaringTreemap;
@@ -28,9 +28,9 @@
 
 /// A pair whose submissions begin or cease to be refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct RefusalChange {
     /// The pair.
-    pub pair: Pair,
+    pub pair: TeamClassPair,
     /// Whether some are refused from now on.
     pub refused: bool,
 }
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PairStatus {
     /// The pair.
-    pub pair: Pair,
+    pub pair: TeamClassPair,
     /// Cost per second that it asks for.
     pub demanded: f64,
     /// Cost per second that is admitted.
@@ -72,8 +72,8 @@
     demand: DemandMeter,
     backlog: BacklogMeter,
     accepted: VecDeque<(Timestamp, JobId)>,
-    refused_since: BTreeMap<Pair, Refused>,
-    changes: Vec<Change>,
+    refused_since: BTreeMap<TeamClassPair, Refused>,
+    changes: Vec<RefusalChange>,
     published_at: Timestamp,
     drawn_at: Timestamp,
     /// Until then the ratios of the leader before count too.
@@ -85,7 +85,7 @@
     pub fn new(token: FencingToken, now: Timestamp, policy: AdmissionPolicy) -> AdmissionControl {
         AdmissionControl {
             policy,
-            table: AdmissionTable::open(TableNumber { token, sequence: 0 }, 0),
+            table: AdmissionTable::admit_all(TableNumber { token, sequence: 0 }, 0),
             regulator: CapacityRegulator::default(),
             demand: DemandMeter::default(),
             backlog: BacklogMeter::default(),
@@ -129,7 +129,7 @@
 
     /// Decides on a submission that has reached the leader, and counts it.
     pub fn decide(&mut self, now: Timestamp, submission: &Submission, tasks: u32) -> Decision {
-        let pair = Pair::new(submission.team, submission.class);
+        let pair = TeamClassPair::new(submission.team, submission.class);
         self.demand.asked(now, &pair, 1, tasks);
         let decision = self.table.decide(submission);
         if decision == Decision::Admit {
@@ -139,14 +139,14 @@
     }
 
     /// Another node refused these.
-    pub fn refused_elsewhere(&mut self, now: Timestamp, report: &DemandReport) {
+    pub fn record_remote_refusals(&mut self, now: Timestamp, report: &DemandReport) {
         for (pair, refused) in report.pairs() {
             self.demand.asked(now, pair, refused.jobs, refused.tasks);
         }
     }
 
     /// A job was accepted, durably: a repeat of its submission must not be refused.
-    pub fn accepted(&mut self, now: Timestamp, job: JobId) {
+    pub fn record_accepted(&mut self, now: Timestamp, job: JobId) {
         self.accepted.push_back((now, job));
         while self.accepted.len() > MOST_ACCEPTED
             || self.accepted.front().is_some_and(|(at, _)| now.since(*at) > REPEATED_FOR)
@@ -156,23 +156,23 @@
     }
 
     /// Takes a measurement of how busy this node was for the last second, and how long its inputs wait.
-    pub fn observe(&mut self, now: Timestamp, utilization: Utilization, queueing: Duration) {
+    pub fn observe_load(&mut self, now: Timestamp, utilization: Utilization, queueing: Duration) {
         self.demand.decay(now);
         self.regulator.observe(now, utilization, queueing, self.demand.demanded(), self.demand.admitted_rate());
     }
 
     /// A task of this pair was started.
-    pub fn started(&mut self, pair: &Pair) {
-        self.backlog.started(pair);
+    pub fn record_start(&mut self, pair: &TeamClassPair) {
+        self.backlog.record_start(pair);
     }
 
     /// Whether it wants to be told what waits, before the next `tick`.
-    pub fn wants_backlog(&self, now: Timestamp) -> bool {
+    pub fn needs_backlog(&self, now: Timestamp) -> bool {
         now.since(self.published_at) >= PUBLISH_EVERY
     }
 
     /// What waits for machines, of all pairs whose jobs end by themselves.
-    pub fn observe_backlog(&mut self, now: Timestamp, waiting: BTreeMap<Pair, PairBacklog>) {
+    pub fn observe_backlog(&mut self, now: Timestamp, waiting: BTreeMap<TeamClassPair, PairBacklog>) {
         self.backlog.observe(now, waiting);
     }
 
@@ -187,23 +187,23 @@
             self.keep_ratios(&mut entries);
         }
         self.note_changes(now, &entries);
-        if entries.is_empty() && self.table.is_open() {
+        if entries.is_empty() && self.table.admits_all() {
             return None;
         }
         self.serve_the_starved(now, &mut entries);
         if now.since(self.drawn_at) >= DRAW_LENGTH {
             self.drawn_at = now;
-            self.table.draw = self.table.draw.wrapping_add(1);
+            self.table.salt = self.table.salt.wrapping_add(1);
         }
         let number = TableNumber { sequence: self.table.number.sequence + 1, ..self.table.number };
         let accepted: RoaringTreemap = self.accepted.iter().map(|(_, job)| job.0).collect();
-        self.table = AdmissionTable::new(number, self.table.draw, entries, accepted);
+        self.table = AdmissionTable::new(number, self.table.salt, entries, accepted);
         self.table.limit = self.regulator.limit();
         Some(&self.table)
     }
 
     /// Pairs whose refusal began or ceased since this was asked last.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<RefusalChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -218,11 +218,11 @@
     }
 
     /// What one pair asks for and gets.
-    pub fn status_of(&self, now: Timestamp, pair: &Pair) -> Option<PairStatus> {
+    pub fn status_of(&self, now: Timestamp, pair: &TeamClassPair) -> Option<PairStatus> {
         self.demand.pair(pair).map(|demand| self.pair_status(now, pair, demand))
     }
 
-    fn pair_status(&self, now: Timestamp, pair: &Pair, demand: &PairDemand) -> PairStatus {
+    fn pair_status(&self, now: Timestamp, pair: &TeamClassPair, demand: &PairDemand) -> PairStatus {
         PairStatus {
             pair: pair.clone(),
             demanded: demand.demanded,
@@ -234,7 +234,7 @@
     }
 
     /// What each pair may ask for: no more than brings its backlog to the longest wait.
-    fn admissible_demand(&self, now: Timestamp, pair: &Pair, demand: &PairDemand) -> f64 {
+    fn admissible_demand(&self, now: Timestamp, pair: &TeamClassPair, demand: &PairDemand) -> f64 {
         let bounded = match self.policy.backlog_bound {
             BacklogBound::Never => false,
             BacklogBound::WhileOverloaded => self.regulator.limit().is_some(),
@@ -273,7 +273,7 @@
                 classes.iter().map(|claim| Claim { weight: 1.0, demand: claim.admissible }).collect();
             for (claim, share) in classes.iter().zip(max_min(share, &claims)) {
                 let refused = share < WORTH_REFUSING * claim.asked;
-                let ratio = if refused { Ratio::of(share / claim.asked) } else { Ratio::ALL };
+                let ratio = if refused { Ratio::from_share(share / claim.asked) } else { Ratio::ALL };
                 entries.push(TableEntry { pair: claim.pair.clone(), ratio });
             }
         }
@@ -284,7 +284,7 @@
     /// Lets no pair have a higher ratio than in the last table.
     fn keep_ratios(&self, entries: &mut Vec<TableEntry>) {
         for (team, class, ratio) in self.table.entries() {
-            let pair = Pair::new(team, class);
+            let pair = TeamClassPair::new(team, class);
             match entries.iter_mut().find(|entry| entry.pair == pair) {
                 Some(entry) => entry.ratio = entry.ratio.min(ratio),
                 None => entries.push(TableEntry { pair, ratio }),
@@ -296,12 +296,12 @@
     /// limit carries until the next table.
     fn serve_the_starved(&self, now: Timestamp, entries: &mut Vec<TableEntry>) {
         // Followers refuse most of what a pair asks for, so that it counts as asking all the time while it is refused.
-        let unserved_since = |pair: &Pair| {
+        let unserved_since = |pair: &TeamClassPair| {
             let refused = self.refused_since.get(pair).map_or(now, |refused| refused.since);
             let admitted = self.demand.pair(pair).and_then(|demand| demand.admitted_at);
             admitted.map_or(refused, |admitted| admitted.max(refused))
         };
-        let mut starved: Vec<(Timestamp, Pair)> = entries
+        let mut starved: Vec<(Timestamp, TeamClassPair)> = entries
             .iter()
             .map(|entry| (unserved_since(&entry.pair), entry.pair.clone()))
             .filter(|(since, _)| now.since(*since) >= self.policy.max_wait)
@@ -320,16 +320,16 @@
                 Some(refused) => refused.last = now,
                 None => {
                     self.refused_since.insert(entry.pair.clone(), Refused { since: now, last: now });
-                    self.changes.push(Change { pair: entry.pair.clone(), refused: true });
+                    self.changes.push(RefusalChange { pair: entry.pair.clone(), refused: true });
                 }
             }
         }
         let over = |refused: &Refused| now.since(refused.last) >= REFUSAL_OVER;
-        let ended: Vec<Pair> =
+        let ended: Vec<TeamClassPair> =
             self.refused_since.iter().filter(|(_, refused)| over(refused)).map(|(pair, _)| pair.clone()).collect();
         for pair in ended {
             self.refused_since.remove(&pair);
-            self.changes.push(Change { pair, refused: false });
+            self.changes.push(RefusalChange { pair, refused: false });
         }
     }
 }
@@ -344,7 +344,7 @@
 
 /// What one pair asks for, and what it may have of it.
 struct PairClaim<'a> {
-    pair: &'a Pair,
+    pair: &'a TeamClassPair,
     asked: f64,
     admissible: f64,
 }
--- a/crates/admission/src/demand.rs
+++ b/crates/admission/src/demand.rs
@@ -1,7 +1,7 @@
 //! How much each pair asks for and gets.
 
 use crate::decay;
-use crate::submission::{Cost, OTHER_CLASSES, Pair};
+use crate::submission::{Cost, OTHER_CLASSES, TeamClassPair};
 use caperstile_types::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
@@ -32,29 +32,33 @@
 /// The leader sees what followers have not refused, and they report what they have. Memory is bounded whatever names are invented.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
-    pairs: BTreeMap<Pair, PairDemand>,
+    pairs: BTreeMap<TeamClassPair, PairDemand>,
     decayed_at: Timestamp,
 }
 
 impl DemandMeter {
-    fn key(&self, pair: &Pair) -> Pair {
+    fn key(&self, pair: &TeamClassPair) -> TeamClassPair {
         let room = || self.pairs.len() < MOST_PAIRS && self.classes_of(&pair.team) < MOST_CLASSES;
-        if self.pairs.contains_key(pair) || room() { pair.clone() } else { Pair::new(&pair.team, OTHER_CLASSES) }
+        if self.pairs.contains_key(pair) || room() {
+            pair.clone()
+        } else {
+            TeamClassPair::new(&pair.team, OTHER_CLASSES)
+        }
     }
 
     fn classes_of(&self, team: &str) -> usize {
-        let from = Pair::new(team, OTHER_CLASSES);
+        let from = TeamClassPair::new(team, OTHER_CLASSES);
         self.pairs.range(from..).take_while(|(pair, _)| pair.team == team).count()
     }
 
-    fn entry(&mut self, now: Timestamp, pair: &Pair) -> &mut PairDemand {
+    fn entry(&mut self, now: Timestamp, pair: &TeamClassPair) -> &mut PairDemand {
         let fresh = PairDemand { demanded: 0.0, demanded_tasks: 0.0, admitted: 0.0, admitted_at: None, asked_at: now };
         let key = self.key(pair);
         self.pairs.entry(key).or_insert(fresh)
     }
 
     /// Submissions of this pair arrived here, or were refused by another node: so many jobs, with so many tasks all together.
-    pub fn asked(&mut self, now: Timestamp, pair: &Pair, jobs: u32, tasks: u32) {
+    pub fn asked(&mut self, now: Timestamp, pair: &TeamClassPair, jobs: u32, tasks: u32) {
         let entry = self.entry(now, pair);
         entry.asked_at = now;
         entry.demanded += Cost::of_jobs(jobs, tasks).0 / TIME_CONSTANT.as_secs_f64();
@@ -62,7 +66,7 @@
     }
 
     /// A submission of this pair was admitted.
-    pub fn admitted(&mut self, now: Timestamp, pair: &Pair, tasks: u32) {
+    pub fn admitted(&mut self, now: Timestamp, pair: &TeamClassPair, tasks: u32) {
         let entry = self.entry(now, pair);
         entry.admitted_at = Some(now);
         entry.admitted += Cost::of_jobs(1, tasks).0 / TIME_CONSTANT.as_secs_f64();
@@ -90,11 +94,11 @@
         self.pairs.values().map(|pair| pair.admitted).sum()
     }
 
-    pub(crate) fn pairs(&self) -> impl Iterator<Item = (&Pair, &PairDemand)> {
+    pub(crate) fn pairs(&self) -> impl Iterator<Item = (&TeamClassPair, &PairDemand)> {
         self.pairs.iter()
     }
 
-    pub(crate) fn pair(&self, pair: &Pair) -> Option<&PairDemand> {
+    pub(crate) fn pair(&self, pair: &TeamClassPair) -> Option<&PairDemand> {
         self.pairs.get(pair)
     }
 }
--- a/crates/admission/src/hash.rs
+++ b/crates/admission/src/hash.rs
@@ -14,8 +14,8 @@
 }
 
 /// A number below 2^32 for a job, evenly distributed and different in each draw.
-pub(crate) fn draw(purpose: Purpose, job: JobId, draw: u32) -> u32 {
-    let mut hasher = SipHasher13::new_with_keys(purpose as u64, u64::from(draw));
+pub(crate) fn uniform_u32(purpose: Purpose, job: JobId, salt: u32) -> u32 {
+    let mut hasher = SipHasher13::new_with_keys(purpose as u64, u64::from(salt));
     hasher.write_u64(job.0.to_le());
     (hasher.finish() >> 32) as u32
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -13,7 +13,7 @@
     /// Cancellations.
     Cancellation,
     /// Questions about jobs.
-    Question,
+    Query,
     /// Submissions.
     Submission,
 }
@@ -40,7 +40,7 @@
 
 /// Why a request is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shed {
+pub enum ShedReason {
     /// Whoever asked has given up.
     Abandoned,
     /// Requests of this class have waited too long for too long.
@@ -53,7 +53,7 @@
     /// To be served.
     Serve(T),
     /// To be refused at once.
-    Shed(T, Shed),
+    Shed(T, ShedReason),
 }
 
 #[derive(Debug)]
@@ -117,10 +117,10 @@
         let (arrived, request) = queue.waiting.pop_front()?;
         let waited = now.since(arrived);
         if PATIENCE[class].is_some_and(|patience| waited >= patience) {
-            return Some(Popped::Shed(request, Shed::Abandoned));
+            return Some(Popped::Shed(request, ShedReason::Abandoned));
         }
-        if class >= RequestClass::Question as usize && queue.sheds(now, waited) {
-            return Some(Popped::Shed(request, Shed::Overload));
+        if class >= RequestClass::Query as usize && queue.sheds(now, waited) {
+            return Some(Popped::Shed(request, ShedReason::Overload));
         }
         Some(Popped::Serve(request))
     }
--- a/crates/admission/src/report.rs
+++ b/crates/admission/src/report.rs
@@ -1,7 +1,7 @@
 //! What a follower tells the leader of submissions that it refused, so that the leader knows the whole demand.
 
 use crate::codec::{self, DecodeError};
-use crate::submission::Pair;
+use crate::submission::TeamClassPair;
 use std::collections::BTreeMap;
 use zerocopy::byteorder::little_endian::{U16, U32};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
@@ -23,7 +23,7 @@
 /// What one node refused since its last report.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DemandReport {
-    pairs: BTreeMap<Pair, RefusedDemand>,
+    pairs: BTreeMap<TeamClassPair, RefusedDemand>,
 }
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
@@ -44,8 +44,8 @@
 
 impl DemandReport {
     /// A submission of this pair was refused.
-    pub fn refused(&mut self, team: &str, class: &str, tasks: u32) {
-        let pair = Pair::new(team, class);
+    pub fn record_refused(&mut self, team: &str, class: &str, tasks: u32) {
+        let pair = TeamClassPair::new(team, class);
         if self.pairs.len() >= MOST_PAIRS && !self.pairs.contains_key(&pair) {
             return;
         }
@@ -60,7 +60,7 @@
     }
 
     /// What was refused, by pair.
-    pub fn pairs(&self) -> impl Iterator<Item = (&Pair, &RefusedDemand)> {
+    pub fn pairs(&self) -> impl Iterator<Item = (&TeamClassPair, &RefusedDemand)> {
         self.pairs.iter()
     }
 
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -48,7 +48,7 @@
 
 impl RefusedPair {
     /// What is shown of a pair; `None` if nothing of it is refused.
-    pub fn of(status: &PairStatus, now: Timestamp) -> Option<RefusedPair> {
+    pub fn from_status(status: &PairStatus, now: Timestamp) -> Option<RefusedPair> {
         let since = status.refused_since?;
         // A wait without end is no number in JSON.
         let wait = status.predicted_wait.map(|wait| wait.as_secs_f64()).filter(|seconds| seconds.is_finite());
@@ -70,7 +70,7 @@
 
 impl AdmissionStatus {
     /// Leaves pairs out until the value has so many bytes at the most.
-    pub fn fit(mut self, bytes: usize) -> AdmissionStatus {
+    pub fn truncated_to(mut self, bytes: usize) -> AdmissionStatus {
         self.refused.sort_by(|a, b| b.demanded.total_cmp(&a.demanded));
         while !self.refused.is_empty() && serde_json::to_string(&self).is_ok_and(|text| text.len() > bytes) {
             let kept = self.refused.len() * 3 / 4;
--- a/crates/admission/src/submission.rs
+++ b/crates/admission/src/submission.rs
@@ -9,7 +9,7 @@
 
 /// A team and one of its classes of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Pair {
+pub struct TeamClassPair {
     /// Team.
     pub team: String,
     /// Class.
@@ -19,14 +19,14 @@
 /// Stands for all classes of a team that are not told apart. No job has it: names are not empty.
 pub(crate) const OTHER_CLASSES: &str = "";
 
-impl Pair {
+impl TeamClassPair {
     /// The pair of these names.
-    pub fn new(team: &str, class: &str) -> Pair {
-        Pair { team: team.to_string(), class: class.to_string() }
+    pub fn new(team: &str, class: &str) -> TeamClassPair {
+        TeamClassPair { team: team.to_string(), class: class.to_string() }
     }
 }
 
-impl fmt::Display for Pair {
+impl fmt::Display for TeamClassPair {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.team, self.class)
     }
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{self, DecodeError};
 use crate::hash::{self, Purpose};
-use crate::submission::{OTHER_CLASSES, Pair, Submission};
+use crate::submission::{OTHER_CLASSES, Submission, TeamClassPair};
 use caperstile_types::{Duration, FencingToken, JobId};
 use roaring::RoaringTreemap;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
     pub const ALL: Ratio = Ratio(u16::MAX);
 
     /// The ratio of this share; what lies outside of 0 to 1 is cut.
-    pub fn of(share: f64) -> Ratio {
+    pub fn from_share(share: f64) -> Ratio {
         Ratio((share.clamp(0.0, 1.0) * f64::from(u16::MAX)).ceil() as u16)
     }
 
@@ -47,8 +47,8 @@
     }
 
     /// Whether a job is among the admitted in this draw. A higher ratio admits all that a lower one does.
-    fn admits(self, job: JobId, draw: u32) -> bool {
-        self == Ratio::ALL || (hash::draw(Purpose::Admission, job, draw) >> 16) < u32::from(self.0)
+    fn admits(self, job: JobId, salt: u32) -> bool {
+        self == Ratio::ALL || (hash::uniform_u32(Purpose::Admission, job, salt) >> 16) < u32::from(self.0)
     }
 }
 
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableEntry {
     /// Team and class.
-    pub pair: Pair,
+    pub pair: TeamClassPair,
     /// The share of its submissions that is admitted.
     pub ratio: Ratio,
 }
@@ -79,7 +79,7 @@
     /// Which table it is.
     pub number: TableNumber,
     /// Decides which jobs a ratio admits; it changes every few seconds, so that nobody is refused for ever.
-    pub draw: u32,
+    pub salt: u32,
     /// The cost per second that the leader admits at the most, for the next leader to begin with.
     pub limit: Option<f64>,
     /// By team and class.
@@ -93,7 +93,7 @@
 struct Header {
     layout: U16,
     entries: U16,
-    draw: U32,
+    salt: U32,
     /// In thousandths; 0: none.
     limit: U32,
     token: U64,
@@ -110,18 +110,18 @@
 
 impl AdmissionTable {
     /// A table that refuses nothing.
-    pub fn open(number: TableNumber, draw: u32) -> AdmissionTable {
-        AdmissionTable { number, draw, limit: None, ratios: BTreeMap::new(), accepted: RoaringTreemap::new() }
+    pub fn admit_all(number: TableNumber, salt: u32) -> AdmissionTable {
+        AdmissionTable { number, salt, limit: None, ratios: BTreeMap::new(), accepted: RoaringTreemap::new() }
     }
 
     /// A table of these entries. Those that admit everything are needed only beside one for all other classes of their team.
     pub fn new(
         number: TableNumber,
-        draw: u32,
+        salt: u32,
         entries: impl IntoIterator<Item = TableEntry>,
         accepted: RoaringTreemap,
     ) -> AdmissionTable {
-        let mut table = AdmissionTable { accepted, ..AdmissionTable::open(number, draw) };
+        let mut table = AdmissionTable { accepted, ..AdmissionTable::admit_all(number, salt) };
         for TableEntry { pair, ratio } in entries {
             table.ratios.entry(pair.team).or_default().insert(pair.class, ratio);
         }
@@ -138,7 +138,7 @@
     }
 
     /// Whether it refuses nothing.
-    pub fn is_open(&self) -> bool {
+    pub fn admits_all(&self) -> bool {
         self.ratios.is_empty()
     }
 
@@ -158,11 +158,11 @@
     /// Decides on a submission. The same table gives the same answer on every node.
     pub fn decide(&self, submission: &Submission) -> Decision {
         let ratio = self.ratio(submission.team, submission.class);
-        if ratio.admits(submission.job, self.draw) || self.accepted.contains(submission.job.0) {
+        if ratio.admits(submission.job, self.salt) || self.accepted.contains(submission.job.0) {
             return Decision::Admit;
         }
         // Spread evenly, so that those who are refused together do not come back together.
-        let spread = hash::draw(Purpose::Retry, submission.job, self.draw) % u32::from(RETRY_AFTER_S + 1);
+        let spread = hash::uniform_u32(Purpose::Retry, submission.job, self.salt) % u32::from(RETRY_AFTER_S + 1);
         Decision::Refuse { retry_after_s: RETRY_AFTER_S + spread as u16 }
     }
 
@@ -179,7 +179,7 @@
         let header = Header {
             layout: U16::new(LAYOUT),
             entries: U16::new(entries),
-            draw: U32::new(self.draw),
+            salt: U32::new(self.salt),
             limit: U32::new(self.limit.map_or(0, |limit| (limit * LIMIT_UNIT).min(f64::from(u32::MAX)) as u32)),
             token: U64::new(self.number.token.0),
             sequence: U64::new(self.number.sequence),
@@ -211,6 +211,6 @@
             _ => RoaringTreemap::deserialize_from(rest).map_err(|_| DecodeError::Accepted)?,
         };
         let limit = Some(f64::from(header.limit.get()) / LIMIT_UNIT).filter(|limit| *limit > 0.0);
-        Ok(AdmissionTable { limit, ..AdmissionTable::new(number, header.draw.get(), entries, accepted) })
+        Ok(AdmissionTable { limit, ..AdmissionTable::new(number, header.salt.get(), entries, accepted) })
     }
 }
--- a/crates/admission/src/view.rs
+++ b/crates/admission/src/view.rs
@@ -35,7 +35,7 @@
     }
 
     /// The table that a new leader begins with: that of the leader before, if it came not long ago.
-    pub fn inherited(&self, now: Timestamp) -> Option<&AdmissionTable> {
+    pub fn inheritable(&self, now: Timestamp) -> Option<&AdmissionTable> {
         let (table, received) = self.newest.as_ref()?;
         (now.since(*received) < INHERITED).then_some(table)
     }
--- a/crates/admission/tests/control.rs
+++ b/crates/admission/tests/control.rs
@@ -1,8 +1,8 @@
 //! The leader's side: bounds for everybody who keeps asking, agreement over changes of table, and how it reacts to load.
 
 use caperstile_admission::{
-    AdmissionControl, AdmissionPolicy, AdmissionTable, BacklogBound, Decision, DemandReport, Pair, PairBacklog,
-    Submission, TableView, Utilization,
+    AdmissionControl, AdmissionPolicy, AdmissionTable, BacklogBound, Decision, DemandReport, PairBacklog, Submission,
+    TableView, TeamClassPair, Utilization,
 };
 use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,7 +83,7 @@
                         let (last, longest, count) = &mut self.served[index];
                         *longest = (*longest).max(self.now - *last);
                         (*last, *count) = (self.now, *count + 1);
-                        self.control.accepted(Timestamp::from_millis(self.now), JobId(job));
+                        self.control.record_accepted(Timestamp::from_millis(self.now), JobId(job));
                     }
                     Decision::Refuse { retry_after_s } => {
                         let again = self.now / 1_000 + u64::from(retry_after_s);
@@ -94,11 +94,11 @@
                 }
             }
             for report in &reports {
-                self.control.refused_elsewhere(Timestamp::from_millis(self.now), report);
+                self.control.record_remote_refusals(Timestamp::from_millis(self.now), report);
             }
             let utilization = load(admitted);
             let queueing = if utilization >= BUSY { QUEUEING } else { Duration::from_millis(50) };
-            self.control.observe(Timestamp::from_millis(self.now), utilization, queueing);
+            self.control.observe_load(Timestamp::from_millis(self.now), utilization, queueing);
             if let Some(table) = self.control.tick(Timestamp::from_millis(self.now)).cloned() {
                 for (index, (_, delay)) in self.views.iter().enumerate() {
                     self.delayed.push((self.now + delay * 1_000, index, table.clone()));
@@ -123,7 +123,7 @@
             let (number, decision) = (table.number.sequence, table.decide(submission));
             self.note(number, submission.job, decision);
             if decision != Decision::Admit {
-                reports[node].refused(submission.team, submission.class, tasks);
+                reports[node].record_refused(submission.team, submission.class, tasks);
                 return decision;
             }
         }
@@ -216,14 +216,14 @@
     let flood = [flow("flooding", "x", 50.0, 1), flow("quiet", "x", 1.0, 1)];
     let mut cluster = Cluster::new(2, &flood, AdmissionPolicy::default());
     cluster.play(300, &flood, carries(8.0));
-    assert!(!cluster.control.table().is_open(), "the flood is refused");
+    assert!(!cluster.control.table().admits_all(), "the flood is refused");
     let calm = [flow("flooding", "x", 1.0, 1), flow("quiet", "x", 1.0, 1)];
     // Those who were refused still come back for a minute; nobody else is refused for that.
     let quiet = cluster.served[1].2;
     cluster.play(60, &calm, carries(8.0));
     assert!(cluster.served[1].2 - quiet >= 59, "{} of 60", cluster.served[1].2 - quiet);
     cluster.play(20, &calm, carries(8.0));
-    assert!(cluster.control.table().is_open(), "{:?}", cluster.control.status(Timestamp::from_millis(cluster.now)));
+    assert!(cluster.control.table().admits_all(), "{:?}", cluster.control.status(Timestamp::from_millis(cluster.now)));
 }
 
 /// Capacity falls to a third and comes back, again and again: no pair begins and ceases to be refused more often than every 10 s.
@@ -247,7 +247,7 @@
             &Submission { job: JobId(second), team: "t", class: "c" },
             10,
         );
-        control.observe(Timestamp::from_millis(second * 1_000), BUSY, Duration::from_millis(100));
+        control.observe_load(Timestamp::from_millis(second * 1_000), BUSY, Duration::from_millis(100));
         assert!(control.tick(Timestamp::from_millis(second * 1_000)).is_none());
     }
 }
@@ -258,16 +258,17 @@
     policy
 }
 
-fn backlog(tasks: u64, oldest: u64) -> BTreeMap<Pair, PairBacklog> {
-    let longest_wait = Duration::from_secs(100);
-    let waits = PairBacklog { waiting_tasks: tasks, oldest: Some(Timestamp::from_millis(oldest)), longest_wait };
-    BTreeMap::from([(Pair::new("crew", "render"), waits)])
+fn backlog(tasks: u64, oldest: u64) -> BTreeMap<TeamClassPair, PairBacklog> {
+    let max_wait = Duration::from_secs(100);
+    let waits =
+        PairBacklog { pending_tasks: tasks, oldest_submitted_at: Some(Timestamp::from_millis(oldest)), max_wait };
+    BTreeMap::from([(TeamClassPair::new("crew", "render"), waits)])
 }
 
 /// Ten jobs of ten tasks a second are asked for, ten tasks a second start; how many jobs were admitted in two minutes.
 fn admitted_with_backlog(policy: AdmissionPolicy, oldest: impl Fn(u64) -> u64) -> u64 {
     let mut control = AdmissionControl::new(TOKEN, Timestamp::ZERO, policy);
-    let pair = Pair::new("crew", "render");
+    let pair = TeamClassPair::new("crew", "render");
     let (mut waiting, mut admitted) = (0u64, 0);
     for second in 1..=120u64 {
         let now = Timestamp::from_millis(second * 1_000);
@@ -278,10 +279,10 @@
             }
         }
         for _ in 0..waiting.min(10) {
-            control.started(&pair);
+            control.record_start(&pair);
             waiting -= 1;
         }
-        control.observe(now, IDLE, Duration::ZERO);
+        control.observe_load(now, IDLE, Duration::ZERO);
         control.observe_backlog(now, backlog(waiting, oldest(second * 1_000)));
         control.tick(now);
     }
@@ -325,13 +326,13 @@
     let flows = [flow("flooding", "x", 50.0, 1)];
     let mut cluster = Cluster::new(1, &flows, AdmissionPolicy::default());
     cluster.play(60, &flows, carries(5.0));
-    let draw = cluster.control.table().draw;
+    let salt = cluster.control.table().salt;
     cluster.play(40, &flows, carries(5.0));
     // A draw lasts eight seconds, which is when the first of them come back.
     assert!(
-        (4..=5).contains(&(cluster.control.table().draw - draw)),
+        (4..=5).contains(&(cluster.control.table().salt - salt)),
         "{} draws in 40 s",
-        cluster.control.table().draw - draw
+        cluster.control.table().salt - salt
     );
 }
 
@@ -362,7 +363,7 @@
         for n in 2..52 {
             admitted += u64::from(decide(second * 1_000 + n, "inventive", &format!("class-{second}-{n}")));
         }
-        control.observe(now, BUSY, QUEUEING);
+        control.observe_load(now, BUSY, QUEUEING);
         control.tick(now);
     }
     assert!(admitted < 6_000 / 4, "{admitted} of 6,000 in classes of their own");
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,6 +1,6 @@
 //! The request queue under more load than it can serve, against clients that give up and come back.
 
-use caperstile_admission::{Popped, RequestClass, RequestQueue, Shed};
+use caperstile_admission::{Popped, RequestClass, RequestQueue, ShedReason};
 use caperstile_types::{Duration, Timestamp};
 use std::collections::VecDeque;
 
@@ -69,7 +69,7 @@
     let askers = 200 * load as u64;
     let users = (0..askers).map(|n| {
         let first = if n < 200 { n * 25 } else { 10_000 + n % 5_000 };
-        client(RequestClass::Question, 2_000, first)
+        client(RequestClass::Query, 2_000, first)
     });
     let mut run =
         Run { clients: reporters.chain(users).collect(), longest_gap: 0, answered: vec![0; 80], asked: vec![0; 80] };
@@ -90,7 +90,7 @@
                 requests += 1;
                 client.waits_for = Some((requests, now));
                 waiting.push(now, client.class, (index, requests));
-                if client.class == RequestClass::Question && !extra {
+                if client.class == RequestClass::Query && !extra {
                     run.asked[(now / 1000) as usize] += 1;
                 }
             }
@@ -155,7 +155,7 @@
     let mut queue = RequestQueue::new(1_000);
     for n in 0..200 {
         for class in
-            [RequestClass::Submission, RequestClass::Question, RequestClass::Cancellation, RequestClass::Heartbeat]
+            [RequestClass::Submission, RequestClass::Query, RequestClass::Cancellation, RequestClass::Heartbeat]
         {
             queue.push(Timestamp::ZERO, class, (class, n)).expect("room");
         }
@@ -169,8 +169,7 @@
     let count = |class| first.iter().filter(|c| **c == class).count();
     assert_eq!(first[0], RequestClass::Heartbeat);
     assert!(count(RequestClass::Heartbeat) > 60, "{first:?}");
-    for (class, least) in [(RequestClass::Cancellation, 8), (RequestClass::Question, 8), (RequestClass::Submission, 4)]
-    {
+    for (class, least) in [(RequestClass::Cancellation, 8), (RequestClass::Query, 8), (RequestClass::Submission, 4)] {
         assert!(count(class) >= least, "{class:?}: {}", count(class));
     }
 }
@@ -196,14 +195,14 @@
     let patience = [
         (RequestClass::Heartbeat, 4_000),
         (RequestClass::Cancellation, 5_000),
-        (RequestClass::Question, 2_000),
+        (RequestClass::Query, 2_000),
         (RequestClass::Submission, 5_000),
     ];
     for (class, patience) in patience {
         let mut queue = RequestQueue::new(10);
         queue.push(Timestamp::from_millis(1_000), class, "late").expect("room");
         let at = Timestamp::from_millis(1_000) + Duration::from_millis(patience);
-        assert_eq!(queue.pop(at), Some(Popped::Shed("late", Shed::Abandoned)), "{class:?}");
+        assert_eq!(queue.pop(at), Some(Popped::Shed("late", ShedReason::Abandoned)), "{class:?}");
         queue.push(Timestamp::from_millis(1_000), class, "in time").expect("room");
         assert_eq!(queue.pop(Timestamp::from_millis(at.as_millis() - 1)), Some(Popped::Serve("in time")), "{class:?}");
     }
--- a/crates/admission/tests/table.rs
+++ b/crates/admission/tests/table.rs
@@ -1,7 +1,8 @@
 //! Tables: the same answer on every node, encoding, and which one a node goes by.
 
 use caperstile_admission::{
-    AdmissionTable, Decision, DecodeError, DemandReport, Pair, Ratio, Submission, TableEntry, TableNumber, TableView,
+    AdmissionTable, Decision, DecodeError, DemandReport, Ratio, Submission, TableEntry, TableNumber, TableView,
+    TeamClassPair,
 };
 use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use proptest::prelude::*;
@@ -11,9 +12,9 @@
     TableNumber { token: FencingToken(token), sequence }
 }
 
-fn table(number: TableNumber, draw: u32, share: f64, accepted: &[u64]) -> AdmissionTable {
-    let entry = TableEntry { pair: Pair::new("crew", "render"), ratio: Ratio::of(share) };
-    AdmissionTable::new(number, draw, [entry], accepted.iter().copied().collect())
+fn table(number: TableNumber, salt: u32, share: f64, accepted: &[u64]) -> AdmissionTable {
+    let entry = TableEntry { pair: TeamClassPair::new("crew", "render"), ratio: Ratio::from_share(share) };
+    AdmissionTable::new(number, salt, [entry], accepted.iter().copied().collect())
 }
 
 fn submission(job: u64) -> Submission<'static> {
@@ -42,7 +43,7 @@
 
 #[test]
 fn nobody_is_refused_for_ever() {
-    let refused_by_all = |job: &u64| (0..200).all(|draw| !admits(&table(number(7, 1), draw, 0.1, &[]), *job));
+    let refused_by_all = |job: &u64| (0..200).all(|salt| !admits(&table(number(7, 1), salt, 0.1, &[]), *job));
     assert_eq!((0..1_000).filter(refused_by_all).count(), 0);
 }
 
@@ -102,8 +103,8 @@
     let mut limited = table(number(7, 1), 0, 0.5, &[]);
     limited.limit = Some(4.25);
     view.receive(Timestamp::ZERO, AdmissionTable::decode(&limited.encode()).expect("it can be read"));
-    assert_eq!(view.inherited(Timestamp::from_millis(14_000)).and_then(|table| table.limit), Some(4.25));
-    assert_eq!(view.inherited(Timestamp::from_millis(15_000)), None);
+    assert_eq!(view.inheritable(Timestamp::from_millis(14_000)).and_then(|table| table.limit), Some(4.25));
+    assert_eq!(view.inheritable(Timestamp::from_millis(15_000)), None);
 }
 
 #[test]
@@ -125,8 +126,10 @@
 
 #[test]
 fn however_many_pairs_and_jobs_there_are_a_table_fits_into_a_frame() {
-    let entries = (0..4_000)
-        .map(|n| TableEntry { pair: Pair::new(&format!("team-{n}-{}", "x".repeat(60)), "y"), ratio: Ratio::of(0.5) });
+    let entries = (0..4_000).map(|n| TableEntry {
+        pair: TeamClassPair::new(&format!("team-{n}-{}", "x".repeat(60)), "y"),
+        ratio: Ratio::from_share(0.5),
+    });
     let accepted: RoaringTreemap = (0..50_000u64).map(|n| n * 7_919).collect();
     let table = AdmissionTable::new(number(7, 1), 3, entries, accepted);
     let bytes = table.encode();
@@ -141,15 +144,15 @@
     fn what_is_encoded_is_read_back_and_decides_the_same(
         token in any::<u64>(),
         sequence in any::<u64>(),
-        draw in any::<u32>(),
+        salt in any::<u32>(),
         pairs in prop::collection::vec(("[a-z]{1,12}", "[a-zä-ü]{1,12}", 0.0f64..0.99), 0..30),
         accepted in prop::collection::btree_set(0u64..1_000_000_000_000, 0..200),
     ) {
         let entries = pairs.iter().map(|(team, class, share)| TableEntry {
-            pair: Pair::new(team, class),
-            ratio: Ratio::of(*share),
+            pair: TeamClassPair::new(team, class),
+            ratio: Ratio::from_share(*share),
         });
-        let table = AdmissionTable::new(number(token, sequence), draw, entries, accepted.iter().copied().collect());
+        let table = AdmissionTable::new(number(token, sequence), salt, entries, accepted.iter().copied().collect());
         let read = AdmissionTable::decode(&table.encode()).expect("it can be read");
         prop_assert_eq!(&read, &table);
         for (team, class, _) in &pairs {
@@ -170,7 +173,7 @@
     fn reports_are_read_back(refused in prop::collection::vec(("[a-z]{1,9}", "[a-z]{1,9}", 0u32..100_000), 0..50)) {
         let mut report = DemandReport::default();
         for (team, class, tasks) in &refused {
-            report.refused(team, class, *tasks);
+            report.record_refused(team, class, *tasks);
         }
         prop_assert_eq!(DemandReport::decode(&report.encode()), Ok(report));
     }
--- a/src/controller/leadership_events.rs
+++ b/src/controller/leadership_events.rs
@@ -46,7 +46,7 @@
         self.has_seen_leader = true;
         self.announced_at = Timestamp::ZERO;
         let mut leader = Leader::new(token, format, now, &self.settings);
-        if let Some(table) = self.admission_view.inherited(now) {
+        if let Some(table) = self.admission_view.inheritable(now) {
             leader.inherit_admission_table(now, table);
         }
         leader.start(now, wall, out);
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -131,14 +131,14 @@
     /// forwarded, since the leader reports what is wrong with it.
     fn admission_decision(&mut self, now: Timestamp, request: &UserRequest) -> Decision {
         let UserRequest::Submit(body) = request else { return Decision::Admit };
-        let Some(table) = self.admission_table(now).filter(|table| !table.is_open()) else {
+        let Some(table) = self.admission_table(now).filter(|table| !table.admits_all()) else {
             return Decision::Admit;
         };
         let Ok(head) = serde_json::from_slice::<SubmissionHead>(body) else { return Decision::Admit };
         let Ok(job) = head.job.parse() else { return Decision::Admit };
         let decision = table.decide(&Submission { job, team: &head.team, class: &head.class });
         if decision != Decision::Admit {
-            self.refused_demand.refused(&head.team, &head.class, head.tasks);
+            self.refused_demand.record_refused(&head.team, &head.class, head.tasks);
         }
         decision
     }
--- a/src/leader/admission.rs
+++ b/src/leader/admission.rs
@@ -7,8 +7,8 @@
 use crate::types::{Duration, Revision, Timestamp, WallClock};
 use crate::wire::{CompareAndSwap, StoreWrite};
 use caperstile_admission::{
-    AdmissionPolicy, AdmissionStatus, AdmissionTable, DemandReport, Pair, PairBacklog, RefusedPair, STATUS_KEY,
-    Utilization,
+    AdmissionPolicy, AdmissionStatus, AdmissionTable, DemandReport, PairBacklog, RefusedPair, STATUS_KEY,
+    TeamClassPair, Utilization,
 };
 
 use log::{debug, info};
@@ -51,17 +51,17 @@
 
     /// Records how busy this node was in the last second.
     pub(crate) fn observe_utilization(&mut self, now: Timestamp, utilization: Utilization) {
-        self.admission.observe(now, utilization, self.planning.pacing.input_delay);
+        self.admission.observe_load(now, utilization, self.planning.pacing.input_delay);
     }
 
     /// Adds the demand that another node has refused by this leader's admission tables.
     pub(crate) fn apply_demand_report(&mut self, now: Timestamp, report: &DemandReport) {
-        self.admission.refused_elsewhere(now, report);
+        self.admission.record_remote_refusals(now, report);
     }
 
     /// Computes a new admission table if one is due; `None` if not.
     pub(crate) fn refresh_admission_table(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
-        if self.admission.wants_backlog(now) {
+        if self.admission.needs_backlog(now) {
             let backlog = self.backlog_by_pair(now);
             self.admission.observe_backlog(now, backlog);
         }
@@ -89,7 +89,7 @@
             return;
         }
         let status = self.admission.status(now);
-        let refused: Vec<RefusedPair> = status.iter().filter_map(|pair| RefusedPair::of(pair, now)).collect();
+        let refused: Vec<RefusedPair> = status.iter().filter_map(|pair| RefusedPair::from_status(pair, now)).collect();
         if refused.is_empty() && !self.admission_status.refusing {
             return;
         }
@@ -105,7 +105,8 @@
             left_out: 0,
         };
         let bytes = (self.settings.deployment.state.guaranteed_value_kb() * 1024.0) as usize;
-        let value = serde_json::to_value(status.fit(bytes.saturating_sub(VALUE_MARGIN_BYTES))).unwrap_or_default();
+        let value =
+            serde_json::to_value(status.truncated_to(bytes.saturating_sub(VALUE_MARGIN_BYTES))).unwrap_or_default();
         let swap = CompareAndSwap {
             conditions: vec![condition(self.format.leader_key(), Revision(self.token.0))],
             writes: vec![StoreWrite::Put { key: STATUS_KEY.into(), value, lease: None }],
@@ -118,7 +119,7 @@
     }
 
     /// The backlog of each pair of team and class, not counting services: those wait for machines that are booting.
-    pub(super) fn backlog_by_pair(&self, now: Timestamp) -> BTreeMap<Pair, PairBacklog> {
+    pub(super) fn backlog_by_pair(&self, now: Timestamp) -> BTreeMap<TeamClassPair, PairBacklog> {
         let mut backlogs: BTreeMap<(&str, &str), PairBacklog> = BTreeMap::new();
         for job in self.jobs.pending_jobs().filter(|job| !job.spec.is_service && job.durable && !job.cancelling) {
             if job.retry_not_before > now {
@@ -127,14 +128,15 @@
                 continue;
             }
             let (team, class) = (job.spec.team.as_str(), job.spec.class.as_str());
-            let empty = || PairBacklog { waiting_tasks: 0, oldest: None, longest_wait: self.max_wait(class) };
+            let empty = || PairBacklog { pending_tasks: 0, oldest_submitted_at: None, max_wait: self.max_wait(class) };
             let entry = backlogs.entry((team, class)).or_insert_with(empty);
-            entry.waiting_tasks += u64::from(job.pending.len());
+            entry.pending_tasks += u64::from(job.pending.len());
             if job.placements.is_empty() && job.finished.is_empty() {
-                entry.oldest = Some(entry.oldest.map_or(job.submitted_at, |oldest| oldest.min(job.submitted_at)));
+                entry.oldest_submitted_at =
+                    Some(entry.oldest_submitted_at.map_or(job.submitted_at, |oldest| oldest.min(job.submitted_at)));
             }
         }
-        backlogs.into_iter().map(|((team, class), backlog)| (Pair::new(team, class), backlog)).collect()
+        backlogs.into_iter().map(|((team, class), backlog)| (TeamClassPair::new(team, class), backlog)).collect()
     }
 
     fn max_wait(&self, class: &str) -> Duration {
--- a/src/leader/log_records.rs
+++ b/src/leader/log_records.rs
@@ -168,7 +168,7 @@
     fn handle_durable_acceptance(&mut self, now: Timestamp, id: JobId, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(id) else { return };
         self.planning.arrivals.record(now, &job.spec);
-        self.admission.accepted(now, id);
+        self.admission.record_accepted(now, id);
         debug!("job accepted job={id} class={} tasks={}", job.spec.class, job.spec.task_count);
         for origin in self.pending_requests.take_submissions(id) {
             out.push(Effect::Respond(origin, ApiResponse::accepted(id)));
--- a/src/leader/scheduling/starts.rs
+++ b/src/leader/scheduling/starts.rs
@@ -2,7 +2,7 @@
 
 use super::reservation::GangReservation;
 use super::*;
-use caperstile_admission::Pair;
+use caperstile_admission::TeamClassPair;
 
 /// Number of a job's pending tasks that are examined to find one of which the machine holds no other attempt.
 const MAX_PENDING_SCANNED: usize = 64;
@@ -163,7 +163,7 @@
         let predicted_s = predicted_duration.map_or(f64::INFINITY, Duration::as_secs_f64);
         let AttemptId { task, attempt: number } = attempt;
         debug!("task start requested task={task} attempt={number} machine={id} predicted_s={predicted_s}");
-        self.admission.started(&Pair::new(&job.spec.team, &job.spec.class));
+        self.admission.record_start(&TeamClassPair::new(&job.spec.team, &job.spec.class));
         usage.add(&job.spec.team, &job.spec.resources);
         machine.idle_since = None;
         machine.attempts.insert(
--- a/src/runtime/inbox.rs
+++ b/src/runtime/inbox.rs
@@ -4,7 +4,7 @@
 use crate::api::UserRequest;
 use crate::effects::Input;
 use crate::types::Timestamp;
-use caperstile_admission::{Popped, RequestClass, RequestQueue, Shed};
+use caperstile_admission::{Popped, RequestClass, RequestQueue, ShedReason};
 use tokio::sync::mpsc;
 
 /// The outcome of taking the next message from the inbox.
@@ -12,14 +12,14 @@
     /// The message is to be processed by the core.
     Serve(Message),
     /// The message is to be rejected without processing, for the given reason.
-    Refuse(Message, Shed),
+    Refuse(Message, ShedReason),
 }
 
 /// The request class that determines a message's precedence in the queue.
 pub fn request_class(message: &Message) -> RequestClass {
     let user_request_class = |request: &UserRequest| match request {
         UserRequest::Submit(_) => RequestClass::Submission,
-        UserRequest::Get(_) => RequestClass::Question,
+        UserRequest::Get(_) => RequestClass::Query,
         UserRequest::Cancel(_) => RequestClass::Cancellation,
     };
     match message {
@@ -62,7 +62,9 @@
             return self.channel.recv().await.map(NextMessage::Serve);
         }
         self.queue.pop(now).map(|popped| match popped {
-            Popped::Serve(message) if requester_disconnected(&message) => NextMessage::Refuse(message, Shed::Abandoned),
+            Popped::Serve(message) if requester_disconnected(&message) => {
+                NextMessage::Refuse(message, ShedReason::Abandoned)
+            }
             Popped::Serve(message) => NextMessage::Serve(message),
             Popped::Shed(message, reason) => NextMessage::Refuse(message, reason),
         })
@@ -71,6 +73,6 @@
     fn enqueue(&mut self, now: Timestamp, message: Message) -> Option<NextMessage> {
         let class = request_class(&message);
         let rejected = self.queue.push(now, class, message).err()?;
-        Some(NextMessage::Refuse(rejected, Shed::Overload))
+        Some(NextMessage::Refuse(rejected, ShedReason::Overload))
     }
 }
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -5,7 +5,7 @@
 use crate::api::ApiResponse;
 use crate::effects::{Effect, Input, RequestOrigin};
 use crate::peers::Frame;
-use caperstile_admission::{AdmissionTable, RequestClass, Shed};
+use caperstile_admission::{AdmissionTable, RequestClass, ShedReason};
 use log::debug;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -64,12 +64,12 @@
     }
 
     /// Rejects a request that was shed, without passing it to the core.
-    pub fn refuse(&mut self, message: Message, shed: Shed) {
+    pub fn refuse(&mut self, message: Message, shed: ShedReason) {
         let is_submission = super::inbox::request_class(&message) == RequestClass::Submission;
         let retry_after = if is_submission { SUBMISSION_RETRY_AFTER_S } else { 1 };
         let reason = match shed {
-            Shed::Abandoned => "the request has waited too long",
-            Shed::Overload => "too busy",
+            ShedReason::Abandoned => "the request has waited too long",
+            ShedReason::Overload => "too busy",
         };
         let response = ApiResponse::unavailable_for(reason, retry_after);
         match message {
--- a/tests/characterization/answers.rs
+++ b/tests/characterization/answers.rs
@@ -8,7 +8,7 @@
 use caperstile::settings::Settings;
 use caperstile::store::{ServiceResponse, StoreRequest};
 use caperstile::types::{Duration, FencingToken, JobId, Timestamp, WallClock};
-use caperstile_admission::{AdmissionTable, Pair, Ratio, TableEntry, TableNumber};
+use caperstile_admission::{AdmissionTable, Ratio, TableEntry, TableNumber, TeamClassPair};
 use serde_json::{Value, json};
 
 const SUBMISSIONS: &str = "wire/submissions.txt";
@@ -338,7 +338,7 @@
         example("submit:leader-silent", node.submit(&submission(&[]))),
     ];
     assert_eq!(node.forwarded, 1);
-    let entry = TableEntry { pair: Pair::new("vision", "train"), ratio: Ratio::of(0.0) };
+    let entry = TableEntry { pair: TeamClassPair::new("vision", "train"), ratio: Ratio::from_share(0.0) };
     let number = TableNumber { token: FencingToken(41), sequence: 1 };
     let table = AdmissionTable::new(number, 3, [entry], [412].into_iter().collect());
     node.feed(Input::AdmissionTableReceived(Box::new(table)));
--- a/tests/characterization/frames.rs
+++ b/tests/characterization/frames.rs
@@ -3,13 +3,14 @@
 use crate::fixture::{self, example, example_of, from_hexadecimal, hexadecimal};
 use caperstile::peers::{BODY_LIMIT, Frame, HEADER_BYTES};
 use caperstile::types::FencingToken;
-use caperstile_admission::{AdmissionTable, DemandReport, Pair, Ratio, TableEntry, TableNumber};
+use caperstile_admission::{AdmissionTable, DemandReport, Ratio, TableEntry, TableNumber, TeamClassPair};
 
 const FRAMES: &str = "wire/frames.txt";
 const ADMISSION: &str = "wire/admission.txt";
 
 fn table() -> AdmissionTable {
-    let entry = |team, class, share| TableEntry { pair: Pair::new(team, class), ratio: Ratio::of(share) };
+    let entry =
+        |team, class, share| TableEntry { pair: TeamClassPair::new(team, class), ratio: Ratio::from_share(share) };
     let entries = [entry("crew", "render", 0.25), entry("crew", "", 1.0), entry("small", "live", 0.0)];
     let accepted = [3, 9, 123_456_789_012_345_u64].into_iter().collect();
     let number = TableNumber { token: FencingToken(41), sequence: 7 };
@@ -20,9 +21,9 @@
 
 fn report() -> DemandReport {
     let mut report = DemandReport::default();
-    report.refused("crew", "render", 3);
-    report.refused("crew", "render", 4);
-    report.refused("small", "live", 1);
+    report.record_refused("crew", "render", 3);
+    report.record_refused("crew", "render", 4);
+    report.record_refused("small", "live", 1);
     report
 }
 
@@ -36,7 +37,7 @@
 
 #[test]
 fn admission_messages_keep_their_bytes_and_are_read_back() {
-    let open = AdmissionTable::open(TableNumber { token: FencingToken(42), sequence: 1 }, 6);
+    let open = AdmissionTable::admit_all(TableNumber { token: FencingToken(42), sequence: 1 }, 6);
     fixture::assert_examples(
         ADMISSION,
         &[
