--- a/tests/characterization/command_line.rs
+++ b/tests/characterization/command_line.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn help_is_as_before() {
+fn help_texts_match_the_fixture() {
     let commands = [
         "",
         "--help",
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn arguments_that_cannot_be_used_are_refused_as_before() {
+fn invalid_arguments_give_the_same_errors_and_exit_codes() {
     let commands = [
         "--operators x.ini",
         "--unknown",
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn check_says_whether_settings_can_be_used() {
+fn check_reports_whether_settings_are_valid() {
     let platform = Scratch::new("check.toml", &fixture::text("names/settings.toml"));
     let operators = Scratch::new("check.ini", "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0%\n");
     let wrong = Scratch::new("check-wrong.ini", "[fleet]\nidle_spt_s = 5\n");
@@ -124,7 +124,7 @@
 
 /// The environment names the operators' file and the level of the log; a node whose port is taken ends with 1.
 #[test]
-fn the_environment_is_read_under_the_same_names() {
+fn environment_variables_keep_their_names_and_effects() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let platform = settings(taken.local_addr().expect("an address").port(), 1);
     let wrong = Scratch::new("environment-wrong.ini", "[fleet]\nidle_spt_s = 5\n");
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn operators_commands_print_and_end_as_before() {
+fn operators_commands_keep_their_output_and_exit_codes() {
     let mut made = String::new();
     let config = settings(1, state_service(with_one_drain));
     for command in [
--- a/tests/characterization/frames.rs
+++ b/tests/characterization/frames.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn admission_messages_keep_their_bytes_and_are_read_back() {
+fn admission_messages_keep_their_encoding_and_decode_back() {
     let open = AdmissionTable::admit_all(TableNumber { token: FencingToken(42), sequence: 1 }, 6);
     fixture::assert_examples(
         ADMISSION,
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn frames_keep_their_bytes_and_are_read_back() {
+fn frames_keep_their_encoding_and_decode_back() {
     let encoded: Vec<_> = frames().iter().map(|(name, frame)| example(*name, hexadecimal(&frame.encode()))).collect();
     fixture::assert_examples(FRAMES, &encoded);
     for (name, frame) in frames() {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_body_of_68_kib_is_the_largest_that_is_read() {
+fn frame_bodies_over_68_kib_are_rejected() {
     assert_eq!((BODY_LIMIT, HEADER_BYTES), (69_632, 24));
     let header = |length: usize| {
         let bytes = Frame::RefusedDemand(vec![0; length]).encode();
--- a/tests/characterization/main.rs
+++ b/tests/characterization/main.rs
@@ -5,12 +5,12 @@
 //! users' requests, their answers and a leader's announcement (`tests/production_compatibility.rs`), and when a command is refused in a running
 //! service (`tests/drain_processes.rs`).
 
-mod answers;
 mod command_line;
 #[path = "../support/fixture.rs"]
 mod fixture;
 mod frames;
 mod messages;
+mod responses;
 mod settings;
 mod stored_admission;
 mod stored_drains;
--- a/tests/characterization/messages.rs
+++ b/tests/characterization/messages.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn messages_of_workers_keep_their_form() {
+fn worker_messages_keep_their_format() {
     let silent = Heartbeat { reclaim_in_s: None, tasks: None, ..report() };
     assert_messages(
         "wire/workers.txt",
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn messages_of_the_cloud_keep_their_form() {
+fn cloud_messages_keep_their_format() {
     let flavor = MachineType {
         name: "g8".into(),
         cpus: 96.0,
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn messages_of_the_state_service_keep_their_form() {
+fn state_service_messages_keep_their_format() {
     let key = |lease| KeyValue { key: "a/b".into(), value: json!({"format": 2}), revision: 412, lease };
     let put = |lease| StoreWrite::Put { key: "a/b".into(), value: json!(["x"]), lease };
     let transaction = CompareAndSwap {
@@ -185,7 +185,7 @@
 
 /// What others may send: each line of the first file, with fields left out, null or unknown, is read as the line of the second.
 #[test]
-fn messages_with_optional_fields_left_out_are_read_as_before() {
+fn missing_null_and_unknown_fields_are_decoded_as_before() {
     let read: Vec<Example> = examples("wire/received.txt")
         .into_iter()
         .map(|(name, text)| example(name.clone(), rewritten_as(&name, &text)))
@@ -195,7 +195,7 @@
 
 /// What admission reads of a submission without parsing all of it.
 #[test]
-fn the_head_of_a_submission_is_read_as_before() {
+fn submission_heads_have_the_fields_of_the_whole_body() {
     for (name, text) in examples("wire/submissions.txt") {
         let head: SubmissionHead = serde_json::from_str(&text).expect("the head of a submission");
         let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -219,7 +219,7 @@
 
 /// The field at fault and what is wrong with it.
 #[test]
-fn malformed_submissions_are_refused_with_the_same_words() {
+fn malformed_submissions_give_the_same_errors() {
     let refused: Vec<Example> = examples("wire/malformed.txt")
         .into_iter()
         .map(|(name, text)| match parse_submission(text.as_bytes(), WallClock::from_millis(0)) {
--- a/tests/characterization/answers.rs
+++ b/tests/characterization/responses.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_leader_answers_users_as_before() {
+fn leader_responses_to_users_match_the_fixture() {
     let mut node = Node::leading(SETTINGS);
     let new_id = |id: &str| ("Ref", json!(id));
     let answers = [
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_leader_answers_workers_as_before() {
+fn leader_responses_to_heartbeats_match_the_fixture() {
     let mut node = Node::leading(SETTINGS);
     let first = node.report(&report(&[]));
     node.pass(500);
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_act_answers_as_before() {
+fn responses_of_nodes_that_cannot_serve_match_the_fixture() {
     let mut answers: Vec<Example> = Vec::new();
     let mut starting = Node::new(SETTINGS);
     starting.state_answers = false;
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn a_follower_answers_as_before() {
+fn follower_responses_match_the_fixture() {
     let mut node = Node::following();
     let mut answers = vec![
         example("up", node.up()),
--- a/tests/characterization/settings.rs
+++ b/tests/characterization/settings.rs
@@ -172,14 +172,14 @@
 }
 
 #[test]
-fn each_setting_of_the_platform_is_read_under_its_name() {
+fn every_platform_setting_is_read_under_its_name() {
     let mut values = Values::default();
     values.add_platform(&Settings::load(&fixture_path(PLATFORM), None).expect("settings"));
     fixture::assert_examples("names/settings-read.txt", &values.0);
 }
 
 #[test]
-fn settings_that_are_left_out_have_the_same_defaults() {
+fn omitted_settings_have_the_same_defaults() {
     let mut values = Values::default();
     let settings = Settings::load(&fixture_path(REQUIRED), None).expect("settings");
     values.add_platform(&settings);
@@ -189,7 +189,7 @@
 
 /// Each line of the settings without a default is left out in turn.
 #[test]
-fn a_required_setting_that_is_missing_is_named_in_the_same_words() {
+fn a_missing_required_setting_gives_the_same_error() {
     let whole = text(REQUIRED);
     let lines: Vec<&str> = whole.lines().collect();
     let mut said = Vec::new();
@@ -204,7 +204,7 @@
 
 /// Each setting of the platform with a value that cannot be used.
 #[test]
-fn a_setting_of_the_platform_that_cannot_be_used_is_named_in_the_same_words() {
+fn an_invalid_platform_setting_gives_the_same_error() {
     let whole = text(PLATFORM);
     let changes = [
         ("node = \"n0\"", "node = \"\""),
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn each_setting_of_the_operators_is_read_under_its_name() {
+fn every_operators_setting_is_read_under_its_name() {
     let mut values = Values::default();
     values.add_operators(&read_operators(&text(OPERATORS)).expect("settings"));
     fixture::assert_examples("names/operators-read.txt", &values.0);
@@ -267,7 +267,7 @@
 
 /// Each line of the first file is an INI file, with `;` for the ends of its lines.
 #[test]
-fn a_setting_of_the_operators_that_cannot_be_used_is_named_in_the_same_words() {
+fn an_invalid_operators_setting_gives_the_same_error() {
     let said: Vec<Example> = examples("names/operators-unusable.txt")
         .into_iter()
         .map(|(name, ini)| {
--- a/tests/characterization/stored_admission.rs
+++ b/tests/characterization/stored_admission.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_status_keeps_its_key_and_value_and_is_read_back() {
+fn the_admission_status_keeps_its_key_and_format() {
     let statuses = [
         ("refusing", status(Some(12.5), vec![pair("render", Some(300.0)), pair("live", None)], 3)),
         ("not-refusing", status(None, Vec::new(), 0)),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_a_status_may_omit_is_read_as_none() {
+fn omitted_fields_of_an_admission_status_get_their_defaults() {
     let text = r#"{"token":41,"sequence":7,"at":1700000000123,"refused":[{"team":"crew","class":"live","ratio":0.25,
         "demanded":8.5,"admitted":2.125,"refused_for_s":42.0}]}"#;
     let read: AdmissionStatus = serde_json::from_str(text).expect("a status");
--- a/tests/characterization/stored_drains.rs
+++ b/tests/characterization/stored_drains.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn keys_keep_their_names() {
+fn drain_record_keys_keep_their_names() {
     fixture::assert_examples(
         KEYS,
         &[
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn requests_keep_their_form() {
+fn drain_requests_keep_their_format() {
     let everything = MachineFilter {
         zone: Some("a".into()),
         machine_type: Some("g8".into()),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn statuses_keep_their_form() {
+fn drain_statuses_keep_their_format() {
     let asked_for = DrainStatus::requested(17, WallClock::from_millis(1_700_000_000_123));
     let full = DrainStatus {
         phase: DrainPhase::Paused,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn members_keep_their_form() {
+fn drain_member_records_keep_their_format() {
     let part = |spot| MemberRecord {
         pool: InstancePool { machine_type: "g8".into(), zone: "a".into(), spot },
         machines: vec![
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn machines_that_are_being_emptied_keep_their_form() {
+fn machine_drain_records_keep_their_format() {
     let charge =
         |index, task_count| BudgetCharge { job: JobId(412), index, attempt: AttemptNumber(90_071), task_count };
     let drained = MachineDrainRecord {
--- a/tests/characterization/stored_keys.rs
+++ b/tests/characterization/stored_keys.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_leader_wins_and_moves_its_key_as_before() {
+fn election_and_key_relocation_make_the_same_store_calls() {
     let mut candidate = Candidate::new("n0", 7);
     let mut made: Vec<Example> = Vec::new();
     made.push(example("look", candidate.answer(&answer(404, json!({"Ledger": 3})))));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_leader_keys_are_read_back() {
+fn a_follower_reads_both_leader_keys() {
     let moved = fixture::example_of("stored/leader-keys.txt", "move");
     let mut follower = Candidate::new("n1", 8);
     let old = json!({"K": "leader", "V": value_put(&moved, "leader"), "Stamp": 12});
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_controller_says_which_format_it_reads_as_before() {
+fn the_format_announcement_keeps_its_key_and_value() {
     let (mut node, mut events) = (Upgrade::new("n0", std::iter::empty()), Vec::new());
     node.tick(Timestamp::START, true, &mut events);
     let Some(upgrade::UpgradeEvent::Request(id, call)) = events.pop() else { panic!("it announces nothing") };
--- a/tests/characterization/stored_log.rs
+++ b/tests/characterization/stored_log.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn every_fact_keeps_its_form_and_is_read_back() {
+fn every_log_record_keeps_its_format_and_decodes_back() {
     let stored = |fact: &LogRecord| serde_json::to_value(fact).expect("JSON").to_string();
     let made: Vec<Example> = facts().iter().map(|(name, fact)| example(*name, stored(fact))).collect();
     fixture::assert_examples(FACTS, &made);
@@ -127,7 +127,7 @@
 
 /// Facts of a version before the fields that may be missing.
 #[test]
-fn what_a_fact_may_omit_is_read_as_none() {
+fn omitted_fields_of_a_log_record_get_their_defaults() {
     let job = r#"{"j":{"i":1,"l":"live","t":"small","k":true,"r":0,"n":3,"c":{"cpus":2000,"gpus":1000,"memory":5700},
         "m":"img-1","g":1500,"e":30000,"a":1700000000123}}"#;
     assert!(serde_json::from_str::<LogRecord>(job).expect("a fact") == LogRecord::JobAccepted(service()));
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn entries_of_the_log_keep_their_form_and_are_read_back() {
+fn log_entries_keep_their_format_and_are_loaded_back() {
     for (format, file) in [(Format::One, "stored/log.txt"), (Format::Two, "stored/log-2.txt")] {
         let mut keys = Keys::default();
         let mut leader = Leader::new(41, format, &mut keys);
@@ -260,7 +260,7 @@
 
 /// The first snapshot is of the log that the leader wrote itself; the second replaces it, with a fact in parts.
 #[test]
-fn snapshots_keep_their_form_and_are_read_back() {
+fn snapshots_keep_their_format_and_are_loaded_back() {
     let (log, first, second) = ("stored/log-2.txt", "stored/snapshot.txt", "stored/snapshot-in-parts.txt");
     let mut keys = keys_of(&[log]);
     let mut leader = Leader::new(43, Format::Two, &mut keys);
