--- a/tests/characterization/command_line.rs
+++ b/tests/characterization/command_line.rs
@@ -1,4 +1,4 @@
-//! The program as operators call it: options, environment variables, what is printed, and exit codes.
+//! The command line of the program: options, environment variables, output and exit codes.
 
 use crate::fixture;
 use serde_json::{Value, json};
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A file for the program, removed with it.
+/// A temporary input file for the program, which is removed when the value is dropped.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -19,7 +19,7 @@
     }
 
     fn path(&self) -> &str {
-        self.0.to_str().expect("text")
+        self.0.to_str().expect("a UTF-8 path")
     }
 }
 
@@ -29,17 +29,17 @@
     }
 }
 
-fn program(arguments: &[&str], variables: &[(&str, &str)]) -> Output {
+fn run_program(arguments: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_caperstile"));
     command.env_remove("CAPERSTILE_OPERATORS").env_remove("LOG_LEVEL");
     command.args(arguments).envs(variables.iter().copied());
-    command.output().expect("it runs")
+    command.output().expect("the program can be started")
 }
 
-/// Exit code and what is printed where.
-fn said(output: &Output) -> String {
-    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
-    let code = output.status.code().expect("a code");
+/// Renders the exit code, standard output and standard error of a run as the fixtures hold them.
+fn transcript(output: &Output) -> String {
+    let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("UTF-8 output");
+    let code = output.status.code().expect("an exit code");
     format!("exit code: {code}\n--- output\n{}--- errors\n{}", text(&output.stdout), text(&output.stderr))
 }
 
@@ -58,12 +58,12 @@
         "admission --help",
         "admission status --help",
     ];
-    let mut made = String::new();
+    let mut actual = String::new();
     for command in commands {
         let arguments: Vec<&str> = command.split_whitespace().collect();
-        made += &format!("=== caperstile {command}\n{}", said(&program(&arguments, &[])));
+        actual += &format!("=== caperstile {command}\n{}", transcript(&run_program(&arguments, &[])));
     }
-    fixture::assert_text("names/help.txt", &made);
+    fixture::assert_text("names/help.txt", &actual);
 }
 
 #[test]
@@ -87,15 +87,16 @@
         "--config missing.toml",
         "check missing.toml",
     ];
-    let mut made = String::new();
+    let mut actual = String::new();
     for command in commands {
         let arguments: Vec<&str> = command.split_whitespace().collect();
-        made += &format!("=== caperstile {command}\n{}", said(&program(&arguments, &[])));
+        actual += &format!("=== caperstile {command}\n{}", transcript(&run_program(&arguments, &[])));
     }
-    fixture::assert_text("names/arguments.txt", &made);
+    fixture::assert_text("names/arguments.txt", &actual);
 }
 
-/// Settings of a node with free ports, or with these for its users and the state service.
+/// Writes settings of a node with these ports for its HTTP API and the state service; the node picks a free port for
+/// its peers.
 fn settings(api: u16, state: u16) -> Scratch {
     let text = fixture::text("names/settings.toml");
     let ports = text.replace("127.0.0.1:7000", &format!("127.0.0.1:{api}"));
@@ -107,63 +108,65 @@
 fn check_reports_whether_settings_are_valid() {
     let platform = Scratch::new("check.toml", &fixture::text("names/settings.toml"));
     let operators = Scratch::new("check.ini", "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0%\n");
-    let wrong = Scratch::new("check-wrong.ini", "[fleet]\nidle_spt_s = 5\n");
+    let invalid = Scratch::new("check-wrong.ini", "[fleet]\nidle_spt_s = 5\n");
     let commands: [&[&str]; 4] = [
         &["check", platform.path()],
         &["check", platform.path(), "--operators", operators.path()],
-        &["check", platform.path(), "--operators", wrong.path()],
+        &["check", platform.path(), "--operators", invalid.path()],
         &["check", operators.path()],
     ];
-    let mut made = String::new();
+    let mut actual = String::new();
     for command in commands {
-        let said = said(&program(command, &[]));
-        made += &said.replace(platform.path(), "SETTINGS").replace(operators.path(), "OPERATORS");
+        let transcript = transcript(&run_program(command, &[]));
+        actual += &transcript.replace(platform.path(), "SETTINGS").replace(operators.path(), "OPERATORS");
     }
-    fixture::assert_text("names/check.txt", &made);
+    fixture::assert_text("names/check.txt", &actual);
 }
 
-/// The environment names the operators' file and the level of the log; a node whose port is taken ends with 1.
+/// `CAPERSTILE_OPERATORS` names the operators' file and `LOG_LEVEL` the log level. The API port is occupied, so that a
+/// run with valid settings ends with exit code 1 instead of serving.
 #[test]
 fn environment_variables_keep_their_names_and_effects() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let platform = settings(taken.local_addr().expect("an address").port(), 1);
-    let wrong = Scratch::new("environment-wrong.ini", "[fleet]\nidle_spt_s = 5\n");
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let platform = settings(occupied.local_addr().expect("an address").port(), 1);
+    let invalid = Scratch::new("environment-wrong.ini", "[fleet]\nidle_spt_s = 5\n");
     let variables: [&[(&str, &str)]; 6] = [
         &[],
-        &[("CAPERSTILE_OPERATORS", wrong.path())],
+        &[("CAPERSTILE_OPERATORS", invalid.path())],
         &[("LOG_LEVEL", "error")],
         &[("LOG_LEVEL", "info")],
         &[("LOG_LEVEL", "debug")],
         &[("LOG_LEVEL", "loud")],
     ];
-    let mut made = String::new();
+    let mut actual = String::new();
     for variables in variables {
         let names: Vec<String> = variables.iter().map(|(name, value)| format!("{name}={value}")).collect();
-        let names = names.join(" ").replace(wrong.path(), "OPERATORS");
-        made += &format!("=== {names}\n{}", said(&program(&["--config", platform.path()], variables)));
+        let names = names.join(" ").replace(invalid.path(), "OPERATORS");
+        actual += &format!("=== {names}\n{}", transcript(&run_program(&["--config", platform.path()], variables)));
     }
-    fixture::assert_text("names/environment.txt", &made);
+    fixture::assert_text("names/environment.txt", &actual);
 }
 
-/// Answers each request to the state service by its first line; `None`: it hangs up.
-fn state_service(answer: impl Fn(&str) -> Option<(u16, Value)> + Send + 'static) -> u16 {
+/// Starts a fake state service and returns its port. `respond` maps the first line of a request to a response; on
+/// `None` the connection is closed without a response.
+fn state_service(respond: impl Fn(&str) -> Option<(u16, Value)> + Send + 'static) -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = listener.local_addr().expect("an address").port();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.expect("a connection");
-            if let Some((status, body)) = answer(&read_request(&mut stream)) {
+            if let Some((status, body)) = respond(&read_request(&mut stream)) {
                 let body = body.to_string();
                 let head =
                     format!("HTTP/1.1 {status} X\r\nconnection: close\r\ncontent-length: {}\r\n\r\n", body.len());
-                stream.write_all(format!("{head}{body}").as_bytes()).expect("it reads");
+                stream.write_all(format!("{head}{body}").as_bytes()).expect("the program reads the response");
             }
         }
     });
     port
 }
 
-/// The first line of a request, once all of it was read.
+/// Reads a whole request and returns its first line.
 fn read_request(stream: &mut TcpStream) -> String {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -177,14 +180,14 @@
     head.lines().next().expect("a line").to_string()
 }
 
-/// A state service in which a leader has answered one drain.
-fn with_one_drain(line: &str) -> Option<(u16, Value)> {
+/// Responses of a state service that holds the request and the status of one drain, `kernel-5`.
+fn respond_with_one_drain(line: &str) -> Option<(u16, Value)> {
     let request = fixture::example_of("stored/drain-requests.txt", "filter-replace-pause");
     let status = fixture::example_of("stored/drain-statuses.txt", "full");
     let value = |text: &str| -> Value { serde_json::from_str(text).expect("JSON") };
     let key = |name: &str, text: &str| json!({"K": name, "V": value(text), "Stamp": 29});
     let page = |item: Value| json!({"Pairs": [item], "More": false, "Ledger": 30});
-    let answer = match line.split(' ').nth(1).expect("a path") {
+    let response = match line.split(' ').nth(1).expect("a path") {
         "/keys/drain/request/kernel-5" => (200, key("drain/request/kernel-5", &request)),
         "/keys/drain/status/kernel-5" => (200, key("drain/status/kernel-5", &status)),
         "/keys?Under=drain/request/&Limit=1000" => (200, page(key("drain/request/kernel-5", &request))),
@@ -192,24 +195,24 @@
         "/txn" => (409, json!({"failed": ["drain/request/kernel-5"], "Ledger": 30})),
         _ => (404, json!({"Ledger": 30})),
     };
-    Some(answer)
+    Some(response)
 }
 
-/// Runs a command with and without `--json` and notes what it says.
-fn note(made: &mut String, config: &Scratch, command: &str) {
+/// Runs a command without and with `--json` and appends both transcripts.
+fn append_transcripts(actual: &mut String, config: &Scratch, command: &str) {
     for json in [false, true] {
         let mut arguments: Vec<&str> = command.split_whitespace().collect();
         arguments.extend(["--config", config.path()]);
         arguments.extend(json.then_some("--json"));
-        let form = if json { " --json" } else { "" };
-        *made += &format!("=== {command}{form}\n{}", said(&program(&arguments, &[])));
+        let option = if json { " --json" } else { "" };
+        *actual += &format!("=== {command}{option}\n{}", transcript(&run_program(&arguments, &[])));
     }
 }
 
 #[test]
 fn operators_commands_keep_their_output_and_exit_codes() {
-    let mut made = String::new();
-    let config = settings(1, state_service(with_one_drain));
+    let mut actual = String::new();
+    let config = settings(1, state_service(respond_with_one_drain));
     for command in [
         "drain status",
         "drain status kernel-5",
@@ -221,21 +224,21 @@
         "drain start kernel-5 --zone a --type g8 --older-than 7d --count 20 --replace",
         "admission status",
     ] {
-        note(&mut made, &config, command);
+        append_transcripts(&mut actual, &config, command);
     }
-    // Taken by no leader, and an answer that is lost.
+    // A request that is stored but that no leader accepts, then one whose response is lost.
     let config = settings(
         1,
         state_service(|line| Some(if line.contains("/txn") { (200, json!({"Ledger": 31})) } else { (404, json!({})) })),
     );
-    note(&mut made, &config, "drain start kernel-6 --all --wait 0");
+    append_transcripts(&mut actual, &config, "drain start kernel-6 --all --wait 0");
     let config = settings(1, state_service(|line| (!line.contains("/txn")).then(|| (404, json!({})))));
-    note(&mut made, &config, "drain start kernel-6 --all");
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address").port();
-    let config = settings(1, nobody);
-    note(&mut made, &config, "drain status");
-    note(&mut made, &config, "admission status");
+    append_transcripts(&mut actual, &config, "drain start kernel-6 --all");
+    let unused_port = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address").port();
+    let config = settings(1, unused_port);
+    append_transcripts(&mut actual, &config, "drain status");
+    append_transcripts(&mut actual, &config, "admission status");
     let config = settings(1, state_service(|_| Some((503, json!({"error": "trouble"})))));
-    note(&mut made, &config, "drain status");
-    fixture::assert_text("names/operators-commands.txt", &made);
+    append_transcripts(&mut actual, &config, "drain status");
+    fixture::assert_text("names/operators-commands.txt", &actual);
 }
--- a/tests/characterization/frames.rs
+++ b/tests/characterization/frames.rs
@@ -1,4 +1,5 @@
-//! The bytes of frames between controllers. Requests, answers and announcements are pinned by `tests/production_compatibility.rs`.
+//! The encoding of frames between controllers. `tests/production_compatibility.rs` covers the frames for forwarded
+//! requests, their responses and leader announcements.
 
 use crate::fixture::{self, example, example_of, from_hexadecimal, hexadecimal};
 use caperstile::peers::{BODY_LIMIT, Frame, HEADER_BYTES};
@@ -19,37 +20,37 @@
     table
 }
 
-fn report() -> DemandReport {
-    let mut report = DemandReport::default();
-    report.record_refused("crew", "render", 3);
-    report.record_refused("crew", "render", 4);
-    report.record_refused("small", "live", 1);
-    report
+fn demand_report() -> DemandReport {
+    let mut demand_report = DemandReport::default();
+    demand_report.record_refused("crew", "render", 3);
+    demand_report.record_refused("crew", "render", 4);
+    demand_report.record_refused("small", "live", 1);
+    demand_report
 }
 
 fn frames() -> Vec<(&'static str, Frame)> {
     vec![
         ("hello", Frame::hello("n1")),
         ("admission", Frame::AdmissionTable(table().encode().into())),
-        ("refused", Frame::RefusedDemand(report().encode())),
+        ("refused", Frame::RefusedDemand(demand_report().encode())),
     ]
 }
 
 #[test]
 fn admission_messages_keep_their_encoding_and_decode_back() {
-    let open = AdmissionTable::admit_all(TableNumber { token: FencingToken(42), sequence: 1 }, 6);
+    let admit_all_table = AdmissionTable::admit_all(TableNumber { token: FencingToken(42), sequence: 1 }, 6);
     fixture::assert_examples(
         ADMISSION,
         &[
             example("table", hexadecimal(&table().encode())),
-            example("open-table", hexadecimal(&open.encode())),
-            example("report", hexadecimal(&report().encode())),
+            example("open-table", hexadecimal(&admit_all_table.encode())),
+            example("report", hexadecimal(&demand_report().encode())),
         ],
     );
     let bytes = |name| from_hexadecimal(&example_of(ADMISSION, name));
     assert_eq!(AdmissionTable::decode(&bytes("table")), Ok(table()));
-    assert_eq!(AdmissionTable::decode(&bytes("open-table")), Ok(open));
-    assert_eq!(DemandReport::decode(&bytes("report")), Ok(report()));
+    assert_eq!(AdmissionTable::decode(&bytes("open-table")), Ok(admit_all_table));
+    assert_eq!(DemandReport::decode(&bytes("report")), Ok(demand_report()));
 }
 
 #[test]
--- a/tests/characterization/main.rs
+++ b/tests/characterization/main.rs
@@ -1,9 +1,11 @@
-//! Characterization tests: the bytes and names that others depend on, exactly as they were made before a large renaming.
+//! Characterization tests: compare stored data, messages and operator-facing texts with fixtures, byte for byte.
 //!
-//! What is stored, what goes over the wire and what operators type and read must not change when types and fields get other names.
-//! Each module pins one of these by examples in `tests/fixtures/`. Not pinned twice: stored data of whole runs and the frames of
-//! users' requests, their answers and a leader's announcement (`tests/production_compatibility.rs`), and when a command is refused in a running
-//! service (`tests/drain_processes.rs`).
+//! Renaming a type or a field must not change what the state service stores, what is sent over the wire, or what
+//! operators type and read. Each module covers one of these formats with examples in `tests/fixtures/`.
+//!
+//! Other tests cover the stored data of whole runs, the frames for forwarded user requests, their responses and leader
+//! announcements (`tests/production_compatibility.rs`), and the conditions under which a running service rejects an
+//! operator's command (`tests/drain_processes.rs`).
 
 mod command_line;
 #[path = "../support/fixture.rs"]
--- a/tests/characterization/messages.rs
+++ b/tests/characterization/messages.rs
@@ -1,4 +1,5 @@
-//! Every message of PROTOCOL, in both directions: as it is written, and as it is read again with and without optional fields.
+//! The JSON messages of the protocol, in both directions: how each is encoded, and how it is decoded with and without
+//! optional fields.
 
 use crate::fixture::{self, Example, example, examples};
 use caperstile::jobs::{SubmissionError, parse_submission};
@@ -12,46 +13,46 @@
 use serde::de::DeserializeOwned;
 use serde_json::json;
 
-fn write(message: &impl Serialize) -> String {
+fn encode(message: &impl Serialize) -> String {
     serde_json::to_string(message).expect("JSON")
 }
 
-/// Reads a message and writes it again.
-fn rewritten<T: Serialize + DeserializeOwned>(text: &str) -> String {
-    write(&serde_json::from_str::<T>(text).unwrap_or_else(|error| panic!("{text}: {error}")))
+/// Decodes a message of type `T` and encodes it again.
+fn reencoded<T: Serialize + DeserializeOwned>(text: &str) -> String {
+    encode(&serde_json::from_str::<T>(text).unwrap_or_else(|error| panic!("{text}: {error}")))
 }
 
-/// Reads a message of this name and writes it again.
-fn rewritten_as(name: &str, text: &str) -> String {
+/// Decodes a message of the type that the example's name gives before the colon, and encodes it again.
+fn reencoded_as(name: &str, text: &str) -> String {
     match name.split(':').next() {
-        Some("report") => rewritten::<Heartbeat>(text),
-        Some("report-answer") => rewritten::<HeartbeatResponse>(text),
-        Some("commands") => rewritten::<CommandBatch>(text),
-        Some("flavors") => rewritten::<MachineTypes>(text),
-        Some("rent") => rewritten::<ScaleOutRequest>(text),
-        Some("machine-names") => rewritten::<MachineNames>(text),
-        Some("machine-list") => rewritten::<MachinePage>(text),
-        Some("key") => rewritten::<KeyValue>(text),
-        Some("key-page") => rewritten::<KeyPage>(text),
-        Some("transaction") => rewritten::<CompareAndSwap>(text),
-        Some("transaction-answer") => rewritten::<CompareAndSwapResponse>(text),
-        Some("lease") => rewritten::<GrantLeaseRequest>(text),
-        Some("lease-answer") => rewritten::<GrantLeaseResponse>(text),
-        _ => panic!("no message is called {name}"),
+        Some("report") => reencoded::<Heartbeat>(text),
+        Some("report-answer") => reencoded::<HeartbeatResponse>(text),
+        Some("commands") => reencoded::<CommandBatch>(text),
+        Some("flavors") => reencoded::<MachineTypes>(text),
+        Some("rent") => reencoded::<ScaleOutRequest>(text),
+        Some("machine-names") => reencoded::<MachineNames>(text),
+        Some("machine-list") => reencoded::<MachinePage>(text),
+        Some("key") => reencoded::<KeyValue>(text),
+        Some("key-page") => reencoded::<KeyPage>(text),
+        Some("transaction") => reencoded::<CompareAndSwap>(text),
+        Some("transaction-answer") => reencoded::<CompareAndSwapResponse>(text),
+        Some("lease") => reencoded::<GrantLeaseRequest>(text),
+        Some("lease-answer") => reencoded::<GrantLeaseResponse>(text),
+        _ => panic!("no message type for the example {name}"),
     }
 }
 
-fn task(index: u32, state: TaskState, cause: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
+fn task(index: u32, state: TaskState, reason: Option<ExitReason>, saved: Option<bool>) -> TaskStatus {
     TaskStatus {
         task: Some(TaskId { job: JobId(412), index }),
         attempt: 2,
         state,
-        exit_reason: cause,
+        exit_reason: reason,
         checkpoint_saved: saved,
     }
 }
 
-fn report() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     use TaskState::{AwaitingGang, Checkpointing, Exited, Fetching, Running};
     let states = [Fetching, AwaitingGang, Running, Checkpointing, TaskState::Other];
     let mut tasks: Vec<TaskStatus> = (0..).zip(states).map(|(n, state)| task(n, state, None, None)).collect();
@@ -80,7 +81,7 @@
     }
 }
 
-fn orders() -> Vec<WorkerCommand> {
+fn worker_commands() -> Vec<WorkerCommand> {
     vec![
         WorkerCommand::Start { task: "job-000412/4".into(), attempt: 2 },
         WorkerCommand::Stop { task: "job-000377/1".into(), attempt: 1, grace_s: 10.0 },
@@ -90,22 +91,22 @@
 
 #[test]
 fn worker_messages_keep_their_format() {
-    let silent = Heartbeat { reclaim_in_s: None, tasks: None, ..report() };
+    let without_tasks = Heartbeat { reclaim_in_s: None, tasks: None, ..heartbeat() };
     assert_messages(
         "wire/workers.txt",
         &[
-            example("report:full", write(&report())),
-            example("report:without-tasks", write(&silent)),
-            example("report-answer", write(&HeartbeatResponse { fencing_token: 41, commands: orders() })),
-            example("report-answer:empty", write(&HeartbeatResponse { fencing_token: 41, commands: Vec::new() })),
-            example("commands", write(&CommandBatch { fencing_token: 41, epoch: 3, commands: orders() })),
+            example("report:full", encode(&heartbeat())),
+            example("report:without-tasks", encode(&without_tasks)),
+            example("report-answer", encode(&HeartbeatResponse { fencing_token: 41, commands: worker_commands() })),
+            example("report-answer:empty", encode(&HeartbeatResponse { fencing_token: 41, commands: Vec::new() })),
+            example("commands", encode(&CommandBatch { fencing_token: 41, epoch: 3, commands: worker_commands() })),
         ],
     );
 }
 
 #[test]
 fn cloud_messages_keep_their_format() {
-    let flavor = MachineType {
+    let machine_type_entry = MachineType {
         name: "g8".into(),
         cpus: 96.0,
         gpus: 8.0,
@@ -117,7 +118,7 @@
         boot_s: 45.0,
         zones: vec!["a".into(), "b".into()],
     };
-    let rent = ScaleOutRequest {
+    let scale_out = ScaleOutRequest {
         request_name: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -137,10 +138,10 @@
     assert_messages(
         "wire/cloud.txt",
         &[
-            example("flavors", write(&MachineTypes { machine_types: vec![flavor] })),
-            example("rent", write(&rent)),
-            example("machine-names", write(&MachineNames { machines })),
-            example("machine-list", write(&MachinePage { machines: vec![listed], more: true })),
+            example("flavors", encode(&MachineTypes { machine_types: vec![machine_type_entry] })),
+            example("rent", encode(&scale_out)),
+            example("machine-names", encode(&MachineNames { machines })),
+            example("machine-list", encode(&MachinePage { machines: vec![listed], more: true })),
         ],
     );
 }
@@ -160,47 +161,49 @@
     assert_messages(
         "wire/state.txt",
         &[
-            example("key:with-lease", write(&key(Some(7)))),
-            example("key", write(&key(None))),
-            example("key-page", write(&KeyPage { items: vec![key(Some(7)), key(None)], more: true })),
-            example("transaction", write(&transaction)),
+            example("key:with-lease", encode(&key(Some(7)))),
+            example("key", encode(&key(None))),
+            example("key-page", encode(&KeyPage { items: vec![key(Some(7)), key(None)], more: true })),
+            example("transaction", encode(&transaction)),
             example(
                 "transaction-answer:done",
-                write(&CompareAndSwapResponse { revision: 432, failed_keys: Vec::new() }),
+                encode(&CompareAndSwapResponse { revision: 432, failed_keys: Vec::new() }),
             ),
-            example("transaction-answer:failed", write(&failed)),
-            example("lease", write(&GrantLeaseRequest { ttl_ms: 5000 })),
-            example("lease-answer", write(&GrantLeaseResponse { lease: 7 })),
+            example("transaction-answer:failed", encode(&failed)),
+            example("lease", encode(&GrantLeaseRequest { ttl_ms: 5000 })),
+            example("lease-answer", encode(&GrantLeaseResponse { lease: 7 })),
         ],
     );
 }
 
-/// Asserts that these messages are written as the file says, and that what it says is read back with nothing lost.
+/// Asserts that the file holds exactly these encoded messages, and that each example is unchanged by decoding and
+/// encoding it again.
 fn assert_messages(file: &str, messages: &[Example]) {
     fixture::assert_examples(file, messages);
     for (name, text) in examples(file) {
-        assert_eq!(rewritten_as(&name, &text), text, "{name}");
+        assert_eq!(reencoded_as(&name, &text), text, "{name}");
     }
 }
 
-/// What others may send: each line of the first file, with fields left out, null or unknown, is read as the line of the second.
+/// Other programs may omit optional fields, set them to null or add unknown ones. Each example of `received.txt` is
+/// decoded and encoded again, which gives the line of `received-as.txt`.
 #[test]
 fn missing_null_and_unknown_fields_are_decoded_as_before() {
-    let read: Vec<Example> = examples("wire/received.txt")
+    let decoded: Vec<Example> = examples("wire/received.txt")
         .into_iter()
-        .map(|(name, text)| example(name.clone(), rewritten_as(&name, &text)))
+        .map(|(name, text)| example(name.clone(), reencoded_as(&name, &text)))
         .collect();
-    fixture::assert_examples("wire/received-as.txt", &read);
+    fixture::assert_examples("wire/received-as.txt", &decoded);
 }
 
-/// What admission reads of a submission without parsing all of it.
+/// Admission control decodes only the head of a submission. Its fields have the same values as those of the whole body.
 #[test]
 fn submission_heads_have_the_fields_of_the_whole_body() {
     for (name, text) in examples("wire/submissions.txt") {
         let head: SubmissionHead = serde_json::from_str(&text).expect("the head of a submission");
         let all: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-        let read = json!([head.job, head.class, head.team, head.tasks]);
-        assert_eq!(read, json!([all["Ref"], all["Lane"], all["Crew"], all["Pieces"]]), "{name}");
+        let decoded = json!([head.job, head.class, head.team, head.tasks]);
+        assert_eq!(decoded, json!([all["Ref"], all["Lane"], all["Crew"], all["Pieces"]]), "{name}");
     }
 }
 
@@ -217,7 +220,7 @@
     fixture::assert_examples("wire/submissions-as-jobs.txt", &parsed);
 }
 
-/// The field at fault and what is wrong with it.
+/// Each malformed submission gives the name of the invalid field and the problem with it.
 #[test]
 fn malformed_submissions_give_the_same_errors() {
     let refused: Vec<Example> = examples("wire/malformed.txt")
--- a/tests/characterization/responses.rs
+++ b/tests/characterization/responses.rs
@@ -1,4 +1,4 @@
-//! What controllers answer to users, workers and the load balancer: status, `Retry-After` and body.
+//! Responses of controllers to users, workers and the load balancer: status code, `Retry-After` and body.
 
 use crate::fixture::{self, Example, example, example_of, examples};
 use caperstile::api::{ApiResponse, UserRequest};
@@ -13,7 +13,8 @@
 
 const SUBMISSIONS: &str = "wire/submissions.txt";
 
-/// Settings whose values hold a job only if its names are not very long.
+/// Settings of a two-node deployment. `value_kb` is so small that a job with very long names exceeds the value size
+/// limit.
 const SETTINGS: &str = r#"
     node = "n0"
     api_addr = "127.0.0.1:1"
@@ -49,7 +50,8 @@
     fd_limit = 900
 "#;
 
-/// What an earlier leader left: a machine with a task of a job that is open, one that is returned, and jobs that are over.
+/// Log records of an earlier leader: machine 231 is registered, machine 7 was registered and is gone, job 1 is open
+/// (heartbeats of machine 231 report a running task of it), job 2 is finished and job 3 is cancelled.
 const LOG: &str = r#"[
     {"m": {"i": 231, "e": "10.1.0.232:9000", "k": "g8", "z": "a", "s": true, "a": 0}},
     {"m": {"i": 7, "e": "10.1.0.8:9000", "k": "g8", "z": "a", "s": true, "a": 0}},
@@ -59,14 +61,14 @@
     {"f": [[[2, 16]], [3]]}
 ]"#;
 
-/// A controller, and the services that it asks.
+/// A controller with a simulated clock, a fake state service and a fake cloud.
 struct Node {
     controller: Controller,
     now: Timestamp,
     requests: u64,
-    answers: Vec<(RequestOrigin, ApiResponse)>,
-    state_answers: bool,
-    cloud_answers: bool,
+    responses: Vec<(RequestOrigin, ApiResponse)>,
+    state_service_responds: bool,
+    cloud_responds: bool,
     forwarded: usize,
 }
 
@@ -77,137 +79,140 @@
             controller: Controller::new(settings, 7),
             now: Timestamp::START,
             requests: 0,
-            answers: Vec::new(),
-            state_answers: true,
-            cloud_answers: true,
+            responses: Vec::new(),
+            state_service_responds: true,
+            cloud_responds: true,
             forwarded: 0,
         }
     }
 
-    /// A leader that has read the log and knows machine types.
-    fn leading(settings: &str) -> Node {
+    /// Returns a leader that has loaded the log and received the machine types.
+    fn loaded_leader(settings: &str) -> Node {
         let mut node = Node::new(settings);
-        node.until(|node| node.controller.leader().is_some_and(|term| term.is_loaded()));
-        node.pass(1000);
+        node.run_until(|node| node.controller.leader().is_some_and(|term| term.is_loaded()));
+        node.advance(1000);
         node
     }
 
-    /// A controller without the state service that has been told of a leader and has a link to it.
-    fn following() -> Node {
+    /// Returns a follower that has received a leader announcement and is connected to that leader. Its state service
+    /// does not respond, so it cannot be elected itself.
+    fn follower() -> Node {
         let mut node = Node::new(SETTINGS);
-        node.state_answers = false;
+        node.state_service_responds = false;
         node.feed(Input::PeerLinkChanged("n1".into(), true));
         node.feed(Input::LeaderAnnounced("n1".into(), FencingToken(41)));
         node
     }
 
-    /// Feeds an input and, at once, the answers to all that the node asks for.
+    /// Feeds an input to the controller, then the responses to all requests that it makes in turn, without advancing
+    /// the clock.
     fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for effect in self.controller.handle(self.now, WallClock::from_millis(1_700_000_000_123), input) {
-                inputs.extend(self.carry_out(effect));
+                inputs.extend(self.execute(effect));
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+    fn execute(&mut self, effect: Effect) -> Option<Input> {
         match effect {
-            Effect::Respond(origin, answer) => self.answers.push((origin, answer)),
+            Effect::Respond(origin, response) => self.responses.push((origin, response)),
             Effect::Forward(..) => self.forwarded += 1,
-            Effect::CallStore(slot, id, call) if self.state_answers => {
-                return Some(Input::StoreResponse(slot, id, stored(&call)));
+            Effect::CallStore(slot, id, request) if self.state_service_responds => {
+                return Some(Input::StoreResponse(slot, id, state_service_response(&request)));
             }
-            Effect::CallCloud(token, id, call) if self.cloud_answers => {
-                return Some(Input::CloudResponse(token, id, rented(&call)));
+            Effect::CallCloud(token, id, request) if self.cloud_responds => {
+                return Some(Input::CloudResponse(token, id, cloud_response(&request)));
             }
             _ => {}
         }
         None
     }
 
-    fn pass(&mut self, milliseconds: u64) {
+    fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 50 {
             self.now = self.now + Duration::from_millis(50);
             self.feed(Input::Tick);
         }
     }
 
-    fn until(&mut self, reached: impl Fn(&Node) -> bool) {
+    fn run_until(&mut self, condition: impl Fn(&Node) -> bool) {
         for _ in 0..200 {
-            if reached(self) {
+            if condition(self) {
                 return;
             }
-            self.pass(50);
+            self.advance(50);
         }
-        panic!("it is not reached");
+        panic!("the condition did not hold within 200 steps of 50 ms");
     }
 
-    /// Asks, and lets time pass until the answer is there.
-    fn answer_to(&mut self, input: impl FnOnce(RequestOrigin) -> Input) -> String {
+    /// Sends a request and advances the clock until the response arrives. Returns the response as a line of the
+    /// fixtures.
+    fn response_to(&mut self, input: impl FnOnce(RequestOrigin) -> Input) -> String {
         self.requests += 1;
         let origin = RequestOrigin::Http(self.requests);
         self.feed(input(origin));
-        self.until(|node| node.answers.iter().any(|(to, _)| *to == origin));
-        let (_, answer) = self.answers.iter().find(|(to, _)| *to == origin).expect("an answer");
-        format!("{} retry-after={} {}", answer.status, answer.retry_after, answer.body)
+        self.run_until(|node| node.responses.iter().any(|(to, _)| *to == origin));
+        let (_, response) = self.responses.iter().find(|(to, _)| *to == origin).expect("a response");
+        format!("{} retry-after={} {}", response.status, response.retry_after, response.body)
     }
 
     fn submit(&mut self, body: &Value) -> String {
-        self.answer_to(|origin| Input::User(origin, UserRequest::Submit(body.to_string().into_bytes())))
+        self.response_to(|origin| Input::User(origin, UserRequest::Submit(body.to_string().into_bytes())))
     }
 
     fn get(&mut self, id: &str) -> String {
-        self.answer_to(|origin| Input::User(origin, UserRequest::Get(id.into())))
+        self.response_to(|origin| Input::User(origin, UserRequest::Get(id.into())))
     }
 
     fn cancel(&mut self, id: &str) -> String {
-        self.answer_to(|origin| Input::User(origin, UserRequest::Cancel(id.into())))
+        self.response_to(|origin| Input::User(origin, UserRequest::Cancel(id.into())))
     }
 
-    fn up(&mut self) -> String {
-        self.answer_to(Input::HealthCheck)
+    fn check_health(&mut self) -> String {
+        self.response_to(Input::HealthCheck)
     }
 
-    fn report(&mut self, report: &Value) -> String {
-        let report = serde_json::from_value(report.clone()).expect("a report");
-        self.answer_to(|origin| Input::Heartbeat(origin, Box::new(report)))
+    fn heartbeat(&mut self, heartbeat: &Value) -> String {
+        let heartbeat = serde_json::from_value(heartbeat.clone()).expect("a heartbeat");
+        self.response_to(|origin| Input::Heartbeat(origin, Box::new(heartbeat)))
     }
 }
 
-fn reply(status: u16, body: Value) -> ServiceResponse {
+fn json_response(status: u16, body: Value) -> ServiceResponse {
     ServiceResponse { status, body: body.to_string().into() }
 }
 
-fn stored(call: &StoreRequest) -> ServiceResponse {
-    match call {
-        StoreRequest::Get(_) => reply(404, json!({"Ledger": 3})),
-        StoreRequest::GrantLease(_) => reply(200, json!({"Permit": 4})),
+fn state_service_response(request: &StoreRequest) -> ServiceResponse {
+    match request {
+        StoreRequest::Get(_) => json_response(404, json!({"Ledger": 3})),
+        StoreRequest::GrantLease(_) => json_response(200, json!({"Permit": 4})),
         StoreRequest::Scan { prefix, .. } if prefix == "log/" => {
-            let entry: Value = serde_json::from_str(LOG).expect("facts");
-            reply(
+            let entry: Value = serde_json::from_str(LOG).expect("log records");
+            json_response(
                 200,
                 json!({"Pairs": [{"K": "log/000000000001", "V": entry, "Stamp": 5}], "More": false, "Ledger": 9}),
             )
         }
-        StoreRequest::Scan { .. } => reply(200, json!({"Pairs": [], "More": false, "Ledger": 9})),
-        _ => reply(200, json!({"Ledger": 9})),
+        StoreRequest::Scan { .. } => json_response(200, json!({"Pairs": [], "More": false, "Ledger": 9})),
+        _ => json_response(200, json!({"Ledger": 9})),
     }
 }
 
-fn rented(call: &CloudRequest) -> ServiceResponse {
-    match call {
+fn cloud_response(request: &CloudRequest) -> ServiceResponse {
+    match request {
         CloudRequest::MachineTypes => {
-            let flavor = json!({"Label": "g8", "Cores": 96, "Cards": 8, "MemoryGb": 768, "LocalGb": 200, "FetchGbPerS": 1.0,
-                "Hourly": 12.0, "MarketPrice": 4.5, "BootS": 45, "Yards": ["a", "b"]});
-            reply(200, json!({"Builds": [flavor]}))
+            let machine_type = json!({"Label": "g8", "Cores": 96, "Cards": 8, "MemoryGb": 768, "LocalGb": 200,
+                "FetchGbPerS": 1.0, "Hourly": 12.0, "MarketPrice": 4.5, "BootS": 45, "Yards": ["a", "b"]});
+            json_response(200, json!({"Builds": [machine_type]}))
         }
-        CloudRequest::ScaleOut(_) => reply(503, json!({"error": "no capacity"})),
-        _ => reply(200, json!({"Hosts": [], "More": false})),
+        CloudRequest::ScaleOut(_) => json_response(503, json!({"error": "no capacity"})),
+        _ => json_response(200, json!({"Hosts": [], "More": false})),
     }
 }
 
-/// The example of PROTOCOL with these fields changed.
+/// Returns the protocol's example of a submission with these fields changed.
 fn submission(changes: &[(&str, Value)]) -> Value {
     let mut body: Value = serde_json::from_str(&example_of(SUBMISSIONS, "protocol")).expect("a submission");
     for (field, value) in changes {
@@ -216,8 +221,8 @@
     body
 }
 
-/// A report of a machine, with these fields changed.
-fn report(changes: &[(&str, Value)]) -> Value {
+/// Returns the heartbeat of machine 231 with these fields changed.
+fn heartbeat(changes: &[(&str, Value)]) -> Value {
     let mut body = json!({"Host": "m-000231", "Endpoint": "10.1.0.232:9000", "Build": "g8", "Yard": "a", "Loaners": true,
         "Shift": 1, "Tally": 88, "Baton": 9, "Pieces": [{"Piece": "job-000001/0", "Try": 5, "Status": "running"}]});
     for (field, value) in changes {
@@ -228,9 +233,9 @@
 
 #[test]
 fn leader_responses_to_users_match_the_fixture() {
-    let mut node = Node::leading(SETTINGS);
-    let new_id = |id: &str| ("Ref", json!(id));
-    let answers = [
+    let mut node = Node::loaded_leader(SETTINGS);
+    let job_id = |id: &str| ("Ref", json!(id));
+    let responses = [
         example("submit", node.submit(&submission(&[]))),
         example("submit:again", node.submit(&submission(&[]))),
         example("submit:again-but-malformed", node.submit(&json!({"Ref": "job-000412"}))),
@@ -245,96 +250,96 @@
         example("cancel:unknown", node.cancel("job-999999")),
         example("cancel:no-id", node.cancel("x")),
         example("cancel:earlier-leader's", node.cancel("job-000001")),
-        example("submit:malformed", node.submit(&submission(&[new_id("job-000413"), ("Pieces", json!(0))]))),
+        example("submit:malformed", node.submit(&submission(&[job_id("job-000413"), ("Pieces", json!(0))]))),
         example("submit:not-an-object", node.submit(&json!([1]))),
         example(
             "submit:long-names",
             node.submit(&submission(&[
-                new_id("job-000413"),
+                job_id("job-000413"),
                 ("Lane", json!("x".repeat(200))),
                 ("Reel", json!("x".repeat(200))),
             ])),
         ),
-        example("submit:unknown-team", node.submit(&submission(&[new_id("job-000413"), ("Crew", json!("nobody"))]))),
-        example("submit:cpus-over-limit", node.submit(&submission(&[new_id("job-000413"), ("Crew", json!("small"))]))),
+        example("submit:unknown-team", node.submit(&submission(&[job_id("job-000413"), ("Crew", json!("nobody"))]))),
+        example("submit:cpus-over-limit", node.submit(&submission(&[job_id("job-000413"), ("Crew", json!("small"))]))),
         example(
             "submit:gpus-over-limit",
             node.submit(&submission(&[
-                new_id("job-000413"),
+                job_id("job-000413"),
                 ("Crew", json!("small")),
                 ("Cores", json!(1.0)),
                 ("Cards", json!(2.0)),
             ])),
         ),
-        example("submit:too-large", node.submit(&submission(&[new_id("job-000413"), ("MemoryGb", json!(769.0))]))),
-        example("submit:gang", node.submit(&submission(&[new_id("job-000413"), ("Shape", json!("group"))]))),
+        example("submit:too-large", node.submit(&submission(&[job_id("job-000413"), ("MemoryGb", json!(769.0))]))),
+        example("submit:gang", node.submit(&submission(&[job_id("job-000413"), ("Shape", json!("group"))]))),
     ];
-    fixture::assert_examples("wire/answers-to-users.txt", &answers);
+    fixture::assert_examples("wire/answers-to-users.txt", &responses);
 }
 
 #[test]
 fn leader_responses_to_heartbeats_match_the_fixture() {
-    let mut node = Node::leading(SETTINGS);
-    let first = node.report(&report(&[]));
-    node.pass(500);
-    let answers = [
+    let mut node = Node::loaded_leader(SETTINGS);
+    let first = node.heartbeat(&heartbeat(&[]));
+    node.advance(500);
+    let responses = [
         example("report", first),
         example("get:running", node.get("job-000001")),
-        example("report:late", node.report(&report(&[("Tally", json!(87))]))),
+        example("report:late", node.heartbeat(&heartbeat(&[("Tally", json!(87))]))),
         example(
             "report:exited",
-            node.report(&report(&[
+            node.heartbeat(&heartbeat(&[
                 ("Tally", json!(89)),
                 ("Pieces", json!([{"Piece": "job-000001/0", "Try": 5, "Status": "exited", "Cause": "done"}])),
             ])),
         ),
         example("report:of-a-cancelled-job", {
             let tasks = json!([{"Piece": "job-000003/0", "Try": 5, "Status": "running"}]);
-            node.report(&report(&[("Host", json!("m-000232")), ("Baton", json!(0)), ("Pieces", tasks)]))
+            node.heartbeat(&heartbeat(&[("Host", json!("m-000232")), ("Baton", json!(0)), ("Pieces", tasks)]))
         }),
-        example("report:no-name", node.report(&report(&[("Host", json!("x"))]))),
-        example("report:returned", node.report(&report(&[("Host", json!("m-000007"))]))),
-        example("report:higher-token", node.report(&report(&[("Tally", json!(99)), ("Baton", json!(99))]))),
+        example("report:no-name", node.heartbeat(&heartbeat(&[("Host", json!("x"))]))),
+        example("report:returned", node.heartbeat(&heartbeat(&[("Host", json!("m-000007"))]))),
+        example("report:higher-token", node.heartbeat(&heartbeat(&[("Tally", json!(99)), ("Baton", json!(99))]))),
     ];
-    fixture::assert_examples("wire/answers-to-workers.txt", &answers);
+    fixture::assert_examples("wire/answers-to-workers.txt", &responses);
 }
 
 #[test]
 fn responses_of_nodes_that_cannot_serve_match_the_fixture() {
-    let mut answers: Vec<Example> = Vec::new();
+    let mut responses: Vec<Example> = Vec::new();
     let mut starting = Node::new(SETTINGS);
-    starting.state_answers = false;
-    answers.push(example("up:starting", starting.up()));
-    answers.push(example("report:starting", starting.report(&report(&[]))));
-    answers.push(example("submit:starting", starting.submit(&submission(&[]))));
+    starting.state_service_responds = false;
+    responses.push(example("up:starting", starting.check_health()));
+    responses.push(example("report:starting", starting.heartbeat(&heartbeat(&[]))));
+    responses.push(example("submit:starting", starting.submit(&submission(&[]))));
 
     let mut loading = Node::new(SETTINGS);
-    loading.until(|node| node.controller.leader().is_some());
-    answers.push(example("up:leading", loading.up()));
+    loading.run_until(|node| node.controller.leader().is_some());
+    responses.push(example("up:leading", loading.check_health()));
 
     let mut without_types = Node::new(SETTINGS);
-    without_types.cloud_answers = false;
-    without_types.until(|node| node.controller.leader().is_some_and(|term| term.is_loaded()));
-    answers.push(example("submit:types-not-known", without_types.submit(&submission(&[]))));
+    without_types.cloud_responds = false;
+    without_types.run_until(|node| node.controller.leader().is_some_and(|term| term.is_loaded()));
+    responses.push(example("submit:types-not-known", without_types.submit(&submission(&[]))));
 
-    let mut full = Node::leading(&SETTINGS.replace("memory_mb = 56.0", "memory_mb = 0.02"));
-    answers.push(example("submit:too-many-open", full.submit(&submission(&[]))));
+    let mut at_job_limit = Node::loaded_leader(&SETTINGS.replace("memory_mb = 56.0", "memory_mb = 0.02"));
+    responses.push(example("submit:too-many-open", at_job_limit.submit(&submission(&[]))));
 
-    let mut cut_off = Node::leading(SETTINGS);
-    cut_off.state_answers = false;
-    answers.push(example("submit:no-state-service", cut_off.submit(&submission(&[]))));
-    answers.push(example("get:in-doubt", cut_off.get("job-000001")));
-    answers.push(example("cancel:in-doubt", cut_off.cancel("job-000001")));
-    answers.push(example("get:done-in-doubt", cut_off.get("job-000002")));
-    fixture::assert_examples("wire/answers-of-others.txt", &answers);
+    let mut disconnected = Node::loaded_leader(SETTINGS);
+    disconnected.state_service_responds = false;
+    responses.push(example("submit:no-state-service", disconnected.submit(&submission(&[]))));
+    responses.push(example("get:in-doubt", disconnected.get("job-000001")));
+    responses.push(example("cancel:in-doubt", disconnected.cancel("job-000001")));
+    responses.push(example("get:done-in-doubt", disconnected.get("job-000002")));
+    fixture::assert_examples("wire/answers-of-others.txt", &responses);
 }
 
 #[test]
 fn follower_responses_match_the_fixture() {
-    let mut node = Node::following();
-    let mut answers = vec![
-        example("up", node.up()),
-        example("report", node.report(&report(&[]))),
+    let mut node = Node::follower();
+    let mut responses = vec![
+        example("up", node.check_health()),
+        example("report", node.heartbeat(&heartbeat(&[]))),
         example("submit:leader-silent", node.submit(&submission(&[]))),
     ];
     assert_eq!(node.forwarded, 1);
@@ -344,9 +349,9 @@
     node.feed(Input::AdmissionTableReceived(Box::new(table)));
     for id in [413, 414, 415] {
         let refused = node.submit(&submission(&[("Ref", json!(JobId(id).to_string()))]));
-        answers.push(example(format!("submit:refused-{id}"), refused));
+        responses.push(example(format!("submit:refused-{id}"), refused));
     }
-    assert_eq!(node.forwarded, 1, "what is refused is not forwarded");
-    fixture::assert_examples("wire/answers-of-followers.txt", &answers);
-    assert!(examples("wire/answers-of-followers.txt").iter().any(|(_, answer)| answer.starts_with("429 ")));
+    assert_eq!(node.forwarded, 1, "refused submissions are not forwarded to the leader");
+    fixture::assert_examples("wire/answers-of-followers.txt", &responses);
+    assert!(examples("wire/answers-of-followers.txt").iter().any(|(_, response)| response.starts_with("429 ")));
 }
--- a/tests/characterization/settings.rs
+++ b/tests/characterization/settings.rs
@@ -1,4 +1,4 @@
-//! The names of all settings, the values that are read under them, and what is said of those that cannot be used.
+//! The names of all settings, the values that are read under them, and the errors for missing and invalid settings.
 
 use crate::fixture::{self, Example, example, examples, text};
 use caperstile::settings::{
@@ -19,8 +19,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file)
 }
 
-/// Names and values. Structures are taken apart in full, so that a new setting does not compile before it is added here and in the
-/// fixtures.
+/// Names and values of settings, as the fixtures list them. Each structure is destructured in full, so that a new
+/// setting is a compile error until it is added here and in the fixtures.
 #[derive(Default)]
 struct Values(Vec<Example>);
 
@@ -187,25 +187,25 @@
     fixture::assert_examples("names/settings-defaults.txt", &values.0);
 }
 
-/// Each line of the settings without a default is left out in turn.
+/// Omits each line of the required settings in turn.
 #[test]
 fn a_missing_required_setting_gives_the_same_error() {
-    let whole = text(REQUIRED);
-    let lines: Vec<&str> = whole.lines().collect();
-    let mut said = Vec::new();
+    let settings = text(REQUIRED);
+    let lines: Vec<&str> = settings.lines().collect();
+    let mut errors = Vec::new();
     for (n, line) in lines.iter().enumerate().filter(|(_, line)| line.contains('=')) {
-        let rest: Vec<&str> = [&lines[..n], &lines[n + 1..]].concat();
-        let error = Settings::parse(&rest.join("\n")).expect_err("it is required").to_string();
+        let remaining: Vec<&str> = [&lines[..n], &lines[n + 1..]].concat();
+        let error = Settings::parse(&remaining.join("\n")).expect_err("the setting is required").to_string();
         let last = error.trim().lines().last().expect("a line");
-        said.push(example(line.replace(' ', ""), last));
+        errors.push(example(line.replace(' ', ""), last));
     }
-    fixture::assert_examples("names/settings-missing.txt", &said);
+    fixture::assert_examples("names/settings-missing.txt", &errors);
 }
 
-/// Each setting of the platform with a value that cannot be used.
+/// Replaces each platform setting in turn by an invalid value.
 #[test]
 fn an_invalid_platform_setting_gives_the_same_error() {
-    let whole = text(PLATFORM);
+    let settings = text(PLATFORM);
     let changes = [
         ("node = \"n0\"", "node = \"\""),
         ("node = \"n1\"", "node = \"n0\""),
@@ -232,24 +232,25 @@
         ("gpus_max = 105.5", "gpus_max = -1.0"),
         ("[[deployment.objectives]]", "[[deployment.teams]]\nname = \"crew\"\n[[deployment.objectives]]"),
     ];
-    let said: Vec<Example> = changes
+    let errors: Vec<Example> = changes
         .iter()
-        .map(|(good, bad)| {
-            assert_eq!(whole.matches(good).count(), 1, "{good}");
-            let error = Settings::parse(&whole.replace(good, bad)).expect_err("it cannot be used").to_string();
-            example(bad.trim().replace([' ', '\n'], ""), error)
+        .map(|(valid, invalid)| {
+            assert_eq!(settings.matches(valid).count(), 1, "{valid}");
+            let error =
+                Settings::parse(&settings.replace(valid, invalid)).expect_err("the value is invalid").to_string();
+            example(invalid.trim().replace([' ', '\n'], ""), error)
         })
         .collect();
-    fixture::assert_examples("names/settings-unusable.txt", &said);
+    fixture::assert_examples("names/settings-unusable.txt", &errors);
 }
 
-/// The settings with a second team, which the operators' file names.
+/// Returns the platform settings with a second team, `small`, to which the operators' file refers.
 fn two_teams() -> Settings {
     let with_small = format!("{}\n[[deployment.teams]]\nname = \"small\"\n", text(PLATFORM));
     Settings::parse(&with_small).expect("settings")
 }
 
-/// Reads the operators' file as a node does at its start.
+/// Parses the operators' file in the order in which a node does at its start.
 fn read_operators(ini: &str) -> Result<Settings, String> {
     let settings = two_teams();
     let tuning = Tuning::parse(ini).map_err(|error| error.to_string())?;
@@ -265,15 +266,15 @@
     fixture::assert_examples("names/operators-read.txt", &values.0);
 }
 
-/// Each line of the first file is an INI file, with `;` for the ends of its lines.
+/// Each example of `operators-unusable.txt` is an INI file in which `;` stands for a line break.
 #[test]
 fn an_invalid_operators_setting_gives_the_same_error() {
-    let said: Vec<Example> = examples("names/operators-unusable.txt")
+    let errors: Vec<Example> = examples("names/operators-unusable.txt")
         .into_iter()
         .map(|(name, ini)| {
             let error = read_operators(&ini.replace(';', "\n")).err();
             example(name, error.unwrap_or_else(|| "taken".into()))
         })
         .collect();
-    fixture::assert_examples("names/operators-unusable-said.txt", &said);
+    fixture::assert_examples("names/operators-unusable-said.txt", &errors);
 }
--- a/tests/characterization/stored_admission.rs
+++ b/tests/characterization/stored_admission.rs
@@ -1,4 +1,5 @@
-//! What operators can read of admission, as it is stored. The tables themselves are sent and not stored: see `frames`.
+//! The admission status that a leader stores for operators. Admission tables are sent between controllers and not
+//! stored: see `frames`.
 
 use crate::fixture::{self, example, example_of};
 use caperstile::types::{FencingToken, WallClock};
@@ -35,10 +36,10 @@
         ("refusing", status(Some(12.5), vec![pair("render", Some(300.0)), pair("live", None)], 3)),
         ("not-refusing", status(None, Vec::new(), 0)),
     ];
-    let value = |status| serde_json::to_value(status).expect("JSON").to_string();
-    let mut made = vec![example("key", STATUS_KEY)];
-    made.extend(statuses.iter().map(|(name, status)| example(*name, value(status))));
-    fixture::assert_examples(FILE, &made);
+    let encoded = |status| serde_json::to_value(status).expect("JSON").to_string();
+    let mut actual = vec![example("key", STATUS_KEY)];
+    actual.extend(statuses.iter().map(|(name, status)| example(*name, encoded(status))));
+    fixture::assert_examples(FILE, &actual);
     for (name, status) in statuses {
         let read: AdmissionStatus = serde_json::from_str(&example_of(FILE, name)).expect("a status");
         assert_eq!(read, status, "{name}");
--- a/tests/characterization/stored_drains.rs
+++ b/tests/characterization/stored_drains.rs
@@ -1,4 +1,5 @@
-//! The durable records of drains: their keys, what operators ask for, and what leaders keep.
+//! The durable records of drains: their keys, the requests of operators, and the statuses, members and machine records
+//! of leaders.
 
 use crate::fixture::{self, Example, example, example_of};
 use caperstile::types::{AttemptNumber, Duration, JobId, MachineId, WallClock};
@@ -14,11 +15,12 @@
 
 const KEYS: &str = "stored/drain-keys.txt";
 
-/// Asserts that a file holds these values as they are stored, and that they are read back from it as they were.
+/// Asserts that a fixture file holds exactly these values in their stored form, and that each decodes to the same value
+/// again.
 fn assert_stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
-    let value = |value: &T| serde_json::to_value(value).expect("JSON").to_string();
-    let made: Vec<Example> = values.iter().map(|(name, stored)| example(*name, value(stored))).collect();
-    fixture::assert_examples(file, &made);
+    let encoded = |value: &T| serde_json::to_value(value).expect("JSON").to_string();
+    let actual: Vec<Example> = values.iter().map(|(name, stored)| example(*name, encoded(stored))).collect();
+    fixture::assert_examples(file, &actual);
     for (name, stored) in values {
         let read: T = serde_json::from_str(&example_of(file, name)).expect("a record");
         assert_eq!(read, *stored, "{name}");
@@ -45,7 +47,7 @@
 
 #[test]
 fn drain_requests_keep_their_format() {
-    let everything = MachineFilter {
+    let all_criteria = MachineFilter {
         zone: Some("a".into()),
         machine_type: Some("g8".into()),
         older_than: Some(Duration::from_millis(604_800_000)),
@@ -58,7 +60,7 @@
         "stored/drain-requests.txt",
         &[
             ("machines-remove-run", request(machines, DrainMode::Remove, DesiredState::Run)),
-            ("filter-replace-pause", request(matching(everything), DrainMode::Replace, DesiredState::Pause)),
+            ("filter-replace-pause", request(matching(all_criteria), DrainMode::Replace, DesiredState::Pause)),
             ("all-remove-cancel", request(matching(MachineFilter::default()), DrainMode::Remove, DesiredState::Cancel)),
         ],
     );
@@ -66,7 +68,7 @@
 
 #[test]
 fn drain_statuses_keep_their_format() {
-    let asked_for = DrainStatus::requested(17, WallClock::from_millis(1_700_000_000_123));
+    let requested = DrainStatus::requested(17, WallClock::from_millis(1_700_000_000_123));
     let full = DrainStatus {
         phase: DrainPhase::Paused,
         request_revision: 29,
@@ -79,13 +81,13 @@
         draining: 2,
         wait_reasons: vec!["the budget of team crew is 0".into(), "crew/live".into()],
     };
-    let mut refused = asked_for.clone();
+    let mut refused = requested.clone();
     refused.refuse("no machine matches".into());
-    let of_phase = |phase| DrainStatus { phase, ..asked_for.clone() };
+    let of_phase = |phase| DrainStatus { phase, ..requested.clone() };
     assert_stored(
         "stored/drain-statuses.txt",
         &[
-            ("asked-for", asked_for.clone()),
+            ("asked-for", requested.clone()),
             ("full", full),
             ("refused", refused),
             ("cancelled", of_phase(DrainPhase::Cancelled)),
@@ -96,14 +98,14 @@
 
 #[test]
 fn drain_member_records_keep_their_format() {
-    let part = |spot| MemberRecord {
+    let member_record = |spot| MemberRecord {
         pool: InstancePool { machine_type: "g8".into(), zone: "a".into(), spot },
         machines: vec![
             MemberMachine { id: MachineId(7), provisioned_at: WallClock::from_millis(1_700_000_000_123) },
             MemberMachine { id: MachineId(231), provisioned_at: WallClock::from_millis(0) },
         ],
     };
-    assert_stored("stored/drain-members.txt", &[("spot", part(true)), ("on-demand", part(false))]);
+    assert_stored("stored/drain-members.txt", &[("spot", member_record(true)), ("on-demand", member_record(false))]);
 }
 
 #[test]
--- a/tests/documentation/main.rs
+++ b/tests/documentation/main.rs
@@ -1,15 +1,18 @@
-//! What the pages name exists: tests, items of the sources, recorded days, paths and links.
+//! Checks that the documentation refers only to what exists: tests, items of the sources, recorded days, paths and
+//! links.
 //!
-//! In docs/safety.md each text between backticks is one of these, and nothing else:
+//! In docs/safety.md every code span (text between backticks) must be one of these:
 //!
-//! - a test: its name, with modules before it or without (`gangs::some_test`); `some_test_…` stands for all tests that begin so;
-//! - a type, variant or trace of the tests: a name with a capital letter (`Outage`);
-//! - an item with the module or type that it is in (`scheduling::may_start`, `Leadership::certain`); modules between may be left out;
-//! - a path of the repository, or the name of a file in `days/` without its ending;
-//! - a word that is no name of ours: [`OTHER_WORDS`].
+//! - a test: its name, with or without the modules that contain it (`gangs::some_test`); `some_test_…` stands for all
+//!   tests whose names begin with that prefix;
+//! - a type, a variant or a trace of the tests: a name that begins with a capital letter (`Outage`);
+//! - an item qualified by its module or type (`scheduling::may_start`, `Leadership::certain`); intermediate modules may
+//!   be omitted;
+//! - a path in the repository, or the name of a file in `days/` without its extension;
+//! - one of the words that name nothing in the sources: [`ALLOWED_WORDS`].
 //!
-//! In the other pages, except those of history, names with `::` and names of four words or more (`some_test_of_ours`) are held to the
-//! same. All paths and links are.
+//! In the other pages, except the historical ones, this applies to names with `::` and to names of four words or more
+//! (`some_test_of_ours`). Paths are checked in all pages but the historical ones, relative links in all pages.
 
 mod page;
 mod source_index;
@@ -18,18 +21,18 @@
 use source_index::{SourceIndex, is_type_name};
 use std::path::{Path, PathBuf};
 
-/// Folders whose paths the pages name.
-const FOLDERS: [&str; 9] = [".ci", "benches", "crates", "days", "deploy", "docs", "scripts", "src", "tests"];
+/// Top-level folders of the repository. A word in a page that begins with one of them is checked as a path.
+const REPOSITORY_FOLDERS: [&str; 9] = [".ci", "benches", "crates", "days", "deploy", "docs", "scripts", "src", "tests"];
 
-/// Pages of what was done at a time: what they name need not be there any more.
-const PAGES_OF_HISTORY: [&str; 4] = ["docs/renamed.md", "docs/results.md", "docs/rounds.md", "CHANGELOG.md"];
+/// Pages that record past work. They may refer to tests, items and paths that no longer exist.
+const HISTORICAL_PAGES: [&str; 4] = ["docs/renamed.md", "docs/results.md", "docs/rounds.md", "CHANGELOG.md"];
 
-/// Paths that stand for many.
+/// Paths in the pages that are patterns and not files.
 const PLACEHOLDERS: [&str; 1] = ["days/NAME.toml"];
 
-/// What docs/safety.md sets between backticks without naming anything of the sources.
-const OTHER_WORDS: [&str; 17] = [
-    // PROTOCOL's messages, headers, commands and states.
+/// Code spans of docs/safety.md that name nothing in the sources.
+const ALLOWED_WORDS: [&str; 17] = [
+    // Paths, fields, headers, commands and states of the protocol.
     "/commands",
     "Baton",
     "Retry-After",
@@ -48,7 +51,7 @@
     "leader",
     "leader-2",
     "version/NODE",
-    // The end of names of days.
+    // A suffix of the names of recorded days.
     "-sautimuseo",
 ];
 
@@ -56,11 +59,11 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn read(page: &str) -> String {
+fn read_page(page: &str) -> String {
     std::fs::read_to_string(root().join(page)).unwrap_or_else(|error| panic!("{page}: {error}"))
 }
 
-/// README.md, CHANGELOG.md, days/README.md and all of docs/, relative to the root.
+/// Returns README.md, CHANGELOG.md, days/README.md and all Markdown files below docs/, as paths relative to the root.
 fn pages() -> Vec<String> {
     let mut pages = vec!["README.md".to_owned(), "CHANGELOG.md".to_owned(), "days/README.md".to_owned()];
     let mut folders = vec![PathBuf::from("docs")];
@@ -78,13 +81,13 @@
     pages
 }
 
-fn is_page_of_history(page: &str) -> bool {
-    PAGES_OF_HISTORY.contains(&page) || page.starts_with("docs/incidents/")
+fn is_historical_page(page: &str) -> bool {
+    HISTORICAL_PAGES.contains(&page) || page.starts_with("docs/incidents/")
 }
 
-/// Whether the text of docs/safety.md names something that is there.
+/// Whether a code span of docs/safety.md is an allowed word or names something that exists.
 fn is_known(text: &str, sources: &SourceIndex) -> bool {
-    if OTHER_WORDS.contains(&text) {
+    if ALLOWED_WORDS.contains(&text) {
         return true;
     }
     if let Some(prefix) = text.strip_suffix('…') {
@@ -99,9 +102,11 @@
     sources.has_test(text) || root().join("days").join(text).with_extension("toml").exists()
 }
 
-/// Whether the text is surely meant as a name in the sources: with modules or a type, or as long as only tests' names are.
-fn is_surely_a_name(text: &str) -> bool {
-    let is_identifier = |segment: &str| segment.chars().all(|sign| sign.is_ascii_alphanumeric() || "_…".contains(sign));
+/// Whether a code span can only be a name in the sources: it is qualified by a module or type, or has at least four
+/// words, as only names of tests have.
+fn is_unambiguous_name(text: &str) -> bool {
+    let is_identifier =
+        |segment: &str| segment.chars().all(|character| character.is_ascii_alphanumeric() || "_…".contains(character));
     let is_long = text.split('_').filter(|word| !word.is_empty()).count() >= 4;
     text.split("::").all(is_identifier) && (text.contains("::") || is_long)
 }
@@ -111,13 +116,15 @@
     missing.map(|mention| format!("{page}:{}: there is no {}", mention.line, mention.text)).collect()
 }
 
-fn failing_links(page: &str, text: &str) -> Vec<String> {
+fn broken_links(page: &str, text: &str) -> Vec<String> {
     let folder = root().join(page).parent().expect("a page is in a folder").to_owned();
     failures(page, page::relative_links(text), |target| folder.join(target).exists())
 }
 
-fn failing_paths(page: &str, text: &str) -> Vec<String> {
-    failures(page, page::paths(text, &FOLDERS), |path| PLACEHOLDERS.contains(&path) || root().join(path).exists())
+fn missing_paths(page: &str, text: &str) -> Vec<String> {
+    failures(page, page::paths(text, &REPOSITORY_FOLDERS), |path| {
+        PLACEHOLDERS.contains(&path) || root().join(path).exists()
+    })
 }
 
 #[test]
@@ -125,7 +132,7 @@
     let sources = SourceIndex::of_workspace(root());
     let page = "docs/safety.md";
 
-    let failures = failures(page, page::code_spans(&read(page)), |text| is_known(text, &sources));
+    let failures = failures(page, page::code_spans(&read_page(page)), |text| is_known(text, &sources));
 
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
@@ -133,12 +140,12 @@
 #[test]
 fn every_full_name_in_the_other_pages_exists() {
     let sources = SourceIndex::of_workspace(root());
-    let pages = pages().into_iter().filter(|page| !is_page_of_history(page));
+    let pages = pages().into_iter().filter(|page| !is_historical_page(page));
 
     let failures: Vec<String> = pages
         .flat_map(|page| {
-            let spans = page::code_spans(&read(&page));
-            let names = spans.into_iter().filter(|span| is_surely_a_name(&span.text));
+            let spans = page::code_spans(&read_page(&page));
+            let names = spans.into_iter().filter(|span| is_unambiguous_name(&span.text));
             failures(&page, names.collect(), |name| is_known(name, &sources))
         })
         .collect();
@@ -148,16 +155,16 @@
 
 #[test]
 fn every_repository_path_in_the_pages_exists() {
-    let pages = pages().into_iter().filter(|page| !is_page_of_history(page));
+    let pages = pages().into_iter().filter(|page| !is_historical_page(page));
 
-    let failures: Vec<String> = pages.flat_map(|page| failing_paths(&page, &read(&page))).collect();
+    let failures: Vec<String> = pages.flat_map(|page| missing_paths(&page, &read_page(&page))).collect();
 
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
 fn every_relative_link_in_the_pages_exists() {
-    let failures: Vec<String> = pages().into_iter().flat_map(|page| failing_links(&page, &read(&page))).collect();
+    let failures: Vec<String> = pages().into_iter().flat_map(|page| broken_links(&page, &read_page(&page))).collect();
 
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
@@ -200,8 +207,8 @@
     ];
     let text = text.join("\n");
 
-    assert_eq!(failing_paths("docs/page.md", &text), ["docs/page.md:1: there is no tests/gone.rs"]);
-    assert_eq!(failing_links("docs/page.md", &text), ["docs/page.md:2: there is no gone.md"]);
+    assert_eq!(missing_paths("docs/page.md", &text), ["docs/page.md:1: there is no tests/gone.rs"]);
+    assert_eq!(broken_links("docs/page.md", &text), ["docs/page.md:2: there is no gone.md"]);
 }
 
 #[test]
--- a/tests/documentation/page.rs
+++ b/tests/documentation/page.rs
@@ -1,13 +1,13 @@
-//! The names, paths and links that a page of the documentation tells.
+//! Extracts the code spans, paths and links of a documentation page.
 
-/// Something that a page names, with the number of its line.
+/// A name, path or link target in a page, with its line number, counted from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mention {
     pub line: usize,
     pub text: String,
 }
 
-/// What stands between backticks outside of blocks of code. Such a text may go over the end of a line.
+/// Returns the texts between backticks. A span may continue on the next line, but not across an empty line.
 pub fn code_spans(page: &str) -> Vec<Mention> {
     let mut spans = Vec::new();
     let mut open: Option<Mention> = None;
@@ -33,11 +33,11 @@
     spans
 }
 
-/// Words that are paths of the repository: they begin with one of its `folders`.
+/// Returns the words that are paths in the repository, which are those that begin with one of `folders` and a slash.
 pub fn paths(page: &str, folders: &[&str]) -> Vec<Mention> {
     let mut mentions = Vec::new();
     for (index, line) in page.lines().enumerate() {
-        for word in line.split(|sign: char| !is_part_of_path(sign)) {
+        for word in line.split(|character: char| !is_path_character(character)) {
             let path = word.trim_end_matches(['.', '/']);
             if path.split_once('/').is_some_and(|(first, _)| folders.contains(&first)) {
                 mentions.push(Mention { line: index + 1, text: path.to_owned() });
@@ -47,11 +47,11 @@
     mentions
 }
 
-fn is_part_of_path(sign: char) -> bool {
-    sign.is_alphanumeric() || "/._-*…".contains(sign)
+fn is_path_character(character: char) -> bool {
+    character.is_alphanumeric() || "/._-*…".contains(character)
 }
 
-/// Targets of links within the repository, without what follows `#`.
+/// Returns the targets of relative links, without their fragments (`#...`).
 pub fn relative_links(page: &str) -> Vec<Mention> {
     let mut mentions = Vec::new();
     for (index, line) in page.lines().enumerate() {
--- a/tests/documentation/source_index.rs
+++ b/tests/documentation/source_index.rs
@@ -1,12 +1,13 @@
-//! What the Rust sources of the workspace declare: modules, items with their fields and variants, and tests.
+//! An index of what the Rust sources of the workspace declare: modules, items with their fields and variants, and
+//! tests.
 //!
-//! The sources are read line by line, which is enough because rustfmt lays them out: what a line declares, and where the block around it
-//! begins and ends, is told by its indentation.
+//! The sources are scanned line by line and not parsed. This suffices because rustfmt formats them: the indentation of
+//! a line shows which block encloses it and where that block ends.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Folders of the repository that hold Rust sources, apart from `crates/*`.
+/// Folders of each package (the root package and those in `crates/`) that are searched for Rust sources.
 const SOURCE_FOLDERS: [&str; 2] = ["src", "tests"];
 const ITEM_KEYWORDS: [&str; 9] = ["fn", "struct", "enum", "trait", "mod", "const", "static", "type", "macro_rules!"];
 const QUALIFIERS: [&str; 4] = ["async", "unsafe", "default", "extern"];
@@ -14,7 +15,7 @@
 /// A declaration as the segments of its path, such as `["leadership", "tests", "some_test"]`.
 type ItemPath = Vec<String>;
 
-/// Everything that pages may name.
+/// The items and tests to which documentation pages may refer.
 #[derive(Default)]
 pub struct SourceIndex {
     items: BTreeSet<ItemPath>,
@@ -35,12 +36,14 @@
         index
     }
 
-    /// Whether there is a test of this name; a name with `::` also says in which modules it is.
+    /// Whether a test has this name. In a name with `::`, the part before the last `::` lists modules that contain the
+    /// test.
     pub fn has_test(&self, name: &str) -> bool {
-        has(&self.tests, name)
+        contains_name(&self.tests, name)
     }
 
-    /// Whether there is a test whose name begins so.
+    /// Whether the name of a test begins with this prefix, which may be qualified by modules as in
+    /// [`SourceIndex::has_test`].
     pub fn has_test_with_prefix(&self, prefix: &str) -> bool {
         let (modules, prefix) = prefix.rsplit_once("::").unwrap_or(("", prefix));
         self.tests.iter().any(|test| {
@@ -49,9 +52,10 @@
         })
     }
 
-    /// Whether an item of this name is declared; a name with `::` also says in which modules or types it is.
+    /// Whether an item of this name is declared. In a name with `::`, the part before the last `::` lists modules or
+    /// types that contain the item.
     pub fn has_item(&self, name: &str) -> bool {
-        has(&self.items, name)
+        contains_name(&self.items, name)
     }
 
     fn read_folder(&mut self, folder: &Path, source_root: &Path) {
@@ -65,7 +69,7 @@
         }
     }
 
-    /// Reads what `source`, which is the module `module`, declares.
+    /// Adds the items and tests that `source`, the text of the module `module`, declares.
     pub fn read_source(&mut self, module: &[String], source: &str) {
         let mut blocks: Vec<Block> = Vec::new();
         let mut is_test = false;
@@ -105,20 +109,20 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BlockKind {
-    /// Fields are declared in it.
+    /// The body of a struct, whose lines declare fields.
     Struct,
-    /// Variants are declared in it.
+    /// The body of an enum, whose lines declare variants.
     Enum,
-    /// The list of the macro `traces!`, which makes a test of each file that it names.
+    /// The argument list of the macro `traces!`, which generates a test for each trace file that it lists.
     TraceList,
-    /// Nothing but items with a keyword.
+    /// Any other block: only lines with an item keyword declare something.
     Other,
 }
 
-/// A block that is open at a line.
+/// A block that encloses the current line.
 struct Block {
     kind: BlockKind,
-    /// What it adds to the paths of what is declared in it.
+    /// The path segment that the block adds to its declarations; none if it adds no segment.
     name: Option<String>,
     indentation: usize,
 }
@@ -142,7 +146,7 @@
     }
 }
 
-/// The names that a line declares within the block around it.
+/// Returns the names that a line declares, given the block that encloses it.
 fn declared_names(text: &str, parent: Option<&Block>) -> Vec<String> {
     let declaration = without_qualifiers(text);
     if let Some((keyword, rest)) = declaration.split_once(' ')
@@ -160,7 +164,7 @@
     }
 }
 
-/// The line without `pub`, `pub(...)`, `async` and the like.
+/// Returns the line without its leading `pub`, `pub(...)`, `async` and similar qualifiers.
 fn without_qualifiers(text: &str) -> &str {
     let mut rest = text;
     while let Some((word, after)) = rest.split_once(' ') {
@@ -174,7 +178,7 @@
     rest
 }
 
-/// `Type` of `impl<..> Trait<..> for module::Type<..> {`.
+/// Returns `Type` for `impl<..> Trait<..> for module::Type<..> {`.
 fn implemented_type(declaration: &str) -> Option<String> {
     let head = declaration.trim_start_matches("impl");
     let head = if head.starts_with('<') { after_generics(head) } else { head };
@@ -183,11 +187,11 @@
     identifier(implemented[..path_end].rsplit("::").next()?)
 }
 
-/// What follows the closing bracket of the generics that `text` begins with.
+/// Returns what follows the generics (`<...>`) at the beginning of `text`.
 fn after_generics(text: &str) -> &str {
     let mut depth = 0;
-    for (position, sign) in text.char_indices() {
-        match sign {
+    for (position, character) in text.char_indices() {
+        match character {
             '<' => depth += 1,
             '>' => depth -= 1,
             _ => {}
@@ -199,27 +203,30 @@
     ""
 }
 
-/// The identifier at the beginning of `text`, if there is one.
+/// Returns the identifier at the beginning of `text`, if there is one.
 fn identifier(text: &str) -> Option<String> {
     let text = text.trim_start();
-    let end = text.find(|sign: char| !(sign.is_ascii_alphanumeric() || sign == '_')).unwrap_or(text.len());
+    let end =
+        text.find(|character: char| !(character.is_ascii_alphanumeric() || character == '_')).unwrap_or(text.len());
     let name = &text[..end];
-    (!name.is_empty() && !name.starts_with(|sign: char| sign.is_ascii_digit())).then(|| name.to_owned())
+    (!name.is_empty() && !name.starts_with(|character: char| character.is_ascii_digit())).then(|| name.to_owned())
 }
 
-/// Whether a name is written as those of types and variants are.
+/// Whether a name is in camel case, as names of types and variants are.
 pub fn is_type_name(name: &str) -> bool {
-    name.starts_with(|sign: char| sign.is_ascii_uppercase()) && name.contains(|sign: char| sign.is_ascii_lowercase())
+    name.starts_with(|character: char| character.is_ascii_uppercase())
+        && name.contains(|character: char| character.is_ascii_lowercase())
 }
 
-/// The module that a file is: `leadership::tests` for `src/leadership/tests.rs`, `drains` for `tests/drains.rs`.
+/// Returns the module path of a file: `leadership::tests` for `src/leadership/tests.rs`, `drains` for
+/// `tests/drains.rs`.
 fn module_path(file: &Path, source_root: &Path) -> Vec<String> {
     let relative = file.strip_prefix(source_root).expect("the file is below the source root").with_extension("");
     let segments = relative.iter().map(|segment| segment.to_string_lossy().into_owned());
     segments.filter(|segment| !["mod", "lib", "main"].contains(&segment.as_str())).collect()
 }
 
-fn has(paths: &BTreeSet<ItemPath>, name: &str) -> bool {
+fn contains_name(paths: &BTreeSet<ItemPath>, name: &str) -> bool {
     let (modules, name) = name.rsplit_once("::").unwrap_or(("", name));
     paths.iter().any(|path| {
         let (last, modules_of_path) = path.split_last().expect("a path has a name");
@@ -227,13 +234,13 @@
     })
 }
 
-/// Whether the segments of `modules` are all in `path`, in the same order.
+/// Whether `path` contains all segments of `modules` in the same order, possibly with others between them.
 fn is_subsequence(modules: &str, path: &[String]) -> bool {
     let mut rest = path.iter();
     modules.split("::").all(|wanted| rest.any(|segment| segment == wanted))
 }
 
-/// What is in a folder, none if there is no such folder.
+/// Returns the entries of a folder, or none if the folder cannot be read.
 fn folder_entries(folder: &Path) -> Vec<PathBuf> {
     let Ok(entries) = std::fs::read_dir(folder) else { return Vec::new() };
     entries.map(|entry| entry.expect("an entry can be read").path()).collect()
