--- a/crates/disruption/src/acceptance.rs
+++ b/crates/disruption/src/acceptance.rs
@@ -1,4 +1,4 @@
-//! Accepts or refuses the request for a new drain, and selects its machines.
+//! Accepts or refuses requests for new drains and selects their machines.
 
 use crate::allowance::desired_by_scope;
 use crate::budget::{Policy, scopes_for_class};
@@ -9,24 +9,24 @@
 use caperstile_types::{MachineId, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that a note names; of others only the number is given.
+/// Maximum number of machines that a note or refusal lists by name. Of further machines it gives only the number.
 const MAX_MACHINES_NAMED: usize = 5;
-/// Characters of an invalid name that a refusal repeats.
+/// Maximum number of characters of an invalid name that a refusal quotes.
 const MAX_INVALID_NAME_CHARS: usize = 60;
 
-/// What a request is checked against.
+/// The state that a new request is checked against.
 pub(crate) struct RequestContext<'a> {
     pub wall: WallClock,
     pub fleet: &'a dyn Fleet,
     pub policy: &'a Policy,
-    /// Drains that were accepted before.
-    pub others: &'a BTreeMap<String, Drain>,
+    /// All other known drains, including those that have ended or were refused.
+    pub other_drains: &'a BTreeMap<String, Drain>,
 }
 
-/// Machines that a request selects.
+/// The machines that a request selects, as they are when the request is accepted.
 type SelectedMachines = BTreeMap<MachineId, MachineView>;
 
-/// The drain of a new request: accepted, or refused with the reason in its status.
+/// Creates the drain for a new request. If the request is refused, the status gives the reason.
 pub(crate) fn accept_request(name: &str, request: &DrainRequest, revision: u64, context: &RequestContext<'_>) -> Drain {
     let mut status = DrainStatus::requested(revision, context.wall);
     let selected = select_machines(name, &request.selector, context, &mut status.notes);
@@ -35,7 +35,7 @@
         SelectedMachines::new()
     });
     status.machine_count = machines.len() as u32;
-    note_overlaps(&machines, context.others, &mut status.notes);
+    add_overlap_notes(&machines, context.other_drains, &mut status.notes);
     let member = |machine: MachineView| Member { pool: machine.pool, provisioned_at: machine.provisioned_at };
     let members = machines.into_iter().map(|(id, machine)| (id, member(machine))).collect();
     Drain { request: request.clone(), status, members, is_durable: false }
@@ -51,14 +51,14 @@
         return Err(DrainRefusal::InvalidName(name.chars().take(MAX_INVALID_NAME_CHARS).collect()));
     }
     let machines = match selector {
-        MachineSelector::Machines(ids) => select_named(ids, context.fleet, notes),
+        MachineSelector::Machines(ids) => select_by_id(ids, context.fleet, notes),
         MachineSelector::Matching(filter) => select_matching(filter, context.wall, context.fleet),
     }?;
     check_budgets(&machines, context.fleet, context.policy)?;
     Ok(machines)
 }
 
-fn select_named(
+fn select_by_id(
     ids: &[MachineId],
     fleet: &dyn Fleet,
     notes: &mut Vec<String>,
@@ -77,10 +77,10 @@
     }
     match (found.is_empty(), gone.is_empty()) {
         (true, true) => Err(DrainRefusal::NoMachineMatches),
-        (true, false) => Err(DrainRefusal::AllMachinesGone(name_some(&gone))),
+        (true, false) => Err(DrainRefusal::AllMachinesGone(format_machine_list(&gone))),
         (false, true) => Ok(found),
         (false, false) => {
-            notes.push(format!("gone already: {}", name_some(&gone)));
+            notes.push(format!("gone already: {}", format_machine_list(&gone)));
             Ok(found)
         }
     }
@@ -95,8 +95,8 @@
         let age = wall.as_millis().saturating_sub(machine.provisioned_at.as_millis());
         !machine.terminating
             && filter.zone.as_ref().is_none_or(|zone| *zone == machine.pool.zone)
-            && filter.machine_type.as_ref().is_none_or(|kind| *kind == machine.pool.machine_type)
-            && filter.older_than.is_none_or(|least| age >= least.as_millis())
+            && filter.machine_type.as_ref().is_none_or(|wanted_type| *wanted_type == machine.pool.machine_type)
+            && filter.older_than.is_none_or(|min_age| age >= min_age.as_millis())
     };
     let all = fleet.machine_ids().into_iter().filter_map(|id| Some((id, fleet.machine(id)?)));
     let mut found: Vec<(MachineId, MachineView)> = all.filter(|(_, machine)| matches(machine)).collect();
@@ -105,7 +105,8 @@
     if found.is_empty() { Err(DrainRefusal::NoMachineMatches) } else { Ok(found.into_iter().collect()) }
 }
 
-/// Replicas under a budget that is 0 at any time cannot be moved; batch tasks end by themselves.
+/// Refuses machines with replicas whose budget is 0 at all times, since the drain could never evict these. Batch tasks
+/// need no such check, because they end on their own.
 fn check_budgets(machines: &SelectedMachines, fleet: &dyn Fleet, policy: &Policy) -> Result<(), DrainRefusal> {
     let desired = desired_by_scope(&fleet.availability());
     for (machine, view) in machines {
@@ -122,18 +123,18 @@
     Ok(())
 }
 
-/// Notes which machines belong to other drains as well.
-fn note_overlaps(machines: &SelectedMachines, others: &BTreeMap<String, Drain>, notes: &mut Vec<String>) {
-    for (name, other) in others.iter().filter(|(_, other)| other.status.phase.is_open()) {
+/// Adds a note for each open drain that includes some of the same machines.
+fn add_overlap_notes(machines: &SelectedMachines, other_drains: &BTreeMap<String, Drain>, notes: &mut Vec<String>) {
+    for (name, other) in other_drains.iter().filter(|(_, other)| other.status.phase.is_open()) {
         let shared: BTreeSet<MachineId> =
             machines.keys().filter(|id| other.members.contains_key(id)).copied().collect();
         if !shared.is_empty() {
-            notes.push(format!("in drain {name} already: {}", name_some(&shared)));
+            notes.push(format!("in drain {name} already: {}", format_machine_list(&shared)));
         }
     }
 }
 
-fn name_some(machines: &BTreeSet<MachineId>) -> String {
+fn format_machine_list(machines: &BTreeSet<MachineId>) -> String {
     let named: Vec<String> = machines.iter().take(MAX_MACHINES_NAMED).map(MachineId::to_string).collect();
     match machines.len().saturating_sub(MAX_MACHINES_NAMED) {
         0 => named.join(", "),
--- a/crates/disruption/src/allowance.rs
+++ b/crates/disruption/src/allowance.rs
@@ -1,4 +1,4 @@
-//! The budget check: what may still be evicted within the disruption budgets at one moment.
+//! The budget check: how many more tasks may be evicted at a point in time without exceeding the disruption budgets.
 
 use crate::budget::{Policy, Scope, TaskClass, scopes_for_class};
 use crate::eviction_load::EvictionLoad;
@@ -6,21 +6,22 @@
 use caperstile_types::{Duration, Timestamp, WallClock};
 use std::collections::BTreeMap;
 
-/// When something of each scope was evicted last.
+/// The time of the last eviction in each scope, for budgets with a minimum interval between evictions.
 #[derive(Debug, Clone)]
 pub struct LastEvictions {
-    /// Under an earlier leader something may have been evicted just before this one was elected.
+    /// Counts as the last eviction of a scope without a recorded one, because the previous leader may have evicted a
+    /// task just before this leader was elected.
     leader_since: Timestamp,
     by_scope: BTreeMap<Scope, Timestamp>,
 }
 
 impl LastEvictions {
-    /// No evictions yet, under a leader elected at this time.
+    /// Creates an empty history for a leader that was elected at `leader_since`.
     pub fn new(leader_since: Timestamp) -> LastEvictions {
         LastEvictions { leader_since, by_scope: BTreeMap::new() }
     }
 
-    /// Records an eviction.
+    /// Records that a task of this scope was evicted at `now`.
     pub fn record(&mut self, now: Timestamp, scope: Scope) {
         self.by_scope.insert(scope, now);
     }
@@ -30,53 +31,53 @@
     }
 }
 
-/// Why an eviction has to wait, or can never be made. Operators see the text in the status of a drain.
+/// Why an eviction is not allowed at present. The message is shown to operators in the status of the drain.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EvictionBlocked {
-    /// The budget is 0 at this time.
+    /// The budget allows no unavailable tasks at this time.
     #[error("the budget of {scope} is 0")]
     ZeroBudget {
-        /// Whose budget.
+        /// Scope of the budget.
         scope: Scope,
     },
-    /// The eviction would take more than the budget has left.
+    /// The eviction would make more tasks unavailable than the budget allows.
     #[error("{scope}: {requested} to be moved, {unavailable} of {allowed} that may be unavailable are out")]
     BudgetExhausted {
-        /// Whose budget.
+        /// Scope of the budget.
         scope: Scope,
-        /// How many tasks were to be evicted.
+        /// Number of tasks that would be evicted.
         requested: u32,
-        /// How many are unavailable or charged.
+        /// Number of tasks that are unavailable or charged already.
         unavailable: u32,
-        /// How many may be.
+        /// Maximum number of tasks that may be unavailable.
         allowed: u32,
     },
-    /// The last eviction was not long enough ago.
+    /// The minimum interval since the last eviction has not elapsed.
     #[error("{scope}: the next eviction may follow in {} s", .remaining.as_millis().div_ceil(1000))]
     IntervalNotElapsed {
-        /// Whose budget.
+        /// Scope of the budget.
         scope: Scope,
-        /// The rest of the interval.
+        /// Time until the interval has elapsed.
         remaining: Duration,
     },
 }
 
-/// The consumption of one scope's budget.
+/// How much of the budget of one scope is in use.
 #[derive(Debug, Clone, Default)]
-struct Account {
-    /// How many tasks are unavailable or charged.
+struct BudgetUsage {
+    /// Number of tasks that are unavailable or charged.
     unavailable: u32,
-    /// Charged tasks that were not told to stop yet.
+    /// Number of charged tasks that have not been stopped yet.
     pending: u32,
-    /// How many may be unavailable; none: no limit of its own.
+    /// Maximum number of unavailable tasks; `None` if the scope has no limit of its own.
     allowed: Option<u32>,
-    /// The rest of the interval since the last eviction.
+    /// Time until the minimum interval since the last eviction has elapsed.
     interval_remaining: Duration,
-    /// Evictions are spaced by an interval.
+    /// Whether the budget sets a minimum interval between evictions.
     has_interval: bool,
 }
 
-impl Account {
+impl BudgetUsage {
     fn is_exceeded(&self) -> bool {
         self.allowed.is_some_and(|allowed| self.unavailable > allowed)
     }
@@ -84,69 +85,70 @@
     fn remaining(&self) -> u32 {
         let remaining = self.allowed.map_or(u32::MAX, |allowed| allowed.saturating_sub(self.unavailable));
         if self.has_interval {
-            // One at a time, and none while another is about to be told.
+            // At most one task per interval, and none while a charged task has not been stopped yet.
             remaining.min(u32::from(self.interval_remaining.as_millis() == 0 && self.pending == 0))
         } else {
             remaining
         }
     }
 
-    /// What may be evicted at once while nothing else is unavailable.
+    /// Returns how many tasks may be evicted at once if no other task is unavailable.
     fn full_budget(&self) -> u32 {
         let allowed = self.allowed.unwrap_or(u32::MAX);
         if self.has_interval { allowed.min(1) } else { allowed }
     }
 }
 
-/// The tasks of one charge, and what became of them.
+/// The state and the number of the tasks that one charge counts for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChargedTasks {
-    /// What became of the charged attempt.
+    /// State of the charged attempt.
     pub state: ChargeState,
-    /// How many tasks the charge counts for.
+    /// Number of tasks that the charge counts for; more than 1 for a gang.
     pub task_count: u32,
 }
 
-/// What the budgets are checked against.
+/// The disruptions at one point in time, from which allowances are computed.
 #[derive(Debug, Clone, Copy)]
 pub struct DisruptionState<'a> {
-    /// The leader's clock.
+    /// The leader's monotonic time, for minimum intervals.
     pub now: Timestamp,
-    /// Time of day, for windows.
+    /// Time of day, for limits that apply in windows.
     pub wall: WallClock,
-    /// What is desired and unavailable, by class.
+    /// Number of desired and unavailable tasks, by class.
     pub availability: &'a BTreeMap<TaskClass, ClassAvailability>,
-    /// All charges.
+    /// All charges that have not been released.
     pub charges: &'a [ChargedTasks],
-    /// When something was evicted last.
+    /// Time of the last eviction in each scope.
     pub last_evictions: &'a LastEvictions,
 }
 
-/// What may still be evicted.
+/// How many more tasks may be evicted in each scope.
 #[derive(Debug, Clone, Default)]
 pub struct Allowances {
-    accounts: BTreeMap<Scope, Account>,
+    usage_by_scope: BTreeMap<Scope, BudgetUsage>,
 }
 
 impl Allowances {
-    /// Opens the accounts: what is unavailable for whatever reason, and what is charged on top of it.
+    /// Computes the allowances. Tasks that are unavailable for any reason use up the budget of their scopes, and so do
+    /// charged tasks that are not counted as unavailable already.
     pub fn new(policy: &Policy, state: &DisruptionState<'_>) -> Allowances {
         let desired = desired_by_scope(state.availability);
         let mut allowances = Allowances::default();
         for (class, availability) in state.availability {
             for scope in scopes_for_class(class) {
-                allowances.accounts.entry(scope).or_default().unavailable += availability.unavailable;
+                allowances.usage_by_scope.entry(scope).or_default().unavailable += availability.unavailable;
             }
         }
         for charged in state.charges {
             allowances.count_charge(charged);
         }
-        for (scope, account) in &mut allowances.accounts {
+        for (scope, usage) in &mut allowances.usage_by_scope {
             let desired = desired.get(scope).copied().unwrap_or_default();
-            account.allowed = policy.max_unavailable(scope, desired, state.wall);
+            usage.allowed = policy.max_unavailable(scope, desired, state.wall);
             let interval = policy.min_interval(scope);
-            account.has_interval = interval.as_millis() > 0;
-            account.interval_remaining = interval.saturating_sub(state.now.since(state.last_evictions.at(scope)));
+            usage.has_interval = interval.as_millis() > 0;
+            usage.interval_remaining = interval.saturating_sub(state.now.since(state.last_evictions.at(scope)));
         }
         allowances
     }
@@ -158,23 +160,24 @@
             ChargeState::Disrupted { class, already_unavailable } => (class, *already_unavailable, false),
         };
         for scope in scopes_for_class(class) {
-            let account = self.accounts.entry(scope).or_default();
-            account.unavailable += if already_unavailable { 0 } else { charged.task_count };
-            account.pending += if pending { charged.task_count } else { 0 };
+            let usage = self.usage_by_scope.entry(scope).or_default();
+            usage.unavailable += if already_unavailable { 0 } else { charged.task_count };
+            usage.pending += if pending { charged.task_count } else { 0 };
         }
     }
 
-    /// Whether a class or its team has more unavailable than it may.
+    /// Whether more tasks of a class, or of its team, are unavailable than the budget allows.
     pub fn is_exceeded(&self, class: &TaskClass) -> bool {
-        scopes_for_class(class).iter().any(|scope| self.accounts.get(scope).is_some_and(Account::is_exceeded))
+        scopes_for_class(class).iter().any(|scope| self.usage_by_scope.get(scope).is_some_and(BudgetUsage::is_exceeded))
     }
 
-    /// How many tasks of a scope may be evicted now.
+    /// Returns how many tasks of a scope may be evicted now; `u32::MAX` if no limit applies.
     pub fn remaining(&self, scope: &Scope) -> u32 {
-        self.accounts.get(scope).map_or(u32::MAX, Account::remaining)
+        self.usage_by_scope.get(scope).map_or(u32::MAX, BudgetUsage::remaining)
     }
 
-    /// Whether a load may be evicted now, or what it waits for.
+    /// Checks whether all tasks of a load may be evicted now. The error names the first scope whose budget does not
+    /// allow it.
     pub fn check(&self, load: &EvictionLoad) -> Result<(), EvictionBlocked> {
         for (scope, count) in load.by_scope() {
             if count > self.remaining(&scope) {
@@ -185,40 +188,41 @@
     }
 
     fn blocked_reason(&self, scope: Scope, requested: u32) -> EvictionBlocked {
-        let Some(account) = self.accounts.get(&scope) else { return EvictionBlocked::ZeroBudget { scope } };
-        match account.allowed {
+        let Some(usage) = self.usage_by_scope.get(&scope) else { return EvictionBlocked::ZeroBudget { scope } };
+        match usage.allowed {
             Some(0) => EvictionBlocked::ZeroBudget { scope },
-            _ if account.has_interval && account.interval_remaining.as_millis() > 0 => {
-                EvictionBlocked::IntervalNotElapsed { scope, remaining: account.interval_remaining }
+            _ if usage.has_interval && usage.interval_remaining.as_millis() > 0 => {
+                EvictionBlocked::IntervalNotElapsed { scope, remaining: usage.interval_remaining }
             }
             allowed => EvictionBlocked::BudgetExhausted {
                 scope,
                 requested,
-                unavailable: account.unavailable,
+                unavailable: usage.unavailable,
                 allowed: allowed.unwrap_or(u32::MAX),
             },
         }
     }
 
-    /// Charges a load to the budgets.
+    /// Charges a load to the budgets of its scopes, whether or not they allow it.
     pub fn charge(&mut self, load: &EvictionLoad) {
         for (scope, count) in load.by_scope() {
-            let account = self.accounts.entry(scope).or_default();
-            account.unavailable += count;
-            account.pending += count;
+            let usage = self.usage_by_scope.entry(scope).or_default();
+            usage.unavailable += count;
+            usage.pending += count;
         }
     }
 
-    /// Whether a load is more than its budgets allow even when nothing else is unavailable: it must be evicted in parts.
+    /// Whether a load exceeds a budget even if no other task is unavailable, so that its tasks must be evicted in
+    /// parts.
     pub fn exceeds_full_budget(&self, load: &EvictionLoad) -> bool {
         let exceeds = |(scope, count): (Scope, u32)| {
-            self.accounts.get(&scope).is_some_and(|account| count > account.full_budget())
+            self.usage_by_scope.get(&scope).is_some_and(|usage| count > usage.full_budget())
         };
         load.by_scope().into_iter().any(exceeds)
     }
 }
 
-/// How many tasks of each scope are desired.
+/// Sums up the desired tasks of each scope.
 pub fn desired_by_scope(availability: &BTreeMap<TaskClass, ClassAvailability>) -> BTreeMap<Scope, u32> {
     let desired = availability.iter().map(|(class, availability)| (class.clone(), availability.desired));
     desired.collect::<EvictionLoad>().by_scope()
--- a/crates/disruption/src/budget.rs
+++ b/crates/disruption/src/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: how much of a team's work may be disrupted at once.
+//! Disruption budgets: how many tasks of a team or class may be unavailable at once.
 
 use crate::window::Window;
 use caperstile_types::{Duration, WallClock};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A class of a team's jobs.
+/// A class of jobs of one team. Budgets and availability are kept per class.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskClass {
-    /// Team.
+    /// Name of the team.
     pub team: String,
-    /// Class.
+    /// Name of the class within the team.
     pub class: String,
 }
 
@@ -21,12 +21,12 @@
     }
 }
 
-/// The work that a budget covers.
+/// The tasks that a budget covers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// All of a team's work.
+    /// All tasks of a team.
     Team(String),
-    /// One class of it.
+    /// The tasks of one class of a team.
     Class(TaskClass),
 }
 
@@ -39,29 +39,32 @@
     }
 }
 
-/// The scopes that a task of a class is charged to.
+/// Returns the scopes to whose budgets the eviction of a task is charged: its class and its team.
 pub fn scopes_for_class(class: &TaskClass) -> [Scope; 2] {
     [Scope::Class(class.clone()), Scope::Team(class.team.clone())]
 }
 
-/// How many replicas or tasks may be unavailable at once.
+/// A limit on the number of replicas or tasks that may be unavailable at once, or of machines that may be drained at
+/// once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Limit {
-    /// This many.
+    /// An absolute number.
     Count(u32),
-    /// This share of what is desired, rounded down, so that never more than the share is unavailable.
+    /// A share of the desired number. It is rounded down, so that the share is never exceeded.
     Share {
-        /// From 0 to 1.
+        /// The share, from 0 to 1.
         share: f64,
-        /// Lower bound; 0 where operators state a share, which is then kept whatever it comes to.
+        /// Lower bound of the result. It is 0 for a share that operators set in a budget, so that their share holds
+        /// even if it comes to 0 tasks.
         at_least: u32,
     },
 }
 
 impl Limit {
-    /// The limit where so many tasks are desired.
+    /// Returns the limit as a number, given the desired number of tasks.
     pub fn resolve(&self, desired: u32) -> u32 {
-        // Shares such as 0.29 have no exact binary form: 0.29 of 100 must be 29.
+        // A share such as 0.29 has no exact binary representation; without this addition, 0.29 of 100 would give 28
+        // instead of 29.
         const ROUNDING: f64 = 1e-9;
         match *self {
             Limit::Count(count) => count,
@@ -80,62 +83,63 @@
     }
 }
 
-/// Which batch tasks may be stopped once the wait for their end is over.
+/// Which batch tasks may be evicted once `Budget::batch_wait` has elapsed since the drain of their machine began.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchEviction {
-    /// None: they are left to end.
+    /// None. The drain waits until they end.
     Never,
-    /// Those that save checkpoints.
+    /// Only tasks that save checkpoints.
     Checkpointed,
-    /// All.
+    /// All batch tasks, including those that lose their progress.
     Always,
 }
 
-/// A limit that applies within a window.
+/// A limit that applies during a window.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WindowLimit {
-    /// When it applies.
+    /// The window during which the limit applies.
     pub window: Window,
-    /// The limit.
+    /// Maximum number of unavailable tasks during the window.
     pub limit: Limit,
 }
 
-/// The settings of a team for all of its work or for a class. What is not stated is taken from the team, then from the default.
+/// The budget of a team or of a class. For a class, the batch settings that are `None` come from the team's budget and
+/// then from the defaults; `Policy::base_limit` states which limit applies if `max_unavailable` is `None`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Budget {
-    /// How many tasks may be unavailable at once.
+    /// Maximum number of tasks that may be unavailable at once.
     pub max_unavailable: Option<Limit>,
-    /// Stricter limits, by window.
+    /// Limits that apply during windows, in addition to `max_unavailable`.
     pub windows: Vec<WindowLimit>,
-    /// Least time between two evictions.
+    /// Minimum interval between two evictions; `None`: evictions are not spaced.
     pub min_interval: Option<Duration>,
-    /// How long batch tasks are left to end.
+    /// How long a drain waits for batch tasks to end before it may evict them.
     pub batch_wait: Option<Duration>,
-    /// Which of them are stopped afterwards.
+    /// Which batch tasks may be evicted after that time.
     pub batch_eviction: Option<BatchEviction>,
 }
 
-/// A tenth of a class that states nothing, one replica at least.
+/// Limit of a class if operators set none for the class or its team: 10% of its tasks, but at least 1.
 pub const DEFAULT_LIMIT: Limit = Limit::Share { share: 0.1, at_least: 1 };
-/// How long batch tasks are left to end by default.
+/// Default time that a drain waits for batch tasks to end.
 pub const DEFAULT_BATCH_WAIT: Duration = Duration::from_secs(600);
-/// By default only tasks that lose little are stopped.
+/// By default, only tasks that save checkpoints are evicted, since they lose little progress.
 pub const DEFAULT_BATCH_EVICTION: BatchEviction = BatchEviction::Checkpointed;
-/// Share of all machines that may be drained at once by default.
+/// Default limit on machines drained at once: 10% of the fleet, but at least 1.
 pub const DEFAULT_MAX_DRAINING_MACHINES: Limit = Limit::Share { share: 0.1, at_least: 1 };
 
-/// All budgets of a deployment.
+/// The disruption budgets and drain settings of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// Whether operators' drains are carried out and voluntary evictions are checked against the budgets.
+    /// Whether operators' drains are executed and voluntary evictions are checked against the budgets.
     pub enabled: bool,
-    /// How many machines may be drained at once.
+    /// Maximum number of machines that may be drained at once. A share refers to the size of the fleet.
     pub max_draining_machines: Limit,
-    /// How far the time of day may be off.
+    /// Maximum error of the time of day. A window's limit applies this much before and after the window.
     pub clock_error: Duration,
-    /// Budgets of teams.
+    /// Budgets of teams, by name.
     pub teams: BTreeMap<String, Budget>,
-    /// Budgets of classes.
+    /// Budgets of classes; they apply in addition to the budget of the team.
     pub classes: BTreeMap<TaskClass, Budget>,
 }
 
@@ -159,31 +163,34 @@
         }
     }
 
-    /// The limit of a scope outside of windows; `None`: no limit of its own.
+    /// Returns the limit of a scope that applies at all times, regardless of windows; `None` if the scope has no limit
+    /// of its own.
     ///
-    /// A class without a statement has the default, unless its team states a limit, which is then the only one.
+    /// For a class without a limit, `DEFAULT_LIMIT` applies, unless its team has a limit; then only the team's limit
+    /// applies.
     pub fn base_limit(&self, scope: &Scope) -> Option<Limit> {
-        let stated = self.budget_for(scope).and_then(|budget| budget.max_unavailable);
+        let configured = self.budget_for(scope).and_then(|budget| budget.max_unavailable);
         match scope {
-            Scope::Team(_) => stated,
-            Scope::Class(class) => stated.or_else(|| {
+            Scope::Team(_) => configured,
+            Scope::Class(class) => configured.or_else(|| {
                 let team = self.teams.get(&class.team).and_then(|budget| budget.max_unavailable);
                 team.is_none().then_some(DEFAULT_LIMIT)
             }),
         }
     }
 
-    /// Scopes for which operators state that nothing may be unavailable at any time.
+    /// Returns the scopes for which operators set a limit of 0 outside of windows. Their replicas can never be evicted.
     pub fn scopes_with_zero_budget(&self) -> Vec<Scope> {
-        let none = |budget: &Budget| {
+        let is_zero = |budget: &Budget| {
             matches!(budget.max_unavailable, Some(Limit::Count(0) | Limit::Share { share: 0.0, at_least: 0 }))
         };
-        let teams = self.teams.iter().filter(|(_, budget)| none(budget)).map(|(team, _)| Scope::Team(team.clone()));
-        let classes = self.classes.iter().filter(|(_, budget)| none(budget));
+        let teams = self.teams.iter().filter(|(_, budget)| is_zero(budget)).map(|(team, _)| Scope::Team(team.clone()));
+        let classes = self.classes.iter().filter(|(_, budget)| is_zero(budget));
         teams.chain(classes.map(|(class, _)| Scope::Class(class.clone()))).collect()
     }
 
-    /// How many tasks of a scope may be unavailable at this time; `None`: no limit of its own.
+    /// Returns how many tasks of a scope may be unavailable at time `wall`: the strictest of the base limit and of the
+    /// limits of current windows. `None` if the scope has no limit of its own.
     pub fn max_unavailable(&self, scope: &Scope, desired: u32, wall: WallClock) -> Option<u32> {
         let windows = self.budget_for(scope).into_iter().flat_map(|budget| &budget.windows);
         let in_force = windows.filter(|limited| limited.window.may_contain(wall, self.clock_error));
@@ -191,22 +198,22 @@
         limits.map(|limit| limit.resolve(desired)).min()
     }
 
-    /// The least time between two evictions of a scope.
+    /// Returns the minimum interval between two evictions in a scope; 0 if none is set.
     pub fn min_interval(&self, scope: &Scope) -> Duration {
         self.budget_for(scope).and_then(|budget| budget.min_interval).unwrap_or_default()
     }
 
-    /// How long a class's batch tasks are left to end.
+    /// Returns how long a drain waits for batch tasks of a class to end before it may evict them.
     pub fn batch_wait(&self, class: &TaskClass) -> Duration {
         self.class_setting(class, |budget| budget.batch_wait).unwrap_or(DEFAULT_BATCH_WAIT)
     }
 
-    /// Which batch tasks of a class may be stopped afterwards.
+    /// Returns which batch tasks of a class may be evicted after that time.
     pub fn batch_eviction(&self, class: &TaskClass) -> BatchEviction {
         self.class_setting(class, |budget| budget.batch_eviction).unwrap_or(DEFAULT_BATCH_EVICTION)
     }
 
-    /// A setting of a class, else of its team.
+    /// Returns a setting of a class, or that of its team if the class does not have the setting.
     fn class_setting<T>(&self, class: &TaskClass, field: impl Fn(&Budget) -> Option<T>) -> Option<T> {
         let own = self.classes.get(class).and_then(&field);
         own.or_else(|| self.teams.get(&class.team).and_then(&field))
--- a/crates/disruption/src/candidates.rs
+++ b/crates/disruption/src/candidates.rs
@@ -1,4 +1,4 @@
-//! Which machines may be drained next, and in which order.
+//! Determines which machines of the running drains may be drained next, and in which order.
 
 use crate::allowance::Allowances;
 use crate::drain::Drain;
@@ -8,114 +8,118 @@
 use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines whose tasks are examined in one reconciliation; with more, others come first a second later.
+/// Maximum number of machines whose tasks are examined in one reconciliation. If more are pending, the examined ones
+/// change every second.
 const MAX_MACHINES_EXAMINED: usize = 64;
-/// A machine whose batch tasks take longer than this holds up its drain.
+/// A machine with a batch task that is predicted to run longer than this is counted as blocked by batch tasks.
 const LONG_BATCH_REMAINING: Duration = Duration::from_secs(60);
-/// Progress of a drain is counted in millionths.
-const PROGRESS_UNIT: u64 = 1_000_000;
+/// The progress of a drain is expressed in millionths of its machines.
+const PROGRESS_SCALE: u64 = 1_000_000;
 
-/// A machine of a running drain that is not being drained yet.
+/// A machine that belongs to a running drain and is not being drained yet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct WaitingMachine {
+pub(crate) struct PendingMachine {
     pub drain: String,
     pub machine: MachineId,
 }
 
-/// A machine whose draining could start now.
+/// A pending machine that could be drained now, as far as its own state is concerned.
 #[derive(Debug, Clone)]
 pub(crate) struct DrainableMachine {
     pub drain: String,
     pub machine: MachineId,
     pub replicas: Vec<AttemptId>,
     pub load: EvictionLoad,
-    /// Whether batch tasks would keep it waiting for long.
-    pub has_long_batch: bool,
+    /// Whether batch tasks would keep the machine from becoming empty for longer than `LONG_BATCH_REMAINING`.
+    pub has_long_batch_task: bool,
 }
 
-/// The order in which machines of several drains come: the drain with the least progress first, then the one requested first.
+/// Sort key for the pending machines of all drains: the drain with the least progress comes first; on equal progress,
+/// the one that was requested first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Position {
+struct DrainOrder {
     progress: u64,
     created_revision: u64,
     index: u64,
 }
 
-/// Replicas of a machine that were not told to stop.
+/// Returns the replicas on a machine that are not being stopped.
 pub(crate) fn replicas(view: &MachineView) -> impl Iterator<Item = &TaskView> {
     view.tasks.iter().filter(|task| task.kind == TaskKind::Replica && !task.stopping)
 }
 
-/// The batch task of a machine that takes longest until it ends by itself, and how long that is.
+/// Returns the batch task with the longest predicted remaining run time on a machine, and that time.
 pub(crate) fn longest_batch_task(view: &MachineView) -> Option<(&TaskView, Duration)> {
     let batch = view.tasks.iter().filter(|task| task.kind != TaskKind::Replica);
     let with_remaining = batch.map(|task| (task, task.predicted_remaining.unwrap_or_default()));
     with_remaining.max_by_key(|(task, remaining)| (*remaining, task.attempt))
 }
 
-/// Whether batch tasks keep a machine from becoming empty for long.
-pub(crate) fn has_long_batch(view: &MachineView) -> bool {
+/// Whether batch tasks are predicted to keep a machine from becoming empty for longer than `LONG_BATCH_REMAINING`.
+pub(crate) fn has_long_batch_task(view: &MachineView) -> bool {
     longest_batch_task(view).is_some_and(|(_, remaining)| remaining > LONG_BATCH_REMAINING)
 }
 
-/// Machines of running drains that are not being drained yet, in the order in which they come.
-pub(crate) fn waiting_machines(
+/// Returns the machines of running drains that are not being drained yet, in the order in which to drain them.
+pub(crate) fn pending_machines(
     drains: &BTreeMap<String, Drain>,
     draining: &BTreeSet<MachineId>,
     fleet: &dyn Fleet,
     wall: WallClock,
-) -> Vec<WaitingMachine> {
+) -> Vec<PendingMachine> {
     let mut seen = BTreeSet::new();
-    let mut waiting: Vec<(Position, WaitingMachine)> = Vec::new();
+    let mut pending: Vec<(DrainOrder, PendingMachine)> = Vec::new();
     let mut running: Vec<(&String, &Drain)> = drains.iter().filter(|(_, drain)| drain.is_running()).collect();
     running.sort_by_key(|(_, drain)| drain.status.created_revision);
     for (name, drain) in running {
-        let left: Vec<MachineId> = drain.members.keys().copied().filter(|id| fleet.exists(*id)).collect();
-        let gone = drain.members.len() - left.len();
-        let started = (gone + left.iter().filter(|id| draining.contains(id)).count()) as u64;
+        let existing: Vec<MachineId> = drain.members.keys().copied().filter(|id| fleet.exists(*id)).collect();
+        let gone = drain.members.len() - existing.len();
+        let started = (gone + existing.iter().filter(|id| draining.contains(id)).count()) as u64;
         let size = drain.members.len().max(1) as u64;
         let mut index = 0;
-        for machine in left.into_iter().filter(|id| !draining.contains(id)) {
+        for machine in existing.into_iter().filter(|id| !draining.contains(id)) {
             if seen.insert(machine) {
-                // As if those before it were started already, so that drains alternate within one reconciliation as well.
-                let progress = (started + index) * PROGRESS_UNIT / size;
-                let position = Position { progress, created_revision: drain.status.created_revision, index };
-                waiting.push((position, WaitingMachine { drain: name.clone(), machine }));
+                // Counts the drain's earlier pending machines as started, so that drains also alternate within one
+                // reconciliation.
+                let progress = (started + index) * PROGRESS_SCALE / size;
+                let order = DrainOrder { progress, created_revision: drain.status.created_revision, index };
+                pending.push((order, PendingMachine { drain: name.clone(), machine }));
                 index += 1;
             }
         }
     }
-    waiting.sort();
-    rotate_window(waiting.into_iter().map(|(_, waiting)| waiting).collect(), wall)
+    pending.sort();
+    limit_examined_machines(pending.into_iter().map(|(_, pending)| pending).collect(), wall)
 }
 
-/// Of very many machines others come first each second, so that those without a budget do not hide the rest for ever.
-fn rotate_window(mut waiting: Vec<WaitingMachine>, wall: WallClock) -> Vec<WaitingMachine> {
-    if waiting.len() > MAX_MACHINES_EXAMINED {
-        let windows = waiting.len().div_ceil(MAX_MACHINES_EXAMINED) as u64;
-        let start = (wall.as_millis() / 1000 % windows) as usize * MAX_MACHINES_EXAMINED;
-        waiting.rotate_left(start);
-        waiting.truncate(MAX_MACHINES_EXAMINED);
+/// Limits the list to `MAX_MACHINES_EXAMINED` machines and moves on to the next ones every second. Otherwise machines
+/// whose budgets allow no evictions could keep the others from ever being examined.
+fn limit_examined_machines(mut pending: Vec<PendingMachine>, wall: WallClock) -> Vec<PendingMachine> {
+    if pending.len() > MAX_MACHINES_EXAMINED {
+        let groups = pending.len().div_ceil(MAX_MACHINES_EXAMINED) as u64;
+        let start = (wall.as_millis() / 1000 % groups) as usize * MAX_MACHINES_EXAMINED;
+        pending.rotate_left(start);
+        pending.truncate(MAX_MACHINES_EXAMINED);
     }
-    waiting
+    pending
 }
 
-/// Examines the tasks of waiting machines. One that is unreachable or leaves anyhow is passed over.
-pub(crate) fn drainable_machines(waiting: Vec<WaitingMachine>, fleet: &dyn Fleet) -> Vec<DrainableMachine> {
-    let examine = |WaitingMachine { drain, machine }| {
+/// Examines the tasks of pending machines. Skips machines that are unreachable or are terminating already.
+pub(crate) fn drainable_machines(pending: Vec<PendingMachine>, fleet: &dyn Fleet) -> Vec<DrainableMachine> {
+    let examine = |PendingMachine { drain, machine }| {
         let view = fleet.machine(machine).filter(|view| view.reachable && !view.terminating)?;
         Some(DrainableMachine {
             drain,
             machine,
             replicas: replicas(&view).map(|task| task.attempt).collect(),
             load: EvictionLoad::of_tasks(replicas(&view)),
-            has_long_batch: has_long_batch(&view),
+            has_long_batch_task: has_long_batch_task(&view),
         })
     };
-    waiting.into_iter().filter_map(examine).collect()
+    pending.into_iter().filter_map(examine).collect()
 }
 
-/// What the selection has to know of a machine.
+/// Returns the properties of a machine on which the selection depends.
 pub(crate) fn candidate(drainable: &DrainableMachine, drains: &BTreeMap<String, Drain>) -> Candidate {
     let drain = drains.get(&drainable.drain).filter(|drain| drain.replaces_machines());
     let member = drain.and_then(|drain| drain.members.get(&drainable.machine));
@@ -123,7 +127,8 @@
     Candidate { machine: drainable.machine, load: drainable.load.clone(), replacement_pool }
 }
 
-/// As many of these tasks as may be evicted now, for a machine whose load never fits its budgets at once.
+/// Returns those tasks that may be evicted together now, chosen in order. Tasks that are already unavailable are always
+/// included. Used for machines whose tasks cannot all be evicted at once.
 pub(crate) fn evictable_subset<'a>(
     tasks: impl Iterator<Item = &'a TaskView>,
     allowances: &Allowances,
--- a/crates/disruption/src/coordinator.rs
+++ b/crates/disruption/src/coordinator.rs
@@ -1,7 +1,9 @@
-//! The leader's state of all drains: what is charged to budgets, which machines are being drained, and what comes next.
+//! The leader's state of all drains: their requests and statuses, the machines being drained, and the evictions
+//! charged to budgets.
 //!
-//! Each reconciliation releases what has ended, follows the operators, evicts what is charged durably, and charges what the
-//! budgets leave. A task is told to stop only in a reconciliation after its charge was written, and only if the budgets still
+//! Each reconciliation applies the operators' requests, releases the charges of evictions that are complete, evicts
+//! the tasks whose charge is durable, and then charges further evictions as far as the budgets allow. A task is
+//! stopped no earlier than in the first reconciliation after its charge was written, and only if the budgets still
 //! allow it then.
 
 mod charges;
@@ -28,18 +30,18 @@
 use machine_drain::MachineDrain;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the state service takes from the drains.
+/// Limits on the records that drains may write to the state service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreLimits {
-    /// Longest value in bytes.
+    /// Maximum size of a value, in bytes.
     pub max_value_bytes: usize,
-    /// Most changes in a transaction.
+    /// Maximum number of keys that one transaction may change.
     pub max_operations: usize,
-    /// Changes a second.
+    /// Maximum rate of changed keys, per second.
     pub writes_per_second: f64,
 }
 
-/// State of all drains under one leader.
+/// Coordinates all drains while one controller is leader.
 #[derive(Debug)]
 pub struct Coordinator {
     policy: Policy,
@@ -49,13 +51,14 @@
     drains: BTreeMap<String, Drain>,
     machine_drains: BTreeMap<MachineId, MachineDrain>,
     last_evictions: LastEvictions,
-    /// Replicas for which no room was found in the last reconciliation.
+    /// Replicas for which the last reconciliation found no spare capacity on other machines.
     unplaceable: Vec<UnplaceableReplica>,
     statuses_updated_at: Timestamp,
 }
 
 impl Coordinator {
-    /// The state of a leader that was just elected; it reads the records before it decides anything.
+    /// Creates the state of a leader that was elected at `now`. It makes no decisions before it has read the durable
+    /// records.
     pub fn new(policy: Policy, now: Timestamp, limits: StoreLimits) -> Coordinator {
         Coordinator {
             policy,
@@ -70,24 +73,26 @@
         }
     }
 
-    /// The durable records.
+    /// Returns the store of the durable records, which the caller drives by passing time and responses to it.
     pub fn record_store(&mut self) -> &mut RecordStore {
         &mut self.store
     }
 
-    /// Replaces the budgets. What is unavailable already counts against them.
+    /// Replaces the budgets. Tasks that are already unavailable and evictions that are already charged count against
+    /// the new budgets.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// Whether drains are carried out at all.
+    /// Whether operators enabled drains in their settings.
     pub fn enabled(&self) -> bool {
         self.policy.enabled
     }
 
-    /// Whether there is nothing to do in a reconciliation.
+    /// Whether a reconciliation would do nothing: drains are disabled, or no drain is open, no machine is being
+    /// drained, all records are written and all requests are processed.
     pub fn is_idle(&self) -> bool {
-        let followed = |(name, observed): (&String, &ObservedRequest)| {
+        let is_processed = |(name, observed): (&String, &ObservedRequest)| {
             self.drains.get(name).is_some_and(|drain| drain.status.request_revision == observed.revision)
         };
         let any_open = self.drains.values().any(|drain| drain.status.phase.is_open());
@@ -96,25 +101,27 @@
                 && self.machine_drains.is_empty()
                 && self.store.is_reconciled()
                 && !any_open
-                && self.store.requests().iter().all(followed))
+                && self.store.requests().iter().all(is_processed))
     }
 
-    /// The status of a drain.
+    /// Returns the status of a drain, or `None` if no drain has this name.
     pub fn drain_status(&self, name: &str) -> Option<&DrainStatus> {
         self.drains.get(name).map(|drain| &drain.status)
     }
 
-    /// Whether a machine belongs to a drain that runs.
+    /// Whether a running drain includes this machine.
     pub fn is_member(&self, machine: MachineId) -> bool {
         self.drains.values().any(|drain| drain.is_running() && drain.members.contains_key(&machine))
     }
 
-    /// Replicas that wait for room, which is to be rented for them.
+    /// Returns the replicas that cannot be evicted because no other machine has the capacity for them. The leader
+    /// provisions machines for them.
     pub fn unplaceable_replicas(&self) -> &[UnplaceableReplica] {
         &self.unplaceable
     }
 
-    /// Whether a machine was rented to replace one of a running drain, so that it is kept although it is idle.
+    /// Whether a machine counts as a replacement for a running drain and must not be released while idle: it is in the
+    /// pool of a drained machine, was provisioned after the drain was accepted, and is not to be drained itself.
     pub fn retains_replacement(&self, machine: MachineId, pool: &InstancePool, provisioned_at: WallClock) -> bool {
         let replaces = |drain: &Drain| {
             drain.is_running()
@@ -126,7 +133,8 @@
         self.drains.values().any(replaces)
     }
 
-    /// Reconciles drains with the fleet once; to be called periodically and after each write of the record store.
+    /// Runs one reconciliation and returns the effects that the leader must execute. Call it periodically and after
+    /// each write of the record store.
     pub fn reconcile(&mut self, now: Timestamp, wall: WallClock, fleet: &dyn Fleet) -> Vec<Effect> {
         if !self.policy.enabled || !self.store.is_loaded() {
             return Vec::new();
@@ -135,14 +143,17 @@
             self.restore();
         }
         let mut context = ReconcileContext::new(now, wall, fleet);
-        self.follow_requests(&context);
+        self.process_requests(&context);
         self.release_cancelled(&mut context);
         self.unplaceable.clear();
         if fleet.is_complete() {
             self.release_finished(fleet);
-            self.advance(&mut context);
+            self.advance_drains(&mut context);
         } else {
-            self.note_wait_for_all(&mut context, "machines that an earlier leader commanded have not answered yet");
+            self.add_wait_reason_to_running(
+                &mut context,
+                "machines that an earlier leader commanded have not answered yet",
+            );
         }
         self.cordon_machines(&mut context);
         self.update_statuses(&context);
@@ -150,36 +161,37 @@
         context.effects
     }
 
-    /// Evicts, charges and starts to drain what the budgets allow.
-    fn advance(&mut self, context: &mut ReconcileContext<'_>) {
+    /// Evicts tasks whose charge is durable, charges further evictions and starts to drain machines, as far as the
+    /// budgets allow. Does nothing while a whole zone is unreachable.
+    fn advance_drains(&mut self, context: &mut ReconcileContext<'_>) {
         let any_active = self.active_machine_drains().next().is_some() || self.drains.values().any(Drain::is_running);
         if !any_active {
             return;
         }
         if let Some(zone) = context.fleet.unreachable_zone() {
-            return self.note_wait_for_all(context, &format!("zone {zone} is out of reach"));
+            return self.add_wait_reason_to_running(context, &format!("zone {zone} is out of reach"));
         }
         self.drop_excess_charges(context);
         self.evict_durably_charged(context);
-        // Again, since charges were dropped and evictions recorded.
+        // Dropped charges and recorded evictions change the allowances, so they are computed again.
         let mut allowances = self.allowances(context);
         self.charge_evictions(context, &mut allowances);
         self.start_machine_drains(context, &mut allowances);
     }
 
-    fn note_wait_for_all(&self, context: &mut ReconcileContext<'_>, reason: &str) {
+    fn add_wait_reason_to_running(&self, context: &mut ReconcileContext<'_>, reason: &str) {
         for (name, _) in self.drains.iter().filter(|(_, drain)| drain.is_running()) {
-            context.note_wait(Some(name), reason.to_string());
+            context.add_wait_reason(Some(name), reason.to_string());
         }
     }
 
-    /// Machines of which more is to be evicted.
+    /// Returns the machines from which more tasks are to be evicted.
     fn active_machine_drains(&self) -> impl Iterator<Item = (MachineId, &MachineDrain)> {
         let active = self.machine_drains.iter().filter(|(_, machine_drain)| machine_drain.is_active(&self.drains));
         active.map(|(machine, machine_drain)| (*machine, machine_drain))
     }
 
-    /// Machines that take no work because they are being drained.
+    /// Returns the machines that are cordoned because they are being drained.
     fn draining_machines(&self) -> BTreeSet<MachineId> {
         let cordoned = self.machine_drains.iter().filter(|(_, machine_drain)| !machine_drain.uncordoned);
         cordoned.map(|(machine, _)| *machine).collect()
@@ -202,7 +214,8 @@
         Allowances::new(&self.policy, &state)
     }
 
-    /// Releases charges, forgets machines that are gone, and ends drains.
+    /// Releases charges of completed evictions, removes the state of machines without charges that no longer exist or
+    /// are uncordoned, and marks drains as done when none of their machines exists any more.
     fn release_finished(&mut self, fleet: &dyn Fleet) {
         self.release_charges(fleet);
         self.machine_drains.retain(|machine, machine_drain| {
--- a/crates/disruption/src/coordinator/charges.rs
+++ b/crates/disruption/src/coordinator/charges.rs
@@ -1,4 +1,4 @@
-//! Charges what may be evicted to the budgets of its class and team.
+//! Charges evictions to the budgets of the tasks' classes and teams.
 
 use super::machine_drain::MachineDrain;
 use super::{Coordinator, ReconcileContext};
@@ -12,20 +12,22 @@
 use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
 use std::collections::BTreeSet;
 
-/// A status names the end of a batch task in steps of so many seconds, so that it does not change all the time.
+/// The predicted end of a batch task is rounded up to a multiple of this in a status, so that the status does not
+/// change all the time.
 const REMAINING_TIME_STEP_S: f64 = 10.0;
 
-/// A machine that is being drained, as one reconciliation sees it.
+/// The state of a machine that is being drained, during one reconciliation.
 struct DrainingMachine {
     id: MachineId,
-    /// For which drain; none: consolidation.
+    /// Name of the drain; `None` for a consolidation.
     drain: Option<String>,
     started_at: WallClock,
     view: MachineView,
 }
 
 impl Coordinator {
-    /// Charges what is left on machines that are being drained, as far as the budgets go.
+    /// Charges the remaining tasks on machines that are being drained, as far as budgets and spare capacity allow.
+    /// Machines whose drain started first are charged first.
     pub(super) fn charge_evictions(&mut self, context: &mut ReconcileContext<'_>, allowances: &mut Allowances) {
         let mut oldest_first: Vec<(WallClock, MachineId)> =
             self.active_machine_drains().map(|(id, machine_drain)| (machine_drain.started_at, id)).collect();
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Charges replicas for which there is room on other machines.
+    /// Charges those replicas of a machine that the budgets allow to be evicted, if other machines have the capacity
+    /// for all of these.
     fn charge_replicas(
         &mut self,
         context: &mut ReconcileContext<'_>,
@@ -52,15 +55,15 @@
         capacity: &mut dyn SpareCapacity,
         allowances: &mut Allowances,
     ) {
-        let left: Vec<&TaskView> = replicas(&machine.view).filter(|task| !self.is_charged(task)).collect();
-        if left.is_empty() {
+        let uncharged: Vec<&TaskView> = replicas(&machine.view).filter(|task| !self.is_charged(task)).collect();
+        if uncharged.is_empty() {
             return;
         }
-        let subset = evictable_subset(left.iter().copied(), allowances);
-        if subset.len() < left.len()
-            && let Err(reason) = allowances.check(&EvictionLoad::of_tasks(left.iter().copied()))
+        let subset = evictable_subset(uncharged.iter().copied(), allowances);
+        if subset.len() < uncharged.len()
+            && let Err(reason) = allowances.check(&EvictionLoad::of_tasks(uncharged.iter().copied()))
         {
-            context.note_wait(machine.drain.as_ref(), reason.to_string());
+            context.add_wait_reason(machine.drain.as_ref(), reason.to_string());
         }
         if subset.is_empty() {
             return;
@@ -69,12 +72,13 @@
         if capacity.reserve(machine.id, &attempts) {
             self.charge(machine.id, &subset, allowances);
         } else {
-            self.note_unplaceable(context, machine.drain.as_ref(), machine.id, &attempts);
+            self.record_unplaceable(context, machine.drain.as_ref(), machine.id, &attempts);
         }
     }
 
-    /// Notes that replicas of a machine have no other machine to move to.
-    pub(super) fn note_unplaceable(
+    /// Records that other machines lack the capacity for these replicas, in the status of the drain and for
+    /// provisioning.
+    pub(super) fn record_unplaceable(
         &mut self,
         context: &mut ReconcileContext<'_>,
         drain: Option<&String>,
@@ -82,17 +86,18 @@
         replicas: &[AttemptId],
     ) {
         self.unplaceable.extend(replicas.iter().map(|attempt| UnplaceableReplica { machine, attempt: *attempt }));
-        context.note_wait(drain, format!("no room elsewhere for {} replicas of {machine}", replicas.len()));
+        context.add_wait_reason(drain, format!("no room elsewhere for {} replicas of {machine}", replicas.len()));
     }
 
-    /// Batch tasks are left to end for as long as their class says, then evicted if it allows that.
+    /// Charges the batch tasks of a machine. A task becomes eligible once the class's `batch_wait` has elapsed since
+    /// the drain of the machine started, and only if the class allows the eviction.
     fn charge_batch_tasks(
         &mut self,
         context: &mut ReconcileContext<'_>,
         machine: &DrainingMachine,
         allowances: &mut Allowances,
     ) {
-        note_longest_batch_task(context, machine);
+        add_longest_batch_wait(context, machine);
         let waited = Duration::from_millis(context.wall.as_millis().saturating_sub(machine.started_at.as_millis()));
         let batch = machine.view.tasks.iter().filter(|task| task.kind != TaskKind::Replica && !task.stopping);
         for task in batch {
@@ -102,12 +107,12 @@
             let load = EvictionLoad::of_class(task.class.clone(), charge_for_task(task).task_count);
             match allowances.check(&load) {
                 Ok(()) => self.charge(machine.id, &[task], allowances),
-                Err(reason) => context.note_wait(machine.drain.as_ref(), reason.to_string()),
+                Err(reason) => context.add_wait_reason(machine.drain.as_ref(), reason.to_string()),
             }
         }
     }
 
-    /// Whether a task is charged already, perhaps with its gang on another machine.
+    /// Whether a task is charged already. For a task of a gang, the charge may belong to another machine.
     fn is_charged(&self, task: &TaskView) -> bool {
         let charge = charge_for_task(task);
         self.machine_drains.values().any(|machine_drain| machine_drain.charges.contains(&charge))
@@ -125,12 +130,13 @@
         }
     }
 
-    /// Charges tasks of a machine, as many as its record has space for; the others follow when some of those are released.
+    /// Charges tasks of a machine, up to the number of charges that fit in its record. The others are charged in later
+    /// reconciliations, when earlier charges have been released.
     pub(super) fn charge(&mut self, machine: MachineId, tasks: &[&TaskView], allowances: &mut Allowances) {
-        let most = self.max_charges_per_machine();
+        let max_charges = self.max_charges_per_machine();
         let Some(machine_drain) = self.machine_drains.get_mut(&machine) else { return };
         for task in tasks {
-            if machine_drain.charges.len() >= most {
+            if machine_drain.charges.len() >= max_charges {
                 return;
             }
             let charge = charge_for_task(task);
@@ -144,7 +150,8 @@
         (self.max_value_bytes.saturating_sub(MAX_MACHINE_RECORD_OVERHEAD_BYTES) / MAX_CHARGE_BYTES).max(1)
     }
 
-    /// Opens the drain of a machine. Charges that are left from a drain that was cancelled still count.
+    /// Starts the drain of a machine. Keeps charges that remain from an earlier, cancelled drain, since their tasks may
+    /// still be unavailable.
     pub(super) fn open_machine_drain(&mut self, machine: MachineId, drain: Option<String>, started_at: WallClock) {
         let MachineDrain { charges, evicted, .. } = self.machine_drains.remove(&machine).unwrap_or_default();
         let machine_drain = MachineDrain { drain, started_at, charges, evicted, uncordoned: false };
@@ -152,15 +159,15 @@
     }
 }
 
-fn note_longest_batch_task(context: &mut ReconcileContext<'_>, machine: &DrainingMachine) {
+fn add_longest_batch_wait(context: &mut ReconcileContext<'_>, machine: &DrainingMachine) {
     let Some((task, remaining)) = longest_batch_task(&machine.view) else { return };
     let steps = remaining.as_secs_f64().div_euclid(REMAINING_TIME_STEP_S);
     let within_s = steps * REMAINING_TIME_STEP_S + REMAINING_TIME_STEP_S;
     let reason = format!("{} of {} on {} ends within {within_s} s", task.attempt.task, task.class, machine.id);
-    context.note_wait(machine.drain.as_ref(), reason);
+    context.add_wait_reason(machine.drain.as_ref(), reason);
 }
 
-/// The charge of a task; of a gang's task that of the whole gang.
+/// Returns the charge for evicting a task. For a task of a gang, it is the charge of the whole gang.
 fn charge_for_task(task: &TaskView) -> BudgetCharge {
     let (index, task_count) = match task.kind {
         TaskKind::Gang { size, .. } => (None, size),
--- a/crates/disruption/src/coordinator/consolidation.rs
+++ b/crates/disruption/src/coordinator/consolidation.rs
@@ -1,4 +1,4 @@
-//! Consolidation within the budgets: machines whose services fit elsewhere are drained to save cost.
+//! Consolidation within the budgets: drains machines whose services fit on other machines, to reduce cost.
 
 use super::{Coordinator, ReconcileContext};
 use crate::candidates;
@@ -7,7 +7,8 @@
 use caperstile_types::{MachineId, Timestamp, WallClock};
 
 impl Coordinator {
-    /// Starts to drain a machine whose services fit elsewhere, if the budgets allow it now; false: not now.
+    /// Starts to drain a machine if the budgets allow all of its replicas to be evicted now. Returns whether the drain
+    /// was started. The caller must have checked that the replicas fit on other machines.
     pub fn consolidate(&mut self, now: Timestamp, wall: WallClock, machine: MachineId, fleet: &dyn Fleet) -> bool {
         if !self.may_consolidate(machine, fleet) {
             return false;
@@ -33,7 +34,7 @@
             && !self.machine_drains.contains_key(&machine)
     }
 
-    /// Whether a machine is being consolidated.
+    /// Whether any machine is being consolidated.
     pub fn is_consolidating(&self) -> bool {
         self.machine_drains.values().any(|machine_drain| machine_drain.drain.is_none())
     }
--- a/crates/disruption/src/coordinator/context.rs
+++ b/crates/disruption/src/coordinator/context.rs
@@ -1,4 +1,4 @@
-//! What one reconciliation knows and gathers.
+//! State that exists during one reconciliation only.
 
 use crate::budget::TaskClass;
 use crate::effect::Effect;
@@ -6,27 +6,28 @@
 use caperstile_types::{Timestamp, WallClock};
 use std::collections::BTreeMap;
 
-/// What one reconciliation knows and gathers.
+/// The inputs of one reconciliation, and the wait reasons and effects that it produces.
 pub(super) struct ReconcileContext<'a> {
     pub(super) now: Timestamp,
     pub(super) wall: WallClock,
     pub(super) fleet: &'a dyn Fleet,
-    /// What is desired and unavailable at its beginning.
+    /// Number of desired and unavailable tasks of each class when the reconciliation began.
     pub(super) availability: BTreeMap<TaskClass, ClassAvailability>,
-    /// What each drain waits for, by name.
+    /// Why evictions of each drain are not possible at present, by name of the drain.
     pub(super) wait_reasons: BTreeMap<String, Vec<String>>,
     pub(super) effects: Vec<Effect>,
 }
 
 impl<'a> ReconcileContext<'a> {
-    /// The begin of a reconciliation.
+    /// Creates the context of a new reconciliation.
     pub(super) fn new(now: Timestamp, wall: WallClock, fleet: &'a dyn Fleet) -> ReconcileContext<'a> {
         let availability = fleet.availability();
         ReconcileContext { now, wall, fleet, availability, wait_reasons: BTreeMap::new(), effects: Vec::new() }
     }
 
-    /// Notes why a drain waits; consolidation has no status to show it in.
-    pub(super) fn note_wait(&mut self, drain: Option<&String>, reason: String) {
+    /// Adds a wait reason to a drain. Does nothing if `drain` is `None`: a consolidation has no status to show the
+    /// reason in.
+    pub(super) fn add_wait_reason(&mut self, drain: Option<&String>, reason: String) {
         if let Some(name) = drain {
             self.wait_reasons.entry(name.clone()).or_default().push(reason);
         }
--- a/crates/disruption/src/coordinator/evictions.rs
+++ b/crates/disruption/src/coordinator/evictions.rs
@@ -1,4 +1,4 @@
-//! Evictions: carried out once their charge is durable, and the charge released once a replacement runs.
+//! Evictions. A task is evicted once its charge is durable, and the charge is released once another attempt runs.
 
 use super::{Coordinator, ReconcileContext};
 use crate::budget::{TaskClass, scopes_for_class};
@@ -7,7 +7,7 @@
 use crate::records::BudgetCharge;
 use caperstile_types::{AttemptId, MachineId, TaskId};
 
-/// An eviction whose charge is durable and whose task was not told to stop yet.
+/// An eviction whose charge is durable and whose task has not been stopped yet.
 struct DueEviction {
     machine: MachineId,
     charge: BudgetCharge,
@@ -15,7 +15,8 @@
 }
 
 impl Coordinator {
-    /// Releases the charges of what runs again or is over, and of what a drain that does not run has charged and not evicted.
+    /// Releases the charges of tasks that run again or have ended. If the drain is no longer running, also releases the
+    /// charges of tasks that this leader has not evicted and that have not been stopped.
     pub(super) fn release_charges(&mut self, fleet: &dyn Fleet) {
         let drains = &self.drains;
         for machine_drain in self.machine_drains.values_mut() {
@@ -31,9 +32,11 @@
         }
     }
 
-    /// Drops charges whose tasks were not told to stop yet, where more is unavailable than the budget now allows.
+    /// Drops charges of tasks that have not been stopped yet if more tasks are unavailable than their budget allows by
+    /// now, for example after a failure or a change of the budget.
     ///
-    /// All machines are fenced, so that nothing which an earlier leader sent can stop such a task any more.
+    /// This is safe because all machines are fenced: a command that an earlier leader sent can no longer stop such a
+    /// task.
     pub(super) fn drop_excess_charges(&mut self, context: &ReconcileContext<'_>) {
         let allowances = self.allowances(context);
         for machine_drain in self.machine_drains.values_mut() {
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Evicts the tasks whose charge is durable. Charges that exceed a budget by now were dropped before.
+    /// Evicts the tasks whose charge is durable. The caller has already dropped charges that exceed a budget.
     pub(super) fn evict_durably_charged(&mut self, context: &mut ReconcileContext<'_>) {
         for due in self.due_evictions(context) {
             for scope in scopes_for_class(&due.class) {
--- a/crates/disruption/src/coordinator/machine_drain.rs
+++ b/crates/disruption/src/coordinator/machine_drain.rs
@@ -1,33 +1,35 @@
-//! A machine that is being drained.
+//! The drain of a single machine.
 
 use crate::drain::Drain;
 use crate::records::{BudgetCharge, MachineDrainRecord};
 use caperstile_types::WallClock;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The drain of one machine, from its cordon until the machine is gone and its charges are released.
+/// The state of a machine's drain, which lasts from its start until the machine no longer exists and all of its charges
+/// are released.
 #[derive(Debug, Clone, Default)]
 pub(super) struct MachineDrain {
-    /// For which drain; none: consolidation.
+    /// Name of the drain; `None` for a consolidation.
     pub(super) drain: Option<String>,
-    /// Since when the machine takes no new work.
+    /// Time when the drain of the machine started and the machine stopped accepting new tasks.
     pub(super) started_at: WallClock,
-    /// Evictions that are charged to the budgets.
+    /// Evictions on this machine that are charged to the budgets.
     pub(super) charges: BTreeSet<BudgetCharge>,
-    /// Charges whose tasks this leader told to stop.
+    /// Charges whose tasks this leader has evicted.
     pub(super) evicted: BTreeSet<BudgetCharge>,
-    /// Its drain was cancelled: it takes work again, and only its charges are still counted.
+    /// Whether the drain was cancelled. The machine accepts tasks again, and the state is kept only because charges
+    /// remain.
     pub(super) uncordoned: bool,
 }
 
 impl MachineDrain {
-    /// Whether more of it is to be evicted: its drain runs, or it is being consolidated.
+    /// Whether further tasks on the machine may be evicted: its drain is running, or the machine is being consolidated.
     pub(super) fn is_active(&self, drains: &BTreeMap<String, Drain>) -> bool {
         let is_running = |name: &String| drains.get(name).is_some_and(Drain::is_running);
         !self.uncordoned && self.drain.as_ref().is_none_or(is_running)
     }
 
-    /// Its durable form.
+    /// Returns the record to be stored. It does not contain `evicted`, which each leader keeps for itself.
     pub(super) fn record(&self) -> MachineDrainRecord {
         MachineDrainRecord {
             drain: self.drain.clone(),
--- a/crates/disruption/src/coordinator/machine_selection.rs
+++ b/crates/disruption/src/coordinator/machine_selection.rs
@@ -1,4 +1,4 @@
-//! Starts to drain machines: the next ones that budgets, spare capacity and replacements allow.
+//! Starts to drain further machines, as budgets, spare capacity and replacements allow.
 
 use super::replacements::ReadyReplacements;
 use super::{Coordinator, ReconcileContext};
@@ -9,10 +9,12 @@
 use caperstile_types::{AttemptId, MachineId};
 use std::collections::BTreeSet;
 
-/// Machines without spare capacity for their replicas that are tried in one reconciliation, and for which machines are rented.
+/// Maximum number of machines for whose replicas a reconciliation fails to find spare capacity before it stops trying.
+/// New machines are provisioned for these replicas.
 const MAX_UNPLACEABLE_MACHINES: usize = 8;
 
-/// What one selection of machines may use; it takes from it what it uses.
+/// Resources for one selection of machines. Starting to drain a machine uses up its share of the replacements and
+/// allowances.
 struct SelectionBudget<'a> {
     max_machines: u32,
     replacements: &'a mut ReadyReplacements,
@@ -23,18 +25,20 @@
     /// Starts to drain as many machines as budgets, spare capacity and replacements allow.
     pub(super) fn start_machine_drains(&mut self, context: &mut ReconcileContext<'_>, allowances: &mut Allowances) {
         let draining = self.draining_machines();
-        let waiting = candidates::waiting_machines(&self.drains, &draining, context.fleet, context.wall);
-        let drainable = candidates::drainable_machines(waiting, context.fleet);
+        let pending = candidates::pending_machines(&self.drains, &draining, context.fleet, context.wall);
+        let drainable = candidates::drainable_machines(pending, context.fleet);
         let fleet_size = context.fleet.machine_ids().len() as u32;
         let max_machines = self.policy.max_draining_machines.resolve(fleet_size).max(1);
         let mut replacements = self.prepare_replacements(context, &draining, max_machines);
-        let held_up = draining.iter().filter(|machine| is_held_up(**machine, context.fleet)).count() as u32;
-        let progressing = draining.len() as u32 - held_up;
-        // Machines that batch tasks hold up are counted apart, so that they do not hold up the others.
-        for (has_long_batch, taken) in [(false, progressing), (true, held_up)] {
+        let blocked_by_batch =
+            draining.iter().filter(|machine| is_blocked_by_batch(**machine, context.fleet)).count() as u32;
+        let progressing = draining.len() as u32 - blocked_by_batch;
+        // Machines that batch tasks keep occupied for long are counted separately. Otherwise they could use up the
+        // limit on drained machines and block the drains of all other machines.
+        for (has_long_batch_task, in_use) in [(false, progressing), (true, blocked_by_batch)] {
             let machines: Vec<&DrainableMachine> =
-                drainable.iter().filter(|machine| machine.has_long_batch == has_long_batch).collect();
-            let max_machines = max_machines.saturating_sub(taken);
+                drainable.iter().filter(|machine| machine.has_long_batch_task == has_long_batch_task).collect();
+            let max_machines = max_machines.saturating_sub(in_use);
             let mut budget = SelectionBudget { max_machines, replacements: &mut replacements, allowances };
             self.start_selected(context, &machines, &mut budget);
         }
@@ -57,14 +61,15 @@
             ready_replacements: budget.replacements.by_pool().clone(),
         };
         let selected: BTreeSet<MachineId> = select_machines(&candidates, &limits).into_iter().collect();
-        let started = self.start_where_placeable(context, machines, &candidates, &selected, budget);
+        let started = self.start_placeable(context, machines, &candidates, &selected, budget);
         if started == 0 {
             self.start_partial_drain(context, machines, &candidates, budget);
         }
     }
 
-    /// Starts the selected machines whose replicas all have room elsewhere; how many these are.
-    fn start_where_placeable(
+    /// Starts to drain those selected machines for all of whose replicas other machines have the capacity. Returns
+    /// their number.
+    fn start_placeable(
         &mut self,
         context: &mut ReconcileContext<'_>,
         machines: &[&DrainableMachine],
@@ -81,23 +86,23 @@
         for (machine, candidate) in machines.iter().zip(candidates) {
             if !selected.contains(&machine.machine) {
                 if let Err(reason) = budget.allowances.check(&machine.load) {
-                    context.note_wait(Some(&machine.drain), reason.to_string());
+                    context.add_wait_reason(Some(&machine.drain), reason.to_string());
                 }
             } else if unplaceable >= MAX_UNPLACEABLE_MACHINES {
-                // Where so many found no capacity others are not tried in this reconciliation.
+                // Spare capacity is probably exhausted, so no further machines are tried in this reconciliation.
             } else if reserve(machine.machine, &machine.replicas) {
                 started += 1;
                 budget.replacements.consume(candidate);
                 self.start_machine_drain(context, machine, budget.allowances);
             } else {
                 unplaceable += 1;
-                self.note_unplaceable(context, Some(&machine.drain), machine.machine, &machine.replicas);
+                self.record_unplaceable(context, Some(&machine.drain), machine.machine, &machine.replicas);
             }
         }
         started
     }
 
-    /// Starts to drain a machine with all of its replicas.
+    /// Starts to drain a machine and charges all of its replicas.
     fn start_machine_drain(
         &mut self,
         context: &ReconcileContext<'_>,
@@ -111,8 +116,8 @@
         }
     }
 
-    /// A machine that holds more of a class than may ever be unavailable at once is drained in parts, one machine of a drain at a
-    /// time.
+    /// Starts to drain a machine whose replicas exceed a budget even if nothing else is unavailable. They are evicted
+    /// in parts, and at most one machine of each drain is drained in this way at a time.
     fn start_partial_drain(
         &mut self,
         context: &ReconcileContext<'_>,
@@ -132,7 +137,8 @@
         }
     }
 
-    /// Drains with a machine that still holds replicas. One that only waits for batch tasks to end holds no other up.
+    /// Returns the drains with a machine that is being drained and still holds replicas. A machine that only waits for
+    /// batch tasks to end does not count, so that it does not block the other machines of its drain.
     fn drains_moving_replicas(&self, fleet: &dyn Fleet) -> BTreeSet<String> {
         let holds_replicas = |machine: MachineId| {
             fleet.machine(machine).is_some_and(|view| candidates::replicas(&view).next().is_some())
@@ -142,12 +148,13 @@
     }
 }
 
-/// Whether a machine's load never fits its budgets at once, and some of it may be evicted now.
+/// Whether a machine's replicas exceed a budget even if nothing else is unavailable, and some of them may be evicted
+/// now.
 fn needs_partial_drain(machine: &DrainableMachine, fleet: &dyn Fleet, allowances: &Allowances) -> bool {
     let evictable = |view| !candidates::evictable_subset(candidates::replicas(&view), allowances).is_empty();
     allowances.exceeds_full_budget(&machine.load) && fleet.machine(machine.machine).is_some_and(evictable)
 }
 
-fn is_held_up(machine: MachineId, fleet: &dyn Fleet) -> bool {
-    fleet.machine(machine).as_ref().is_some_and(candidates::has_long_batch)
+fn is_blocked_by_batch(machine: MachineId, fleet: &dyn Fleet) -> bool {
+    fleet.machine(machine).as_ref().is_some_and(candidates::has_long_batch_task)
 }
--- a/crates/disruption/src/coordinator/persistence.rs
+++ b/crates/disruption/src/coordinator/persistence.rs
@@ -1,4 +1,4 @@
-//! Durable records: restored by a new leader, and reconciled with what it decides.
+//! Restores the durable records after an election and updates them after each reconciliation.
 
 use super::machine_drain::MachineDrain;
 use super::{Coordinator, ReconcileContext};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Coordinator {
-    /// Takes over what earlier leaders stored.
+    /// Restores the state that earlier leaders stored. Removes records that cannot be parsed or belong to no drain.
     pub(super) fn restore(&mut self) {
         self.records_restored = true;
         self.restore_drains();
@@ -55,7 +55,7 @@
         self.machine_drains = machine_drains.collect();
     }
 
-    /// Makes what this leader knows the desired records; the store writes what differs.
+    /// Sets the desired records to the current state. The store writes those that differ from the observed ones.
     pub(super) fn update_desired_records(&mut self) {
         let desired = self.desired_records();
         let keys: BTreeSet<&String> = desired.iter().map(|(key, _)| key).collect();
@@ -64,11 +64,11 @@
         desired.into_iter().for_each(|(key, value)| self.store.set_desired(key, value));
     }
 
-    /// All records, in the order in which they are to be written.
+    /// Returns all records in the order in which to write them.
     fn desired_records(&self) -> Vec<(String, Value)> {
         let mut desired = Vec::new();
         for (name, drain) in &self.drains {
-            // Its machines before its status: a drain without a status was not accepted yet.
+            // The members are written before the status, because a drain counts as accepted once its status is durable.
             let members = drain.member_records(self.max_value_bytes).into_iter().enumerate();
             desired.extend(members.filter_map(|(part, record)| entry(member_key(name, part), &record)));
             desired.extend(entry(status_key(name), &drain.status));
@@ -79,13 +79,13 @@
         desired
     }
 
-    /// The charges of a machine that are durable, so that their tasks may be told to stop.
+    /// Returns the durable charges of a machine. Only tasks with a durable charge may be evicted.
     pub(super) fn durable_charges(&self, machine: MachineId) -> Vec<BudgetCharge> {
         let record = self.store.observed(&machine_key(machine)).and_then(parse::<MachineDrainRecord>);
         record.map(|record| record.charges).unwrap_or_default()
     }
 
-    /// Machines whose drain is durable get no further work.
+    /// Requests the cordon of each machine whose drain is durable.
     pub(super) fn cordon_machines(&self, context: &mut ReconcileContext<'_>) {
         let is_durable = |machine: &MachineId| self.store.observed(&machine_key(*machine)).is_some();
         let cordoned = self.draining_machines().into_iter().filter(is_durable);
@@ -93,12 +93,12 @@
     }
 }
 
-/// A record with its key.
+/// Serializes a record and pairs it with its key.
 fn entry(key: String, record: &impl Serialize) -> Option<(String, Value)> {
     serde_json::to_value(record).ok().map(|value| (key, value))
 }
 
-/// A value, if it has the expected form.
+/// Parses the value of a record. Returns `None` if it does not have the expected form.
 fn parse<T: serde::de::DeserializeOwned>(value: &Value) -> Option<T> {
     serde_json::from_value(value.clone()).ok()
 }
--- a/crates/disruption/src/coordinator/replacements.rs
+++ b/crates/disruption/src/coordinator/replacements.rs
@@ -1,4 +1,4 @@
-//! Replacements: machines of the same pool that are rented before others are drained.
+//! Replacement machines, which are provisioned in the same pool before the machines that they replace are drained.
 
 use super::{Coordinator, ReconcileContext};
 use crate::drain::Drain;
@@ -9,32 +9,32 @@
 use caperstile_types::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How the machines of a pool are being replaced, over all drains that do so.
+/// Progress of the replacement of machines in one pool, over all running drains that replace machines.
 #[derive(Debug, Default)]
 struct PoolReplacement {
-    /// Machines to be replaced that are gone or being drained.
+    /// Number of machines that have used up a replacement: they are being drained or no longer exist.
     consumed: u32,
-    /// Those that are still to come.
+    /// Number of machines that are still to be drained.
     remaining: u32,
     supply: ReplacementSupply,
 }
 
-/// Replacements that are up and not counted for a machine yet, by pool.
+/// Number of replacements in each pool that are up and not used up by a drained machine.
 pub(super) struct ReadyReplacements(BTreeMap<InstancePool, u32>);
 
 impl ReadyReplacements {
-    /// How many are ready in each pool.
+    /// Returns the number of ready replacements in each pool.
     pub(super) fn by_pool(&self) -> &BTreeMap<InstancePool, u32> {
         &self.0
     }
 
-    /// Whether a machine may be drained: it needs no replacement, or one is ready.
+    /// Whether a machine needs no replacement or one is ready in its pool.
     pub(super) fn available_for(&self, candidate: &Candidate) -> bool {
         let available = |pool: &InstancePool| self.0.get(pool).is_some_and(|ready| *ready > 0);
         candidate.replacement_pool.as_ref().is_none_or(available)
     }
 
-    /// A machine that starts to be drained takes one of its pool.
+    /// Uses up a ready replacement for a machine whose drain starts, if the machine needs one.
     pub(super) fn consume(&mut self, candidate: &Candidate) {
         if let Some(ready) = candidate.replacement_pool.as_ref().and_then(|pool| self.0.get_mut(pool)) {
             *ready = ready.saturating_sub(1);
@@ -43,7 +43,7 @@
 }
 
 impl Coordinator {
-    /// Rents what the next reconciliations need, and returns the replacements that are ready.
+    /// Requests the provisioning of the replacements that will be needed next. Returns those that are ready.
     pub(super) fn prepare_replacements(
         &self,
         context: &mut ReconcileContext<'_>,
@@ -56,10 +56,11 @@
         ReadyReplacements(replacements.into_iter().map(|(pool, replacement)| (pool, ready(replacement))).collect())
     }
 
-    /// How far replacing is, by pool.
+    /// Computes the progress of the replacement in each pool.
     ///
-    /// Only machines that were there when the first of these drains was accepted need a replacement: one that was rented since,
-    /// and is drained by a later drain, takes its own share of the supply along when it goes.
+    /// A drained machine counts as consumed only if it was provisioned before the first of these drains was accepted.
+    /// A machine that was provisioned later was itself part of the supply and leaves it when it is drained by a later
+    /// drain, so counting it as consumed would subtract it twice.
     fn pool_replacements(
         &self,
         draining: &BTreeSet<MachineId>,
@@ -87,7 +88,8 @@
         pools
     }
 
-    /// Rents ahead what is not booting yet.
+    /// Requests the missing replacements: those for drained machines and for up to `max_machines` that are drained
+    /// next, minus those that are ready or booting.
     fn scale_out_replacements(
         &self,
         context: &mut ReconcileContext<'_>,
@@ -101,19 +103,19 @@
                 continue;
             }
             if replacement.supply.recently_refused {
-                self.note_pool_unavailable(context, pool);
+                self.add_pool_wait_reasons(context, pool);
             } else {
                 context.effects.push(Effect::ScaleOut { pool: pool.clone(), count: missing });
             }
         }
     }
 
-    fn note_pool_unavailable(&self, context: &mut ReconcileContext<'_>, pool: &InstancePool) {
+    fn add_pool_wait_reasons(&self, context: &mut ReconcileContext<'_>, pool: &InstancePool) {
         let needs_pool = |drain: &Drain| {
             drain.is_running() && drain.replaces_machines() && drain.members.values().any(|member| member.pool == *pool)
         };
         for (name, _) in self.drains.iter().filter(|(_, drain)| needs_pool(drain)) {
-            context.note_wait(Some(name), format!("the cloud has no {pool}"));
+            context.add_wait_reason(Some(name), format!("the cloud has no {pool}"));
         }
     }
 }
--- a/crates/disruption/src/coordinator/requests.rs
+++ b/crates/disruption/src/coordinator/requests.rs
@@ -1,4 +1,5 @@
-//! Operators' requests: accepted, followed when they change, and forgotten long after their drain has ended.
+//! Processes the operators' requests: accepts new ones, applies changes, and removes the oldest requests of ended
+//! drains.
 
 use super::{Coordinator, ReconcileContext};
 use crate::acceptance::{RequestContext, accept_request};
@@ -8,41 +9,41 @@
 use crate::record_store::ObservedRequest;
 use crate::records::DrainPhase;
 
-/// Drains that have ended and are still shown.
+/// Maximum number of ended drains whose requests and statuses are kept.
 const MAX_ENDED_DRAINS: usize = 20;
 
 impl Coordinator {
-    /// Accepts new requests, and follows those that were changed.
-    pub(super) fn follow_requests(&mut self, context: &ReconcileContext<'_>) {
+    /// Accepts or refuses new requests and applies changed ones. Cancels drains whose request was removed.
+    pub(super) fn process_requests(&mut self, context: &ReconcileContext<'_>) {
         for (name, drain) in &mut self.drains {
             drain.is_durable = self.store.observed(&status_key(name)).is_some();
         }
         let requests = self.store.requests().clone();
         for (name, observed) in &requests {
-            self.follow_request(context, name, observed);
+            self.process_request(context, name, observed);
         }
         for (name, drain) in &mut self.drains {
-            // Whoever removes a request does not want the drain any more.
+            // Removing the request cancels the drain.
             if !requests.contains_key(name) && drain.status.phase.is_open() {
                 drain.status.phase = DrainPhase::Cancelled;
             }
         }
-        self.forget_oldest_ended();
+        self.remove_oldest_ended();
     }
 
-    fn follow_request(&mut self, context: &ReconcileContext<'_>, name: &str, observed: &ObservedRequest) {
+    fn process_request(&mut self, context: &ReconcileContext<'_>, name: &str, observed: &ObservedRequest) {
         match (self.drains.get_mut(name), &observed.request) {
             (Some(drain), _) if drain.status.request_revision == observed.revision => {}
             (Some(drain), Some(request)) => drain.apply_request(request, observed.revision),
             (Some(_), None) => {}
-            // Machines and their tasks must be known.
+            // A new request is checked against all machines and tasks, which are not fully known yet.
             (None, _) if !context.fleet.is_complete() => {}
             (None, Some(request)) => {
                 let request_context = RequestContext {
                     wall: context.wall,
                     fleet: context.fleet,
                     policy: &self.policy,
-                    others: &self.drains,
+                    other_drains: &self.drains,
                 };
                 let drain = accept_request(name, request, observed.revision, &request_context);
                 self.drains.insert(name.to_string(), drain);
@@ -53,14 +54,14 @@
         }
     }
 
-    fn forget_oldest_ended(&mut self) {
+    fn remove_oldest_ended(&mut self) {
         let ended = self.drains.iter().filter(|(_, drain)| !drain.status.phase.is_open());
         let mut ended: Vec<(u64, String)> =
             ended.map(|(name, drain)| (drain.status.created_revision, name.clone())).collect();
         ended.sort();
         let excess = ended.len().saturating_sub(MAX_ENDED_DRAINS);
         for (_, name) in ended.into_iter().take(excess) {
-            // Its request goes first: one without a status would be accepted anew.
+            // The request is removed before the status. A request without a status would be accepted again.
             if self.store.requests().contains_key(&name) {
                 self.store.remove_request(&name);
             } else {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Machines of cancelled drains take work again, unless another drain has them as members too.
+    /// Uncordons the machines of drains that have ended before the machines were released, which happens when a drain
+    /// is cancelled. If another running drain includes a machine too, that drain takes it over instead.
     pub(super) fn release_cancelled(&mut self, context: &mut ReconcileContext<'_>) {
         for (machine, machine_drain) in &mut self.machine_drains {
             let Some(name) = &machine_drain.drain else { continue };
--- a/crates/disruption/src/coordinator/statuses.rs
+++ b/crates/disruption/src/coordinator/statuses.rs
@@ -1,17 +1,18 @@
-//! The status of each drain, which operators see.
+//! Updates the statuses of drains, which are shown to operators.
 
 use super::{Coordinator, ReconcileContext};
 use crate::drain::Drain;
 use caperstile_types::{Duration, MachineId};
 use std::collections::BTreeSet;
 
-/// Reasons for waiting that a status names.
+/// Maximum number of wait reasons in a status.
 const MAX_WAIT_REASONS: usize = 5;
-/// A drain's status is written no more often, and less often where several drains are open.
+/// Minimum interval between two updates of the statuses. It is multiplied by the number of open drains, to limit the
+/// rate of writes.
 const STATUS_UPDATE_INTERVAL: Duration = Duration::from_secs(2);
 
 impl Coordinator {
-    /// Updates the status of each drain, not more often than needed.
+    /// Updates the statuses of all drains if the minimum interval has elapsed.
     pub(super) fn update_statuses(&mut self, context: &ReconcileContext<'_>) {
         let open = self.drains.values().filter(|drain| drain.status.phase.is_open()).count() as u64;
         if context.now.since(self.statuses_updated_at) < STATUS_UPDATE_INTERVAL * open.max(1) {
@@ -21,7 +22,7 @@
         let draining = self.draining_machines();
         for (name, drain) in &mut self.drains {
             let reasons = context.wait_reasons.get(name).cloned().unwrap_or_default();
-            drain.status.wait_reasons = if drain.is_running() { shortened(reasons) } else { Vec::new() };
+            drain.status.wait_reasons = if drain.is_running() { limit_reasons(reasons) } else { Vec::new() };
             if context.fleet.is_complete() && drain.status.phase.is_open() {
                 count_machines(drain, context, &draining);
             }
@@ -29,14 +30,14 @@
     }
 }
 
-fn shortened(mut reasons: Vec<String>) -> Vec<String> {
+fn limit_reasons(mut reasons: Vec<String>) -> Vec<String> {
     reasons.dedup();
     reasons.truncate(MAX_WAIT_REASONS);
     reasons
 }
 
 fn count_machines(drain: &mut Drain, context: &ReconcileContext<'_>, draining: &BTreeSet<MachineId>) {
-    let left: Vec<&MachineId> = drain.members.keys().filter(|machine| context.fleet.exists(**machine)).collect();
-    drain.status.draining = left.iter().filter(|machine| draining.contains(**machine)).count() as u32;
-    drain.status.drained = (drain.members.len() - left.len()) as u32;
+    let existing: Vec<&MachineId> = drain.members.keys().filter(|machine| context.fleet.exists(**machine)).collect();
+    drain.status.draining = existing.iter().filter(|machine| draining.contains(**machine)).count() as u32;
+    drain.status.drained = (drain.members.len() - existing.len()) as u32;
 }
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -1,4 +1,4 @@
-//! One drain: its request, its status and its machines.
+//! A drain that an operator requested: its request, status and machines.
 
 use crate::budget::Scope;
 use crate::instance_pool::InstancePool;
@@ -9,25 +9,26 @@
 use caperstile_types::{MachineId, WallClock};
 use std::collections::BTreeMap;
 
-/// A machine of a drain, as it was when the drain was accepted.
+/// Properties of a machine in a drain, recorded when the drain was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Member {
     pub pool: InstancePool,
     pub provisioned_at: WallClock,
 }
 
-/// A drain that operators requested.
+/// A drain that an operator requested.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Drain {
     pub request: DrainRequest,
     pub status: DrainStatus,
-    /// Its machines, those that are gone included.
+    /// All machines of the drain, including those that no longer exist.
     pub members: BTreeMap<MachineId, Member>,
-    /// Whether its status is stored, so that the next leader knows its machines.
+    /// Whether the status, and thus the machines written before it, is durable. The next leader can then continue the
+    /// drain.
     pub is_durable: bool,
 }
 
-/// Why a request is refused. Operators see the text in the status of the drain.
+/// Why a request is refused. The message is shown to operators in the status of the drain.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum DrainRefusal {
     #[error("the request cannot be read: it is of another version, or damaged")]
@@ -43,7 +44,7 @@
 }
 
 impl Drain {
-    /// The drain of a request that cannot be read.
+    /// Creates the refused drain for a request that cannot be parsed.
     pub fn unreadable(revision: u64, wall: WallClock) -> Drain {
         let request = DrainRequest {
             selector: MachineSelector::Machines(Vec::new()),
@@ -55,7 +56,7 @@
         Drain { request, status, members: BTreeMap::new(), is_durable: false }
     }
 
-    /// Applies a request that the operators changed.
+    /// Applies a changed request. Only the desired state can change; selector and mode remain as accepted.
     pub fn apply_request(&mut self, request: &DrainRequest, revision: u64) {
         self.status.request_revision = revision;
         self.request.desired_state = request.desired_state;
@@ -68,19 +69,20 @@
         }
     }
 
-    /// Whether its machines are to be drained now.
+    /// Whether machines may be drained now: the drain is durable and neither paused nor ended.
     pub fn is_running(&self) -> bool {
         self.is_durable && self.status.phase == DrainPhase::Running
     }
 
-    /// Whether machines of the same pool are rented first.
+    /// Whether each machine is drained only after a replacement in its pool has been provisioned.
     pub fn replaces_machines(&self) -> bool {
         self.request.mode == DrainMode::Replace
     }
 
-    /// Its machines in records that fit into values of this size, in bytes.
+    /// Returns the machines as records of at most `max_value_bytes` each, unless a single machine exceeds that size.
+    /// Each record holds machines of one pool.
     pub fn member_records(&self, max_value_bytes: usize) -> Vec<MemberRecord> {
-        let most = (max_value_bytes.saturating_sub(MAX_MEMBER_RECORD_OVERHEAD_BYTES) / MAX_MEMBER_BYTES).max(1);
+        let max_machines = (max_value_bytes.saturating_sub(MAX_MEMBER_RECORD_OVERHEAD_BYTES) / MAX_MEMBER_BYTES).max(1);
         let mut by_pool: BTreeMap<&InstancePool, Vec<MemberMachine>> = BTreeMap::new();
         for (id, member) in &self.members {
             by_pool
@@ -90,7 +92,7 @@
         }
         let mut records = Vec::new();
         for (pool, machines) in by_pool {
-            let parts = machines.chunks(most).map(<[_]>::to_vec);
+            let parts = machines.chunks(max_machines).map(<[_]>::to_vec);
             records.extend(parts.map(|machines| MemberRecord { pool: pool.clone(), machines }));
         }
         records
--- a/crates/disruption/src/effect.rs
+++ b/crates/disruption/src/effect.rs
@@ -1,45 +1,46 @@
-//! What the leader carries out for the drains.
+//! Actions that the leader executes for drains.
 
 use crate::instance_pool::InstancePool;
 use caperstile_types::{AttemptId, JobId, MachineId};
 
-/// What is told to stop.
+/// The task or gang to be evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eviction {
-    /// One task.
+    /// A single task, replica or batch.
     Task {
-        /// Its machine.
+        /// The machine that the task runs on.
         machine: MachineId,
-        /// The attempt.
+        /// The attempt to be stopped.
         attempt: AttemptId,
     },
-    /// All tasks of a gang.
+    /// All tasks of the gang of this job.
     Gang(JobId),
 }
 
-/// What a reconciliation wants done.
+/// An action that a reconciliation requests from the leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Start no more tasks on this machine, and release it once it is empty.
+    /// Cordon a machine: start no more tasks on it, and release it once it is empty. Requested again in each
+    /// reconciliation.
     Cordon(MachineId),
-    /// Start tasks on it again.
+    /// Uncordon a machine, so that tasks may be started on it again.
     Uncordon(MachineId),
-    /// Evict a task, or a gang.
+    /// Evict a task or a gang. Its charge to the budgets is durable.
     Evict(Eviction),
-    /// Rent machines of a pool.
+    /// Provision machines in a pool.
     ScaleOut {
         /// Machine type, zone and purchase model.
         pool: InstancePool,
-        /// How many.
+        /// Number of machines to provision.
         count: u32,
     },
 }
 
-/// A replica that has to leave its machine and has no other to move to.
+/// A replica that is to be evicted, but for which no other machine has spare capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnplaceableReplica {
-    /// The machine that is drained.
+    /// The machine that is being drained or is to be drained.
     pub machine: MachineId,
-    /// The replica.
+    /// The attempt of the replica.
     pub attempt: AttemptId,
 }
--- a/crates/disruption/src/eviction_load.rs
+++ b/crates/disruption/src/eviction_load.rs
@@ -1,20 +1,20 @@
-//! What an eviction takes from the disruption budgets.
+//! The number of tasks that an eviction charges to the disruption budgets.
 
 use crate::budget::{Scope, TaskClass, scopes_for_class};
 use crate::fleet::TaskView;
 use std::collections::BTreeMap;
 
-/// How many tasks of each class an eviction makes unavailable.
+/// Number of tasks of each class that an eviction makes unavailable.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionLoad(BTreeMap<TaskClass, u32>);
 
 impl EvictionLoad {
-    /// The load of so many tasks of one class.
+    /// Returns the load of `task_count` tasks of one class.
     pub fn of_class(class: TaskClass, task_count: u32) -> EvictionLoad {
         EvictionLoad(BTreeMap::from([(class, task_count)]))
     }
 
-    /// The load of these tasks. A task that is already unavailable adds nothing.
+    /// Returns the load of these tasks. Tasks that are already unavailable are not counted.
     pub fn of_tasks<'a>(tasks: impl IntoIterator<Item = &'a TaskView>) -> EvictionLoad {
         let mut load = EvictionLoad::default();
         for task in tasks.into_iter().filter(|task| !task.already_unavailable) {
@@ -23,26 +23,26 @@
         load
     }
 
-    /// Adds one task of a class.
+    /// Adds one task of a class to the load.
     pub fn add_task(&mut self, class: &TaskClass) {
         *self.0.entry(class.clone()).or_default() += 1;
     }
 
-    /// Takes one task of a class out again.
+    /// Removes one task of a class that was added before.
     pub fn remove_task(&mut self, class: &TaskClass) {
         if let Some(count) = self.0.get_mut(class) {
             *count -= 1;
         }
     }
 
-    /// Adds another load to this one.
+    /// Adds all tasks of another load to this one.
     pub fn add(&mut self, other: &EvictionLoad) {
         for (class, count) in &other.0 {
             *self.0.entry(class.clone()).or_default() += count;
         }
     }
 
-    /// The load of each scope that is charged for it.
+    /// Returns the number of tasks charged to each scope.
     pub fn by_scope(&self) -> BTreeMap<Scope, u32> {
         let mut scopes = BTreeMap::new();
         for (class, count) in &self.0 {
--- a/crates/disruption/src/fleet.rs
+++ b/crates/disruption/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as drains see it: machines, their tasks, and how much of each class is available.
+//! The coordinator's interface to the fleet: machines, their tasks, and the availability of each class.
 
 use crate::budget::TaskClass;
 use crate::instance_pool::InstancePool;
@@ -6,117 +6,119 @@
 use caperstile_types::{AttemptId, Duration, MachineId, WallClock};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What kind of work a task is, as far as its eviction matters.
+/// The kind of a task, which determines how it is evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskKind {
-    /// A replica of a service: it is moved.
+    /// A replica of a service. It is restarted on another machine.
     Replica,
-    /// An independent task, which ends by itself.
+    /// A batch task that is independent of others and ends on its own.
     Batch {
-        /// Whether it saves checkpoints.
+        /// Whether the task saves checkpoints.
         checkpoints: bool,
     },
-    /// A task of a gang, which ends with the whole gang.
+    /// A task of a gang. It can be evicted only together with the whole gang.
     Gang {
         /// Whether the gang saves checkpoints.
         checkpoints: bool,
-        /// How many tasks the gang has.
+        /// Number of tasks in the gang.
         size: u32,
     },
 }
 
-/// A task on a machine.
+/// A task on a machine, as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskView {
-    /// The attempt.
+    /// The attempt that runs on the machine.
     pub attempt: AttemptId,
-    /// Team and class of its job.
+    /// Team and class of the task's job.
     pub class: TaskClass,
-    /// What it is.
+    /// Whether the task is a replica, a batch task or part of a gang.
     pub kind: TaskKind,
-    /// Whether it was told to stop.
+    /// Whether the leader has commanded the task to stop.
     pub stopping: bool,
-    /// Whether `ClassAvailability::unavailable` counts it already, so that stopping it takes no more capacity.
+    /// Whether `ClassAvailability::unavailable` already includes the task, so that its eviction does not use up any
+    /// more of the budget.
     pub already_unavailable: bool,
-    /// Predicted time until it ends by itself; none for replicas.
+    /// Predicted time until the task ends on its own; `None` for replicas.
     pub predicted_remaining: Option<Duration>,
 }
 
-/// A machine.
+/// A machine, as the leader sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MachineView {
     /// Machine type, zone and purchase model.
     pub pool: InstancePool,
-    /// When it was rented.
+    /// Time when the machine was provisioned.
     pub provisioned_at: WallClock,
-    /// Whether it was reached within the overdue time of a heartbeat.
+    /// Whether the machine was reached within the time after which a heartbeat is overdue.
     pub reachable: bool,
-    /// Whether it leaves anyhow: it is being released, or the cloud reclaims it.
+    /// Whether the machine is about to be removed anyway: it is being released, or the cloud is reclaiming it.
     pub terminating: bool,
-    /// Tasks on it.
+    /// The tasks on the machine.
     pub tasks: Vec<TaskView>,
 }
 
-/// How many tasks of a class are desired, and how many of them are unavailable.
+/// Number of desired tasks of a class, and how many of them are unavailable.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassAvailability {
-    /// Replicas, and batch tasks that have not ended.
+    /// Number of replicas, and of batch tasks that have not ended.
     pub desired: u32,
-    /// Replicas that do not run, are told to stop, or are unreachable, for whatever reason.
+    /// Number of replicas that are not running, are being stopped or are unreachable, for any reason.
     pub unavailable: u32,
 }
 
-/// What became of a charged attempt.
+/// State of an attempt whose eviction was charged to the budgets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChargeState {
-    /// It is still on its machine and was not told to stop.
+    /// The attempt is still on its machine and has not been commanded to stop.
     Pending {
-        /// Its class.
+        /// Class of the task.
         class: TaskClass,
-        /// Whether `ClassAvailability::unavailable` counts it already.
+        /// Whether `ClassAvailability::unavailable` already includes the task.
         already_unavailable: bool,
     },
-    /// It was told to stop, and no other attempt runs yet.
+    /// The attempt was commanded to stop or has ended, and no other attempt of the task is running yet.
     Disrupted {
-        /// Its class.
+        /// Class of the task.
         class: TaskClass,
-        /// Whether `ClassAvailability::unavailable` counts it already, as it does with replicas.
+        /// Whether `ClassAvailability::unavailable` already includes the task, as is the case for replicas.
         already_unavailable: bool,
     },
-    /// Another attempt runs, or there is nothing to run any more: the charge no longer counts.
+    /// Another attempt is running, or the task no longer needs to run. The charge no longer counts.
     Released,
 }
 
-/// Machines of a pool that were rented to replace others.
+/// Machines of a pool that are available or expected as replacements for others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplacementSupply {
-    /// Up and usable.
+    /// Number of machines that are up and usable.
     pub ready: u32,
-    /// Still booting.
+    /// Number of machines that are still booting.
     pub booting: u32,
-    /// Whether the cloud refused such machines lately.
+    /// Whether the cloud recently refused to provision machines in this pool.
     pub recently_refused: bool,
 }
 
-/// The fleet as the leader sees it.
+/// The fleet as the leader sees it at one point in time.
 pub trait Fleet {
-    /// Whether every machine that earlier leaders commanded is fenced or gone, so that nothing is missing from this view.
+    /// Whether every machine that received commands from an earlier leader is fenced or gone. Until then, tasks may be
+    /// missing from this view.
     fn is_complete(&self) -> bool;
-    /// A zone that is unreachable as a whole.
+    /// Returns a zone that is unreachable as a whole, or `None` if there is none.
     fn unreachable_zone(&self) -> Option<String>;
-    /// All machines that are up.
+    /// Returns all machines that are up.
     fn machine_ids(&self) -> Vec<MachineId>;
-    /// Whether a machine still exists; false only once it is surely gone.
+    /// Whether a machine may still exist; false only once it is known to be gone.
     fn exists(&self, id: MachineId) -> bool;
-    /// A machine with its tasks; none once it is surely gone.
+    /// Returns a machine with its tasks, or `None` once it is known to be gone.
     fn machine(&self, id: MachineId) -> Option<MachineView>;
-    /// What is desired and unavailable, by class.
+    /// Returns the number of desired and unavailable tasks of each class.
     fn availability(&self) -> BTreeMap<TaskClass, ClassAvailability>;
-    /// What became of a charged attempt.
+    /// Returns the state of the attempt, or of the gang, for which an eviction was charged.
     fn charge_state(&self, charge: &BudgetCharge) -> ChargeState;
-    /// Spare capacity for replicas, without the excluded machines.
+    /// Returns the capacity for replicas on all machines except the excluded ones.
     fn spare_capacity<'a>(&'a self, excluded: &BTreeSet<MachineId>) -> Box<dyn SpareCapacity + 'a>;
-    /// Machines of a pool that were rented since, without the excluded ones.
+    /// Counts the machines of a pool that were provisioned at or after `since`, except the excluded ones.
     fn replacement_supply(
         &self,
         pool: &InstancePool,
@@ -125,8 +127,10 @@
     ) -> ReplacementSupply;
 }
 
-/// Spare capacity that is reserved step by step, so that several replicas do not count on the same.
+/// Spare capacity of the fleet. Reservations are kept for the lifetime of the value, so that no capacity is assigned
+/// to two replicas.
 pub trait SpareCapacity {
-    /// Reserves capacity for these replicas of a machine; false, and nothing reserved, if not all of them fit.
+    /// Reserves capacity for these replicas of machine `from`. If not all of them fit, reserves nothing and returns
+    /// false.
     fn reserve(&mut self, from: MachineId, tasks: &[AttemptId]) -> bool;
 }
--- a/crates/disruption/src/instance_pool.rs
+++ b/crates/disruption/src/instance_pool.rs
@@ -1,18 +1,18 @@
-//! Instance pools: machines that replace each other because they are of one type, zone and purchase model.
+//! Instance pools: groups of interchangeable machines of one machine type, zone and purchase model.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Machine type, zone and purchase model. Stored in the members of a drain.
+/// A pool of machines of one machine type, zone and purchase model. Stored in the member records of drains.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct InstancePool {
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "k")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether the machines are spot instances; otherwise they are on-demand.
+    /// Whether the machines are spot instances; otherwise, they are on-demand instances.
     #[serde(rename = "s")]
     pub spot: bool,
 }
--- a/crates/disruption/src/lib.rs
+++ b/crates/disruption/src/lib.rs
@@ -1,10 +1,12 @@
-//! Disruption budgets and stepwise drains, as a pure state machine.
+//! Drains machines step by step within disruption budgets. Implemented as a pure state machine.
 //!
-//! Operators request drains by keys of the state service ([`record_keys`]). The leading controller shows the [`Coordinator`] the
-//! fleet ([`Fleet`]) and carries its [`Effect`]s out. Every voluntary eviction passes one check: it is charged to the budgets of its
-//! team and class ([`Policy`]), the charge is made durable, and only then the task is told to stop.
+//! Operators request a drain by writing a key in the state service ([`record_keys`]). The leader passes its view of
+//! the fleet ([`Fleet`]) to the [`Coordinator`] and executes the [`Effect`]s that the coordinator returns. All
+//! voluntary evictions follow the same procedure: the eviction is charged to the budgets of the task's team and class
+//! ([`Policy`]), the charge is written to the state service, and the task is stopped only after that write is durable.
 //!
-//! There is no I/O and no clock here. Given the same records, facts and time, every leader decides the same.
+//! The crate performs no I/O and reads no clock. Decisions are deterministic: given the same records, fleet and time,
+//! every leader makes the same ones.
 #![forbid(unsafe_code)]
 
 mod acceptance;
--- a/crates/disruption/src/policy_parser.rs
+++ b/crates/disruption/src/policy_parser.rs
@@ -1,80 +1,80 @@
-//! Reads budgets from the sections of the operators' INI file and checks them.
+//! Parses and validates disruption budgets and drain settings from sections of the operators' INI file.
 
 use crate::budget::{BatchEviction, Budget, Limit, Policy, TaskClass, WindowLimit};
 use crate::window::{MinuteOfDay, Window};
 use caperstile_types::Duration;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A section of the operators' file.
+/// A section of the operators' INI file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Section {
-    /// Name.
+    /// Name of the section, without brackets.
     pub name: String,
-    /// Keys and values.
+    /// Pairs of key and value, in the order of the file.
     pub entries: Vec<(String, String)>,
 }
 
-/// Why a setting cannot be used.
+/// A setting that is invalid, with its location in the file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("[{section}] {key}: {reason}")]
 pub struct PolicyError {
-    /// Section.
+    /// Name of the section.
     pub section: String,
-    /// Key.
+    /// Name of the key; empty if the section's name itself is invalid.
     pub key: String,
-    /// What is wrong.
+    /// Why the setting is invalid.
     pub reason: InvalidSetting,
 }
 
-/// What is wrong with a setting.
+/// Why a setting is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSetting {
-    /// The key has no meaning here.
+    /// The section has no setting with this key.
     #[error("not a known setting")]
     UnknownKey,
-    /// A key that must be there is not.
+    /// A required key is missing.
     #[error("is missing")]
     Missing,
-    /// Not a switch.
+    /// The value is not a boolean.
     #[error("`{0}` is neither yes nor no")]
     NotYesOrNo(String),
-    /// A limit of 0 machines.
+    /// The limit on drained machines is 0.
     #[error("must be at least 1")]
     BelowOne,
-    /// Not a percentage.
+    /// The value is not a percentage from 0% to 100%.
     #[error("`{0}` is not a share from 0% to 100%")]
     NotAShare(String),
-    /// Neither a count nor a percentage.
+    /// The value is neither a count nor a percentage.
     #[error("`{0}` is neither a count such as 3 nor a share such as 10%")]
     NotALimit(String),
-    /// Not a duration.
+    /// The value is not a duration in the allowed range.
     #[error("`{0}` is not a time from 0 to {MAX_DURATION_S} seconds")]
     NotADuration(String),
-    /// Not a rule for batch tasks.
+    /// The value is not one of the rules for evicting batch tasks.
     #[error("`{0}` is not never, checkpointed or always")]
     NotABatchEviction(String),
-    /// A limit for a window that is not defined.
+    /// The limit refers to a window that is not defined.
     #[error("there is no section [{WINDOW}{0}]")]
     UnknownWindow(String),
-    /// A budget of a team without a class after its slash.
+    /// The section's name ends after the slash that separates team and class.
     #[error("the class is missing")]
     MissingClass,
-    /// A budget of nobody.
+    /// The budget is for a team that the deployment does not have.
     #[error("`{0}` names no team of this deployment")]
     UnknownTeam(String),
-    /// Not a time of day.
+    /// The value is not a time of day.
     #[error("`{0}` is not a time such as 09:30")]
     NotATimeOfDay(String),
-    /// Not a time zone of the IANA database.
+    /// The value is not the name of a time zone in the IANA database.
     #[error("`{0}` is not a known time zone")]
     UnknownTimeZone(String),
-    /// The window has no length.
+    /// The window begins and ends at the same time of day.
     #[error("the window is empty: it ends when it begins")]
     EmptyWindow,
-    /// Not a day of the week.
+    /// The value is not an abbreviated day of the week.
     #[error("`{0}` is not a day such as mon")]
     NotADay(String),
-    /// A span of days that runs backwards.
+    /// A range of days ends before it begins.
     #[error("`{0}` ends before it begins")]
     ReversedDays(String),
 }
@@ -83,16 +83,17 @@
 const BUDGET: &str = "budget ";
 const WINDOW: &str = "window ";
 const MAX_UNAVAILABLE: &str = "max_unavailable";
-/// Longest duration that may be set, in seconds: a week.
+/// Maximum duration in settings: one week, in seconds.
 const MAX_DURATION_S: f64 = 7.0 * 86_400.0;
 const DAYS: [&str; 7] = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"];
 
-/// Whether a section of the operators' file belongs to this module.
+/// Whether this module parses the section with this name.
 pub fn is_section(name: &str) -> bool {
     name == DRAINS || name.starts_with(BUDGET) || name.starts_with(WINDOW)
 }
 
-/// Reads and checks all sections; `teams` are those of the deployment.
+/// Parses and validates all sections. `teams` are the names of the deployment's teams, and `clock_error` is the maximum
+/// error of the time of day.
 pub fn parse(sections: &[Section], teams: &BTreeSet<String>, clock_error: Duration) -> Result<Policy, PolicyError> {
     let mut policy = Policy { clock_error, ..Policy::default() };
     let mut windows = BTreeMap::new();
@@ -139,7 +140,7 @@
     Ok(())
 }
 
-/// A count such as `3`, or a share such as `10%`.
+/// Parses a count such as `3` or a share such as `10%`.
 fn parse_limit(section: &Section, key: &str, value: &str) -> Result<Limit, PolicyError> {
     if let Some(percent) = value.strip_suffix('%') {
         return match percent.trim().parse::<f64>() {
@@ -164,7 +165,7 @@
             MAX_UNAVAILABLE => budget.max_unavailable = Some(parse_limit(section, key, value)?),
             "min_interval_s" => budget.min_interval = Some(parse_seconds(section, key, value)?),
             "batch_wait_s" => budget.batch_wait = Some(parse_seconds(section, key, value)?),
-            "evict_batch" => budget.batch_eviction = Some(parse_eviction(section, key, value)?),
+            "evict_batch" => budget.batch_eviction = Some(parse_batch_eviction(section, key, value)?),
             _ => {
                 let Some(name) = key.strip_prefix(MAX_UNAVAILABLE).and_then(|rest| rest.strip_prefix('.')) else {
                     return Err(error(section, key, InvalidSetting::UnknownKey));
@@ -180,7 +181,7 @@
     Ok(budget)
 }
 
-fn parse_eviction(section: &Section, key: &str, value: &str) -> Result<BatchEviction, PolicyError> {
+fn parse_batch_eviction(section: &Section, key: &str, value: &str) -> Result<BatchEviction, PolicyError> {
     match value {
         "never" => Ok(BatchEviction::Never),
         "checkpointed" => Ok(BatchEviction::Checkpointed),
@@ -189,7 +190,8 @@
     }
 }
 
-/// `TEAM` or `TEAM/CLASS`; names may hold slashes, so the teams of the deployment decide.
+/// Adds the budget of a scope, written as `TEAM` or `TEAM/CLASS`. Since the names themselves may contain slashes, the
+/// scope is matched against the names of the deployment's teams.
 fn insert_budget(
     section: &Section,
     scope: &str,
@@ -238,7 +240,7 @@
     Ok(Window { name: name.to_string(), time_zone: time_zone.ok_or_else(|| missing("zone"))?, days, from, until })
 }
 
-/// `mon,wed` or `mon-fri`, or both together.
+/// Parses days such as `mon,wed`, a range such as `mon-fri`, or a combination of both such as `mon-wed,fri`.
 fn parse_days(section: &Section, key: &str, value: &str) -> Result<[bool; 7], PolicyError> {
     let day = |text: &str| {
         let text = text.trim();
--- a/crates/disruption/src/record_store.rs
+++ b/crates/disruption/src/record_store.rs
@@ -1,8 +1,9 @@
-//! Reconciles the durable records with what the coordinator desires, and follows operators' requests.
+//! Writes the records that the coordinator desires to the state service, and polls the requests of operators.
 //!
-//! One request is in flight at a time. Every write is conditional on the revision at which this leader read or wrote the key last,
-//! so that a transaction which is carried out late, after newer ones, changes nothing. After a response that was lost or a condition
-//! that failed all keys are read again, and what differs is written anew.
+//! At most one request is in flight. Every write is conditional on the revision at which this leader last read or
+//! was_write each key, so that a transaction that is executed late, after newer ones, fails and changes nothing. If the
+//! outcome of a write is unknown or one of its conditions failed, the store reads all keys again and writes those that
+//! differ from the desired records.
 
 mod messages;
 
@@ -15,17 +16,17 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Without a response for so long a request is given up; it may still be carried out.
+/// A request without a response times out after this time. The state service may still execute it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a request that was not carried out.
+/// Delay before the next request after one that failed, was rejected or timed out.
 const RETRY_DELAY: Duration = Duration::from_millis(700);
-/// How often operators' requests are read.
+/// Interval at which operators' requests are read.
 const REQUEST_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the request in flight does.
+/// The operation that the request in flight performs.
 #[derive(Debug)]
 enum InFlightOperation {
-    /// Reads all keys, or those of the operators' requests.
+    /// Reads all keys, or only the operators' requests, page by page.
     Read {
         prefix: &'static str,
         found: Vec<StoreEntry>,
@@ -46,32 +47,32 @@
     }
 }
 
-/// A value as it was read or written last.
+/// The value and revision of a key when it was last read or written.
 #[derive(Debug)]
 struct ObservedValue {
     revision: u64,
     value: Value,
 }
 
-/// An operator's request as it was read last.
+/// An operator's request when it was last read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ObservedRequest {
-    /// The request; none if it cannot be read.
+    /// The request, or `None` if the value cannot be parsed.
     pub request: Option<DrainRequest>,
-    /// Revision of its key.
+    /// Revision at which the request was last changed.
     pub revision: u64,
 }
 
-/// The records as they are observed in the state service and as they are desired.
+/// The observed records, last seen in the state service, and the desired records, which are to be written there.
 #[derive(Debug)]
 pub struct RecordStore {
     is_loaded: bool,
     reload_needed: bool,
     observed: BTreeMap<String, ObservedValue>,
     desired: BTreeMap<String, Value>,
-    /// Keys whose observed value may differ from the desired one, in the order in which they are to be written.
+    /// Keys whose observed value may differ from the desired one, in the order in which they will be written.
     pending_writes: VecDeque<String>,
-    /// The same keys, to find them.
+    /// The keys in `pending_writes`, as a set for lookups.
     pending_keys: BTreeSet<String>,
     requests: BTreeMap<String, ObservedRequest>,
     in_flight: Option<InFlightRequest>,
@@ -79,12 +80,13 @@
     next_request_at: Timestamp,
     next_poll_at: Timestamp,
     max_operations: usize,
-    /// Writes that may be made now.
+    /// Limits the rate of changed keys.
     write_budget: TokenBucket,
 }
 
 impl RecordStore {
-    /// A store of which nothing is known yet; so many changes fit into a transaction, and so many may be made a second.
+    /// Creates a store that has not read any records yet. One transaction changes at most `max_operations` keys, and at
+    /// most `writes_per_second` keys are changed per second on average.
     pub fn new(now: Timestamp, max_operations: usize, writes_per_second: f64) -> RecordStore {
         let burst = writes_per_second.max(1.0);
         RecordStore {
@@ -104,35 +106,35 @@
         }
     }
 
-    /// Whether all keys were read.
+    /// Whether all keys have been read at least once.
     pub fn is_loaded(&self) -> bool {
         self.is_loaded
     }
 
-    /// Observed values under keys with this prefix.
+    /// Returns the observed values of all keys with this prefix, in order of the keys.
     pub fn observed_with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a Value)> {
         let from = self.observed.range(prefix.to_string()..);
         from.take_while(move |(key, _)| key.starts_with(prefix)).map(|(key, observed)| (key, &observed.value))
     }
 
-    /// The observed value of a key.
+    /// Returns the observed value of a key, which is durable. `None` if the key is not known to exist.
     pub fn observed(&self, key: &str) -> Option<&Value> {
         self.observed.get(key).map(|observed| &observed.value)
     }
 
-    /// Operators' requests as they were read last.
+    /// Returns the operators' requests that were last read, by name of the drain.
     pub fn requests(&self) -> &BTreeMap<String, ObservedRequest> {
         &self.requests
     }
 
-    /// Whether all records are observed as they are desired.
+    /// Whether all observed records equal the desired ones and no write is in flight.
     pub fn is_reconciled(&self) -> bool {
         self.is_loaded
             && self.pending_writes.is_empty()
             && !self.in_flight.as_ref().is_some_and(InFlightRequest::is_write)
     }
 
-    /// Desires a key to have this value.
+    /// Sets the desired value of a key. The store writes it if it differs from the observed one.
     pub fn set_desired(&mut self, key: String, value: Value) {
         if self.desired.get(&key) != Some(&value) {
             self.desired.insert(key.clone(), value);
@@ -140,19 +142,20 @@
         }
     }
 
-    /// Desires a key to be gone.
+    /// Clears the desired value of a key. The store removes the key from the state service.
     pub fn clear_desired(&mut self, key: String) {
         if self.desired.remove(&key).is_some() || self.observed.contains_key(&key) {
             self.enqueue(key);
         }
     }
 
-    /// Keys that are desired to have a value.
+    /// Returns all keys with a desired value.
     pub fn desired_keys(&self) -> impl Iterator<Item = &String> {
         self.desired.keys()
     }
 
-    /// Removes an operator's request, unless it was changed since it was read. It is among the requests until that is done.
+    /// Removes an operator's request, unless it was changed since it was read. `requests` contains it until the
+    /// removal is durable.
     pub fn remove_request(&mut self, name: &str) {
         let Some(request) = self.requests.get(name) else { return };
         let key = request_key(name);
@@ -161,7 +164,7 @@
         self.enqueue(key);
     }
 
-    /// Removes what is observed and not desired.
+    /// Removes all observed records without a desired value. Operators' requests are kept.
     pub fn remove_undesired(&mut self) {
         let is_undesired = |key: &&String| !key.starts_with(REQUEST_PREFIX) && !self.desired.contains_key(*key);
         let undesired: Vec<String> = self.observed.keys().filter(is_undesired).cloned().collect();
@@ -174,14 +177,15 @@
         }
     }
 
-    /// Lets time pass: the next request, if one is due.
+    /// Advances time to `now`. Returns the next request to send, if one is due. A request in flight that has timed out
+    /// is given up.
     pub fn tick(&mut self, now: Timestamp) -> Option<OutgoingRequest> {
         self.write_budget.refill(now);
         if let Some(in_flight) = &self.in_flight {
             if now.since(in_flight.sent_at) < REQUEST_TIMEOUT {
                 return None;
             }
-            self.outcome_unknown(now);
+            self.handle_unknown_outcome(now);
         }
         if now < self.next_request_at {
             return None;
@@ -215,15 +219,15 @@
     }
 
     fn start_write(&mut self, now: Timestamp) -> Option<OutgoingRequest> {
-        self.drop_reconciled();
+        self.drop_reconciled_writes();
         let max_operations = self.max_operations.min(self.write_budget.available() as usize);
         let write = self.next_write(max_operations)?;
         self.write_budget.take(write.operation_count() as f64);
         Some(self.send(now, InFlightOperation::Write(write.clone()), StoreRequest::Write(write)))
     }
 
-    /// Forgets pending writes of keys that are observed as they are desired in the meantime.
-    fn drop_reconciled(&mut self) {
+    /// Removes pending writes of keys whose observed value equals the desired one by now.
+    fn drop_reconciled_writes(&mut self) {
         let (observed, desired) = (&self.observed, &self.desired);
         let differs = |key: &String| observed.get(key).map(|observed| &observed.value) != desired.get(key);
         self.pending_writes.retain(differs);
@@ -243,7 +247,8 @@
         (!write.conditions.is_empty()).then_some(write)
     }
 
-    /// Handles the response to a request; the next request, if one follows at once.
+    /// Processes the response to a request. Returns the request for the next page if a read is not complete. Responses
+    /// to requests that are no longer in flight are ignored.
     pub fn handle_response(&mut self, now: Timestamp, id: u64, response: StoreResponse) -> Option<OutgoingRequest> {
         let in_flight = self.in_flight.take_if(|in_flight| in_flight.id == id)?;
         match (in_flight.operation, response) {
@@ -252,7 +257,7 @@
             }
             (InFlightOperation::Write(write), StoreResponse::Written { revision }) => self.apply_write(write, revision),
             (InFlightOperation::Write(_), StoreResponse::Conflict | StoreResponse::Unknown) => {
-                self.outcome_unknown(now);
+                self.handle_unknown_outcome(now);
             }
             _ => self.next_request_at = now + RETRY_DELAY,
         }
@@ -281,10 +286,11 @@
         None
     }
 
-    /// Whether the request in flight was carried out is not known. After a write all keys are read again.
-    fn outcome_unknown(&mut self, now: Timestamp) {
-        let wrote = self.in_flight.take().is_none_or(|in_flight| in_flight.is_write());
-        self.reload_needed |= wrote;
+    /// Gives up the request in flight without knowing whether it was executed. If it was a write, all keys are read
+    /// again.
+    fn handle_unknown_outcome(&mut self, now: Timestamp) {
+        let was_write = self.in_flight.take().is_none_or(|in_flight| in_flight.is_write());
+        self.reload_needed |= was_write;
         self.next_request_at = now + RETRY_DELAY;
     }
 
@@ -295,7 +301,7 @@
         let observed = |entry: StoreEntry| ObservedValue { revision: entry.revision, value: entry.value };
         self.observed = records.into_iter().map(|entry| (entry.key.clone(), observed(entry))).collect();
         if std::mem::replace(&mut self.is_loaded, true) {
-            // What was desired before still is; whatever differs is written anew.
+            // The desired values have not changed. Every key is compared again, and those that differ are written.
             let keys: BTreeSet<String> = self.observed.keys().chain(self.desired.keys()).cloned().collect();
             keys.into_iter().for_each(|key| self.enqueue(key));
         }
@@ -321,6 +327,6 @@
                 self.requests.remove(name);
             }
         }
-        self.drop_reconciled();
+        self.drop_reconciled_writes();
     }
 }
--- a/crates/disruption/src/record_store/messages.rs
+++ b/crates/disruption/src/record_store/messages.rs
@@ -1,96 +1,96 @@
-//! Requests to the state service and its responses, as the record store has them.
+//! Requests to the state service and its responses, in a form that is independent of the protocol.
 
 use serde_json::Value;
 
-/// A request to the state service.
+/// A request of the record store to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
-    /// Read keys in order.
+    /// Read a page of keys in lexical order.
     Scan {
-        /// With this prefix.
+        /// Only keys with this prefix are returned.
         prefix: String,
-        /// After this key.
+        /// The page begins after this key; `None` for the first page.
         after: Option<String>,
     },
-    /// Change keys, on condition that this node still leads.
+    /// Change keys in one transaction. The sender adds the condition that this node still is the leader.
     Write(ConditionalWrite),
 }
 
-/// A request that is to be sent, with the number by which its response is told apart.
+/// A request to be sent, with the ID that its response must refer to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingRequest {
-    /// Number of the request, from 1 under each leader.
+    /// ID of the request. IDs are consecutive and start at 1 for each newly elected leader.
     pub id: u64,
-    /// The request.
+    /// The request to send.
     pub request: StoreRequest,
 }
 
-/// A transaction of the state service: a compare-and-swap over several keys.
+/// A compare-and-swap transaction of the state service over several keys.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ConditionalWrite {
-    /// What must hold for anything to be changed.
+    /// Conditions that must all hold; otherwise, the transaction changes nothing.
     pub conditions: Vec<RevisionCondition>,
-    /// What is put.
+    /// Keys that are set to a value.
     pub puts: Vec<StorePut>,
-    /// Keys that are removed.
+    /// Keys that are deleted.
     pub removals: Vec<String>,
 }
 
 impl ConditionalWrite {
-    /// How many keys it changes.
+    /// Returns the number of keys that the transaction changes.
     pub fn operation_count(&self) -> usize {
         self.puts.len() + self.removals.len()
     }
 }
 
-/// A key must have this revision.
+/// The condition that a key is at a certain revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RevisionCondition {
-    /// Key.
+    /// The key to check.
     pub key: String,
-    /// Revision of its last change; 0: the key must not exist.
+    /// Expected revision of the key's last change; 0 if the key must not exist.
     pub revision: u64,
 }
 
-/// A key gets this value.
+/// Sets a key to a value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StorePut {
-    /// Key.
+    /// The key to set.
     pub key: String,
-    /// Value.
+    /// Its new value.
     pub value: Value,
 }
 
-/// A key as the state service has it.
+/// A key as read from the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreEntry {
-    /// Key.
+    /// Name of the key.
     pub key: String,
-    /// Value.
+    /// Value of the key.
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     pub revision: u64,
 }
 
-/// The outcome of a request.
+/// The outcome of a request of the record store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreResponse {
-    /// A page of keys.
+    /// A page of keys, in response to a scan.
     Page {
-        /// The keys.
+        /// The keys of this page, in lexical order.
         entries: Vec<StoreEntry>,
-        /// Whether there are more.
+        /// Whether more keys follow after this page.
         more: bool,
     },
-    /// The transaction was carried out at this revision.
+    /// The transaction was executed.
     Written {
-        /// Revision.
+        /// The new revision of the changed keys.
         revision: u64,
     },
-    /// A condition failed: nothing was changed.
+    /// A condition did not hold, and the transaction changed nothing.
     Conflict,
-    /// Nothing was done.
+    /// The state service did not execute the request.
     Rejected,
-    /// No answer: it may have been carried out, or may yet be.
+    /// There was no response. The request may have been executed, or may still be executed later.
     Unknown,
 }
--- a/crates/disruption/src/selection.rs
+++ b/crates/disruption/src/selection.rs
@@ -1,7 +1,9 @@
-//! Selects which machines are drained next: as many as budgets, spare capacity and replacements allow.
+//! Selects which machines to drain next: as many as budgets and ready replacements allow. The caller then checks the
+//! selected machines against spare capacity.
 //!
-//! A small integer program, solved by branch and bound with a limit on nodes, so that every leader gets the same answer from the
-//! same facts. Machines with equal loads are one variable. The greedy selection is the fallback and the comparison.
+//! The selection is a small integer program that is solved by branch and bound. The search is limited by a number of
+//! nodes rather than by time, so that every leader gets the same result from the same input. Machines with equal loads
+//! and replacement pools share one variable. The greedy selection is used if the solver finds no larger selection.
 
 use crate::allowance::Allowances;
 use crate::budget::Scope;
@@ -11,35 +13,36 @@
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Groups of equal machines that one selection considers; others have their turn in the next.
+/// Maximum number of groups of equal machines in one selection. Machines in further groups are left to later
+/// selections.
 const MAX_CANDIDATE_GROUPS: usize = 32;
-/// Nodes of the search. Problems of this size take a few dozen.
+/// Maximum number of nodes in the branch-and-bound search. Problems of this size usually need a few dozen.
 const MAX_SEARCH_NODES: u64 = 500;
 
-/// A machine that might be drained.
+/// A machine that may be selected for draining.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// The machine.
+    /// ID of the machine.
     pub machine: MachineId,
-    /// What would be evicted at once.
+    /// The tasks that would be evicted at once.
     pub load: EvictionLoad,
-    /// The pool in which a replacement must be ready; none: the machine is not replaced.
+    /// The pool in which a replacement must be ready; `None` if the machine is not replaced.
     pub replacement_pool: Option<InstancePool>,
 }
 
-/// What a selection may use.
+/// Upper bounds for one selection.
 #[derive(Debug, Clone)]
 pub struct SelectionLimits<'a> {
-    /// Budgets.
+    /// What the disruption budgets allow.
     pub allowances: &'a Allowances,
-    /// Most machines.
+    /// Maximum number of selected machines.
     pub max_machines: u32,
-    /// Replacements that are ready, by pool.
+    /// Number of replacements that are ready, by pool.
     pub ready_replacements: BTreeMap<InstancePool, u32>,
 }
 
 impl SelectionLimits<'_> {
-    /// Whether all of these may be drained together.
+    /// Whether all of these machines may be drained together.
     fn allow(&self, selected: &[&Candidate]) -> bool {
         let mut load = EvictionLoad::default();
         let mut replaced: BTreeMap<&InstancePool, u32> = BTreeMap::new();
@@ -59,7 +62,7 @@
     }
 }
 
-/// Candidates in order as long as they fit.
+/// Selects candidates in order, skipping each that does not fit together with those selected before it.
 pub fn select_greedily(candidates: &[Candidate], limits: &SelectionLimits<'_>) -> Vec<MachineId> {
     let mut selected: Vec<&Candidate> = Vec::new();
     for candidate in candidates {
@@ -71,32 +74,35 @@
     selected.into_iter().map(|candidate| candidate.machine).collect()
 }
 
-/// As many candidates as fit. The first one that fits alone is always among them, so that no drain starves.
+/// Selects as many candidates as fit. The first candidate that fits on its own is always selected, so that no drain
+/// starves.
 pub fn select_machines(candidates: &[Candidate], limits: &SelectionLimits<'_>) -> Vec<MachineId> {
     let Some(first) = candidates.iter().find(|candidate| limits.allow(&[candidate])) else { return Vec::new() };
     let greedy = select_greedily(candidates, limits);
     let Some(solved) = solve(candidates, first, limits) else { return greedy };
-    // The solver works with floating-point numbers: its solution is checked with whole ones.
-    let taken: BTreeSet<MachineId> = solved.iter().copied().collect();
-    let selected: Vec<&Candidate> = candidates.iter().filter(|candidate| taken.contains(&candidate.machine)).collect();
+    // The solver uses floating-point arithmetic, so its solution is checked again with integers.
+    let solved_ids: BTreeSet<MachineId> = solved.iter().copied().collect();
+    let selected: Vec<&Candidate> =
+        candidates.iter().filter(|candidate| solved_ids.contains(&candidate.machine)).collect();
     if solved.len() > greedy.len() && limits.allow(&selected) { solved } else { greedy }
 }
 
-/// What makes machines equal for the solver.
+/// The properties by which the solver tells machines apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GroupKey<'a> {
     load: &'a EvictionLoad,
     replacement_pool: Option<&'a InstancePool>,
 }
 
-/// Machines that are equal for the solver.
+/// Machines with the same load and replacement pool.
 #[derive(Debug)]
 struct CandidateGroup<'a> {
     key: GroupKey<'a>,
     machines: Vec<MachineId>,
 }
 
-/// The candidates in groups, in the order of each group's first machine.
+/// Groups the candidates. Groups are in the order of their first machine; those beyond `MAX_CANDIDATE_GROUPS` are left
+/// out.
 fn group_candidates(candidates: &[Candidate]) -> Vec<CandidateGroup<'_>> {
     let mut groups: Vec<CandidateGroup<'_>> = Vec::new();
     let mut index: BTreeMap<GroupKey<'_>, usize> = BTreeMap::new();
@@ -114,7 +120,7 @@
     groups
 }
 
-/// A constraint of the integer program.
+/// A resource that constrains the integer program.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Constraint<'a> {
     Machines,
@@ -132,7 +138,7 @@
     }
 }
 
-/// The machines that the integer program selects; none without a solution.
+/// Returns the machines that the integer program selects, or `None` if the solver finds no solution.
 fn solve(candidates: &[Candidate], first: &Candidate, limits: &SelectionLimits<'_>) -> Option<Vec<MachineId>> {
     let groups = group_candidates(candidates);
     let mut problem = Problem::new(OptimizationDirection::Maximize);
@@ -150,7 +156,7 @@
     Some(selected)
 }
 
-/// One variable a group: how many of its machines are selected.
+/// Adds one variable per group: the number of selected machines. At least one is selected from the group of `first`.
 fn add_variables(
     problem: &mut Problem,
     groups: &[CandidateGroup<'_>],
@@ -159,9 +165,9 @@
 ) -> Option<Vec<Variable>> {
     let mut variables = Vec::new();
     for group in groups {
-        let most = group.machines.len().min(limits.max_machines as usize);
-        let least = i32::from(group.machines.contains(&first.machine));
-        variables.push(problem.add_integer_var(1.0, (least, i32::try_from(most).ok()?)));
+        let max_count = group.machines.len().min(limits.max_machines as usize);
+        let min_count = i32::from(group.machines.contains(&first.machine));
+        variables.push(problem.add_integer_var(1.0, (min_count, i32::try_from(max_count).ok()?)));
     }
     Some(variables)
 }
--- a/crates/disruption/src/window.rs
+++ b/crates/disruption/src/window.rs
@@ -1,4 +1,4 @@
-//! Windows in local time, within which a stricter budget applies.
+//! Recurring windows in local time during which stricter budgets apply.
 
 use caperstile_types::{Duration, WallClock};
 use chrono::{DateTime, Datelike, Timelike, Utc};
@@ -7,12 +7,12 @@
 const MINUTES_PER_DAY: u32 = 24 * 60;
 const DAYS_PER_WEEK: usize = 7;
 
-/// A minute of the day, from 0 up to and including 24:00.
+/// A time of day in minutes since midnight, from 00:00 to 24:00 inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MinuteOfDay(u32);
 
 impl MinuteOfDay {
-    /// Reads `HH:MM`; 24:00 is the end of the day.
+    /// Parses `HH:MM`; 24:00 is the end of the day. Returns `None` if the text has another form or is out of range.
     pub fn parse(text: &str) -> Option<MinuteOfDay> {
         let (hours, minutes) = text.split_once(':')?;
         let two_digits = |part: &str| (part.len() == 2).then(|| part.parse::<u32>().ok()).flatten();
@@ -22,26 +22,27 @@
     }
 }
 
-/// A span of local time that comes back on some days of the week.
+/// A period of local time that recurs on certain days of the week.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Window {
-    /// Name, as the operators' settings give it.
+    /// Name in the operators' settings.
     pub name: String,
-    /// Time zone.
+    /// Time zone in which `days`, `from` and `until` are given.
     pub time_zone: Tz,
-    /// On which days it begins, Monday first.
+    /// Days of the week on which the window begins, Monday first.
     pub days: [bool; DAYS_PER_WEEK],
-    /// When it begins.
+    /// Begin of the window, inclusive.
     pub from: MinuteOfDay,
-    /// When it ends; not later than `from`: on the next day.
+    /// End of the window, exclusive. If it is not later than `from`, the window ends on the next day.
     pub until: MinuteOfDay,
 }
 
 impl Window {
-    /// Whether an instant lies in the window.
+    /// Whether a point in time is within the window.
     ///
-    /// The instant is turned into local time, never the other way round, so that hours which a change of the clock skips or
-    /// repeats are counted as a clock on the wall shows them.
+    /// Converts the point in time to local time, and never local time to a point in time, which is missing or
+    /// ambiguous for local times that a daylight saving change skips or repeats. A repeated hour that lies in the
+    /// window is in it both times.
     pub fn contains(&self, wall: WallClock) -> bool {
         let Some(utc) = i64::try_from(wall.as_millis()).ok().and_then(DateTime::<Utc>::from_timestamp_millis) else {
             return false;
@@ -56,7 +57,8 @@
         (self.days[today] && self.from <= minute) || (self.days[yesterday] && minute < self.until)
     }
 
-    /// Whether an instant that is known only within an error may lie in the window.
+    /// Whether a point in time that is known to within `error` may be in the window. Checks the time itself and both
+    /// ends of the range, so a window that lies entirely between two of these is not found.
     pub fn may_contain(&self, wall: WallClock, error: Duration) -> bool {
         let instants = [
             wall.as_millis().saturating_sub(error.as_millis()),
--- a/crates/disruption/tests/coordinator.rs
+++ b/crates/disruption/tests/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator against a fleet that does just what a test says: what it charges, when it stops, what the next leader takes over.
+//! Tests the coordinator with a fake fleet and a fake state service: which evictions it charges, when it evicts tasks,
+//! and what the next leader restores after a failover.
 
 mod support;
 
@@ -12,11 +13,11 @@
 use caperstile_types::{Duration, Timestamp, WallClock};
 use std::collections::BTreeSet;
 use support::fleet::{FakeFleet, class};
-use support::{FakeStateService, START};
+use support::{FakeStateService, START_MS};
 
 const STORE_LIMITS: StoreLimits = StoreLimits { max_value_bytes: 8000, max_operations: 16, writes_per_second: 1000.0 };
 
-/// A leader with its store.
+/// A leader's coordinator with its current time, in milliseconds.
 struct Leader {
     coordinator: Coordinator,
     now: u64,
@@ -34,7 +35,7 @@
         Leader { coordinator: Coordinator::new(policy, Timestamp::from_millis(now), STORE_LIMITS), now }
     }
 
-    /// Lets the store do its requests, then reconciles.
+    /// Advances time by 2.7 s, exchanges the store's requests with the state service, and reconciles once.
     fn reconcile(&mut self, service: &mut FakeStateService, fleet: &FakeFleet) -> Vec<Effect> {
         self.now += 2500;
         for _ in 0..4 {
@@ -44,7 +45,7 @@
         self.reconcile_only(fleet)
     }
 
-    /// Lets time pass until the store writes; reads are answered.
+    /// Advances time until the store sends a write, and returns it. Reads are answered by the state service.
     fn next_write(&mut self, service: &mut FakeStateService) -> OutgoingRequest {
         loop {
             self.now += 50;
@@ -61,7 +62,7 @@
     }
 
     fn reconcile_only(&mut self, fleet: &FakeFleet) -> Vec<Effect> {
-        self.coordinator.reconcile(Timestamp::from_millis(self.now), WallClock::from_millis(START + self.now), fleet)
+        self.coordinator.reconcile(Timestamp::from_millis(self.now), WallClock::from_millis(START_MS + self.now), fleet)
     }
 }
 
@@ -76,16 +77,17 @@
     service.keys.insert(request_key(name), (service.revision, value));
 }
 
-fn evictions(effects: &[Effect]) -> usize {
+fn count_evictions(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::Evict(_))).count()
 }
 
-/// Reconciles until the first charges are durable; their tasks were not told to stop yet.
-fn leader_with_charges(budget: &[(&str, &str)], fleet: &FakeFleet) -> (Leader, FakeStateService) {
+/// Returns a leader that has charged the first evictions in memory. The charges are not durable yet, and no task has
+/// been stopped.
+fn leader_with_undurable_charges(budget: &[(&str, &str)], fleet: &FakeFleet) -> (Leader, FakeStateService) {
     let (mut leader, mut service) = (Leader::new(budget, 0), FakeStateService::default());
     request_drain(&mut service, "all");
     for _ in 0..2 {
-        assert_eq!(evictions(&leader.reconcile(&mut service, fleet)), 0);
+        assert_eq!(count_evictions(&leader.reconcile(&mut service, fleet)), 0);
     }
     (leader, service)
 }
@@ -93,34 +95,35 @@
 #[test]
 fn nothing_is_told_to_stop_before_its_charge_is_durable() {
     let fleet = FakeFleet::with_replicas(4, 1);
-    let (mut leader, mut service) = leader_with_charges(&[("max_unavailable", "2")], &fleet);
-    // The write is in flight: however often drains are reconciled, nothing is evicted.
+    let (mut leader, mut service) = leader_with_undurable_charges(&[("max_unavailable", "2")], &fleet);
+    // While the write is in flight, no reconciliation evicts a task.
     let write = leader.next_write(&mut service);
     for _ in 0..3 {
-        assert_eq!(evictions(&leader.reconcile_only(&fleet)), 0, "stopped before the charge is durable");
+        assert_eq!(count_evictions(&leader.reconcile_only(&fleet)), 0, "evicted before the charge is durable");
     }
     let response = service.respond(&write.request);
     leader.coordinator.record_store().handle_response(Timestamp::from_millis(leader.now), write.id, response);
-    assert_eq!(evictions(&leader.reconcile_only(&fleet)), 2);
+    assert_eq!(count_evictions(&leader.reconcile_only(&fleet)), 2);
 }
 
 #[test]
 fn a_loss_between_charge_and_stop_holds_the_stop_back() {
     let mut fleet = FakeFleet::with_replicas(4, 1);
-    let (mut leader, mut service) = leader_with_charges(&[("max_unavailable", "2")], &fleet);
+    let (mut leader, mut service) = leader_with_undurable_charges(&[("max_unavailable", "2")], &fleet);
     fleet.lost = 1;
     for _ in 0..4 {
         let effects = leader.reconcile(&mut service, &fleet);
-        assert!(evictions(&effects) <= 1, "more than the budget is out");
+        assert!(count_evictions(&effects) <= 1, "more tasks are unavailable than the budget allows");
         fleet.evict(&effects);
         let demand = fleet.availability()[&class("web")];
         assert!(demand.unavailable <= 2, "{demand:?}");
     }
 }
 
-/// Batch work that was stopped and waits again looks like any that waits: only the charge tells the next leader that it is out.
+/// A batch task that was evicted and is pending again looks like any other pending task. Only the durable charge tells
+/// the next leader that the task uses up the budget.
 #[test]
-fn the_next_leader_takes_charges_of_batch_work_over() {
+fn the_next_leader_counts_durable_charges_of_batch_tasks() {
     let mut fleet = FakeFleet::with_replicas(0, 0);
     for id in 901..905 {
         let task = fleet.task(id, 0, "render", TaskKind::Batch { checkpoints: true }, Some(Duration::from_secs(3600)));
@@ -129,18 +132,18 @@
     let budget = [("max_unavailable", "1"), ("batch_wait_s", "1")];
     let (mut leader, mut service) = (Leader::new(&budget, 0), FakeStateService::default());
     request_drain(&mut service, "all");
-    let mut stopped = 0;
+    let mut evicted = 0;
     for _ in 0..12 {
         let effects = leader.reconcile(&mut service, &fleet);
-        stopped += evictions(&effects);
+        evicted += count_evictions(&effects);
         fleet.evict(&effects);
     }
-    assert_eq!(stopped, 1);
-    // Its worker has shown the end; the task waits.
+    assert_eq!(evicted, 1);
+    // The worker has reported that the attempt ended, and the task is pending again.
     fleet.machines.values_mut().for_each(|view| view.tasks.retain(|task| !task.stopping));
     let mut next = Leader::new(&budget, leader.now);
     for _ in 0..12 {
-        assert_eq!(evictions(&next.reconcile(&mut service, &fleet)), 0, "a second one was stopped");
+        assert_eq!(count_evictions(&next.reconcile(&mut service, &fleet)), 0, "a second task was evicted");
     }
     assert_eq!(next.coordinator.drain_status("all").map(|status| status.phase), Some(DrainPhase::Running));
 }
@@ -152,60 +155,62 @@
     let (mut leader, mut service) = (Leader::new(&[("max_unavailable", "2")], 0), FakeStateService::default());
     request_drain(&mut service, "all");
     for _ in 0..6 {
-        assert_eq!(evictions(&leader.reconcile(&mut service, &fleet)), 0);
+        assert_eq!(count_evictions(&leader.reconcile(&mut service, &fleet)), 0);
     }
-    assert!(leader.coordinator.drain_status("all").is_none(), "taken without knowing the machines");
+    assert!(leader.coordinator.drain_status("all").is_none(), "the drain was accepted before all machines were known");
     (fleet.is_complete, fleet.unreachable_zone) = (true, Some("b".into()));
     for _ in 0..6 {
-        assert_eq!(evictions(&leader.reconcile(&mut service, &fleet)), 0);
+        assert_eq!(count_evictions(&leader.reconcile(&mut service, &fleet)), 0);
     }
     let waits = leader.coordinator.drain_status("all").map(|status| status.wait_reasons.clone());
     assert_eq!(waits, Some(vec!["zone b is out of reach".to_string()]));
     fleet.unreachable_zone = None;
     let effects: Vec<Effect> = (0..4).flat_map(|_| leader.reconcile(&mut service, &fleet)).collect();
-    assert_eq!(evictions(&effects), 2);
+    assert_eq!(count_evictions(&effects), 2);
 }
 
 #[test]
-fn replicas_without_room_elsewhere_are_not_stopped() {
+fn replicas_without_spare_capacity_elsewhere_are_not_evicted() {
     let mut fleet = FakeFleet::with_replicas(4, 1);
     fleet.has_capacity = false;
     let (mut leader, mut service) = (Leader::new(&[("max_unavailable", "2")], 0), FakeStateService::default());
     request_drain(&mut service, "all");
     for _ in 0..6 {
-        assert_eq!(evictions(&leader.reconcile(&mut service, &fleet)), 0);
+        assert_eq!(count_evictions(&leader.reconcile(&mut service, &fleet)), 0);
     }
-    assert!(!leader.coordinator.unplaceable_replicas().is_empty(), "nothing is rented for them");
+    assert!(!leader.coordinator.unplaceable_replicas().is_empty(), "no machines would be provisioned for the replicas");
     fleet.has_capacity = true;
     let effects: Vec<Effect> = (0..4).flat_map(|_| leader.reconcile(&mut service, &fleet)).collect();
-    assert_eq!(evictions(&effects), 2);
+    assert_eq!(count_evictions(&effects), 2);
 }
 
-/// What a paused drain has charged and not stopped is for others.
+/// Guards against a paused drain that blocks other drains: it must release the charges of tasks that it has not
+/// evicted.
 #[test]
-fn a_paused_drain_keeps_no_budget() {
+fn a_paused_drain_releases_charges_of_tasks_not_yet_evicted() {
     let fleet = FakeFleet::with_replicas(4, 1);
-    let (mut leader, mut service) = leader_with_charges(&[("max_unavailable", "2")], &fleet);
+    let (mut leader, mut service) = leader_with_undurable_charges(&[("max_unavailable", "2")], &fleet);
     let (_, value) = service.keys[&request_key("all")].clone();
     let mut request: DrainRequest = serde_json::from_value(value).expect("a request");
     request.desired_state = DesiredState::Pause;
     service.revision += 1;
     service.keys.insert(request_key("all"), (service.revision, serde_json::to_value(request).expect("JSON")));
-    // The pause is read before the charge is durable.
-    let mut stopped = 0;
+    // The leader reads the pause before the charge is durable.
+    let mut evicted = 0;
     for _ in 0..6 {
-        stopped += evictions(&leader.reconcile(&mut service, &fleet));
+        evicted += count_evictions(&leader.reconcile(&mut service, &fleet));
     }
     let charges = |service: &FakeStateService| {
         let machines = service.keys.iter().filter(|(key, _)| key.starts_with("drain/machine/"));
         machines.filter_map(|(_, (_, value))| value["c"].as_array().map(Vec::len)).sum::<usize>()
     };
-    assert_eq!((stopped, charges(&service)), (0, 0));
+    assert_eq!((evicted, charges(&service)), (0, 0));
 }
 
-/// Two drains of the same class: the one of which less is done goes first, whichever was asked for first.
+/// Of two drains with tasks of the same class, the one with less progress comes first, regardless of which was
+/// requested first. Otherwise a large drain could block a small one.
 #[test]
-fn drains_take_turns() {
+fn the_drain_with_less_progress_comes_first() {
     let mut fleet = FakeFleet::with_replicas(8, 1);
     for (id, view) in &mut fleet.machines {
         view.pool.zone = if id.0 <= 6 { "a".into() } else { "b".into() };
@@ -227,14 +232,14 @@
         for effect in &effects {
             if let Effect::Evict(Eviction::Task { machine, .. }) = effect {
                 order.push(machine.0);
-                // It runs elsewhere at once, and the empty machine is returned.
+                // The replica runs on another machine at once, and the empty machine is released.
                 fleet.machines.remove(machine);
                 fleet.desired -= 1;
             }
         }
     }
     assert_eq!(order.len(), 8, "{order:?}");
-    let first_small = order.iter().position(|id| *id > 6).expect("one of the small drain");
-    let last_small = order.iter().rposition(|id| *id > 6).expect("one of the small drain");
-    assert!(first_small <= 1 && last_small < 7, "the small drain starves: {order:?}");
+    let first_small = order.iter().position(|id| *id > 6).expect("a machine of the small drain");
+    let last_small = order.iter().rposition(|id| *id > 6).expect("a machine of the small drain");
+    assert!(first_small <= 1 && last_small < 7, "the small drain is starved: {order:?}");
 }
--- a/crates/disruption/tests/measure.rs
+++ b/crates/disruption/tests/measure.rs
@@ -1,4 +1,5 @@
-//! The solver beside the greedy way. Prints what it measures, so CI leaves it out:
+//! Compares the solver with the greedy selection. It prints measurements instead of checking them, so CI does not run
+//! it:
 //!
 //!     cargo test --release -p caperstile-disruption --test measure -- --ignored --nocapture
 
@@ -10,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 const CLASSES: u64 = 6;
-const STEPS: u64 = 400;
+const SELECTIONS: u64 = 400;
 
-/// Numbers that look random and are the same in each run.
-struct Numbers(u64);
+/// Deterministic pseudo-random number generator (xorshift).
+struct Prng(u64);
 
-impl Numbers {
+impl Prng {
     fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -28,9 +29,9 @@
     TaskClass { team: format!("team-{}", n % 2), class: format!("class-{n}") }
 }
 
-fn step(numbers: &mut Numbers, machines: u64) -> (Allowances, Vec<Candidate>) {
+fn random_selection(prng: &mut Prng, machines: u64) -> (Allowances, Vec<Candidate>) {
     let budget = |limit: u64| Budget { max_unavailable: Some(Limit::Count(limit as u32)), ..Budget::default() };
-    let classes = (0..CLASSES).map(|n| (class(n), budget(4 + numbers.below(machines / 4)))).collect();
+    let classes = (0..CLASSES).map(|n| (class(n), budget(4 + prng.below(machines / 4)))).collect();
     let policy = Policy { classes, ..Policy::default() };
     let availability = (0..CLASSES).map(|n| (class(n), ClassAvailability { desired: 4000, unavailable: 0 })).collect();
     let state = DisruptionState {
@@ -41,39 +42,39 @@
         last_evictions: &LastEvictions::new(Timestamp::ZERO),
     };
     let allowances = Allowances::new(&policy, &state);
-    let candidate = |n: u64, numbers: &mut Numbers| {
+    let candidate = |n: u64, prng: &mut Prng| {
         let load: EvictionLoad =
-            (0..1 + numbers.below(3)).map(|_| (class(numbers.below(CLASSES)), 1 + numbers.below(4) as u32)).collect();
+            (0..1 + prng.below(3)).map(|_| (class(prng.below(CLASSES)), 1 + prng.below(4) as u32)).collect();
         Candidate { machine: MachineId(n), load, replacement_pool: None }
     };
-    let candidates = (0..machines).map(|n| candidate(n, numbers)).collect();
+    let candidates = (0..machines).map(|n| candidate(n, prng)).collect();
     (allowances, candidates)
 }
 
 #[test]
 #[ignore = "prints a measurement"]
-fn machines_of_a_step_by_the_solver_and_by_the_greedy_way() {
+fn compare_solver_with_greedy_selection() {
     for machines in [16, 64, 256] {
-        let mut numbers = Numbers(77);
-        let (mut by_order, mut solved, mut better) = (0, 0, 0);
+        let mut prng = Prng(77);
+        let (mut greedy_total, mut solver_total, mut larger_count) = (0, 0, 0);
         let mut times: Vec<Duration> = Vec::new();
-        for _ in 0..STEPS {
-            let (allowances, candidates) = step(&mut numbers, machines);
+        for _ in 0..SELECTIONS {
+            let (allowances, candidates) = random_selection(&mut prng, machines);
             let limits =
                 SelectionLimits { allowances: &allowances, max_machines: 400, ready_replacements: BTreeMap::new() };
             let greedy = select_greedily(&candidates, &limits).len();
-            let begin = Instant::now();
-            let chosen = select_machines(&candidates, &limits).len();
-            times.push(begin.elapsed());
-            by_order += greedy;
-            solved += chosen;
-            better += usize::from(chosen > greedy);
+            let started_at = Instant::now();
+            let selected = select_machines(&candidates, &limits).len();
+            times.push(started_at.elapsed());
+            greedy_total += greedy;
+            solver_total += selected;
+            larger_count += usize::from(selected > greedy);
         }
         times.sort();
         println!(
-            "{machines} machines, {STEPS} steps: greedy {:.2} a step, solver {:.2}, larger in {better}; time median {:?}, 99% {:?}, longest {:?}",
-            by_order as f64 / STEPS as f64,
-            solved as f64 / STEPS as f64,
+            "{machines} machines, {SELECTIONS} selections: mean size greedy {:.2}, solver {:.2}, solver larger in {larger_count}; solver time median {:?}, 99% {:?}, max {:?}",
+            greedy_total as f64 / SELECTIONS as f64,
+            solver_total as f64 / SELECTIONS as f64,
             times[times.len() / 2],
             times[times.len() * 99 / 100],
             times[times.len() - 1]
--- a/crates/disruption/tests/policy.rs
+++ b/crates/disruption/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Budgets as operators state them: read, checked, and in force at the right times.
+//! Tests the budgets in the operators' settings: parsing, validation, and the limits that apply at a given time.
 
 use caperstile_disruption::budget::BatchEviction;
 use caperstile_disruption::policy_parser::{Section, parse};
@@ -11,7 +11,7 @@
     Section { name: name.to_string(), entries }
 }
 
-fn read(sections: &[Section]) -> Result<Policy, PolicyError> {
+fn parse_sections(sections: &[Section]) -> Result<Policy, PolicyError> {
     let teams = BTreeSet::from(["studio".to_string(), "a/b".to_string()]);
     parse(sections, &teams, Duration::ZERO)
 }
@@ -20,71 +20,71 @@
     Scope::Class(TaskClass { team: team.into(), class: class.into() })
 }
 
-/// Milliseconds since 1970 of a UTC time.
+/// Converts a UTC time such as `2026-12-02 10:00`.
 fn utc(text: &str) -> WallClock {
     let time = chrono::NaiveDateTime::parse_from_str(text, "%Y-%m-%d %H:%M").expect("a time");
     WallClock::from_millis(time.and_utc().timestamp_millis() as u64)
 }
 
 #[test]
-fn a_class_without_a_statement_has_the_default_unless_its_team_states_one() {
-    let policy = read(&[section("budget studio", &[("max_unavailable", "3")])]).expect("valid");
+fn a_class_without_a_limit_has_the_default_unless_its_team_has_a_limit() {
+    let policy = parse_sections(&[section("budget studio", &[("max_unavailable", "3")])]).expect("valid");
     let at = utc("2026-12-02 10:00");
     assert_eq!(policy.max_unavailable(&class("studio", "live"), 100, at), None);
     assert_eq!(policy.max_unavailable(&Scope::Team("studio".into()), 100, at), Some(3));
     assert_eq!(policy.max_unavailable(&class("a/b", "x"), 100, at), Some(10));
-    assert_eq!(policy.max_unavailable(&class("a/b", "x"), 4, at), Some(1), "one replica at least");
+    assert_eq!(policy.max_unavailable(&class("a/b", "x"), 4, at), Some(1), "at least one replica");
     assert_eq!(policy.max_unavailable(&Scope::Team("a/b".into()), 4, at), None);
 }
 
 #[test]
-fn a_stated_share_is_rounded_down() {
-    let policy = read(&[section("budget studio/live", &[("max_unavailable", "29%")])]).expect("valid");
+fn a_configured_share_is_rounded_down() {
+    let policy = parse_sections(&[section("budget studio/live", &[("max_unavailable", "29%")])]).expect("valid");
     let at = utc("2026-12-02 10:00");
     assert_eq!(policy.max_unavailable(&class("studio", "live"), 100, at), Some(29));
     assert_eq!(policy.max_unavailable(&class("studio", "live"), 3, at), Some(0));
 }
 
 #[test]
-fn team_names_may_hold_slashes() {
-    let policy =
-        read(&[section("budget a/b/c", &[("max_unavailable", "2"), ("evict_batch", "always")])]).expect("valid");
+fn team_names_may_contain_slashes() {
+    let policy = parse_sections(&[section("budget a/b/c", &[("max_unavailable", "2"), ("evict_batch", "always")])])
+        .expect("valid");
     assert_eq!(policy.base_limit(&class("a/b", "c")), Some(Limit::Count(2)));
     assert_eq!(policy.batch_eviction(&TaskClass { team: "a/b".into(), class: "c".into() }), BatchEviction::Always);
 }
 
 #[test]
-fn a_window_is_stricter_and_follows_changes_of_the_clock() {
+fn a_window_limit_applies_in_local_time_across_daylight_saving_changes() {
     let window = section("window night", &[("zone", "Europe/Berlin"), ("from", "02:00"), ("until", "03:00")]);
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.night", "1")]);
-    let policy = read(&[budget, window]).expect("valid");
+    let policy = parse_sections(&[budget, window]).expect("valid");
     let allowed = |at: &str| policy.max_unavailable(&Scope::Team("studio".into()), 100, utc(at));
-    // Ordinary days: an hour, at +1 in winter and +2 in summer.
+    // On ordinary days, the window lasts one hour. Berlin is at UTC+1 in winter and at UTC+2 in summer.
     assert_eq!((allowed("2026-01-15 01:30"), allowed("2026-07-15 00:30")), (Some(1), Some(1)));
     assert_eq!((allowed("2026-01-15 00:30"), allowed("2026-07-15 01:30")), (Some(5), Some(5)));
-    // 25 October 2026: 02:00 to 03:00 is there twice.
+    // On 25 October 2026, the hour from 02:00 to 03:00 occurs twice.
     assert_eq!((allowed("2026-10-25 00:30"), allowed("2026-10-25 01:30")), (Some(1), Some(1)));
     assert_eq!(allowed("2026-10-25 02:00"), Some(5));
-    // 29 March 2026: it is skipped.
+    // On 29 March 2026, this hour is skipped.
     assert_eq!((allowed("2026-03-29 00:59"), allowed("2026-03-29 01:00")), (Some(5), Some(5)));
 }
 
 #[test]
-fn a_window_over_midnight_belongs_to_the_day_on_which_it_begins() {
+fn a_window_past_midnight_belongs_to_the_day_on_which_it_begins() {
     let entries = [("zone", "Africa/Nairobi"), ("days", "fri"), ("from", "22:00"), ("until", "06:00")];
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.late", "0")]);
-    let policy = read(&[section("window late", &entries), budget]).expect("valid");
+    let policy = parse_sections(&[section("window late", &entries), budget]).expect("valid");
     let allowed = |at: &str| policy.max_unavailable(&Scope::Team("studio".into()), 100, utc(at));
     // 4 December 2026 is a Friday; Nairobi is three hours ahead of UTC.
     assert_eq!(allowed("2026-12-04 18:59"), Some(5));
     assert_eq!(allowed("2026-12-04 19:00"), Some(0));
     assert_eq!(allowed("2026-12-05 02:59"), Some(0));
     assert_eq!(allowed("2026-12-05 03:00"), Some(5));
-    assert_eq!(allowed("2026-12-04 01:00"), Some(5), "the night from Thursday");
+    assert_eq!(allowed("2026-12-04 01:00"), Some(5), "in the night after Thursday, which is not in the window");
 }
 
 #[test]
-fn a_window_counts_as_long_as_the_clock_may_be_off() {
+fn a_window_is_extended_by_the_clock_error_on_both_sides() {
     let window = section("window day", &[("zone", "UTC"), ("from", "09:00"), ("until", "17:00")]);
     let budget = section("budget studio", &[("max_unavailable", "5"), ("max_unavailable.day", "0")]);
     let teams = BTreeSet::from(["studio".to_string()]);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_with_section_key_and_reason() {
+fn invalid_settings_are_rejected_with_section_key_and_reason() {
     let day = |entries: &[(&str, &str)]| vec![section("window day", entries)];
     let cases: Vec<(Vec<Section>, &str)> = vec![
         (
@@ -139,7 +139,7 @@
         (vec![section("drains", &[("max_machines", "0")])], "[drains] max_machines: must be at least 1"),
     ];
     for (sections, expected) in cases {
-        let error = read(&sections).expect_err(expected).to_string();
+        let error = parse_sections(&sections).expect_err(expected).to_string();
         assert!(error.starts_with(expected), "{error}");
     }
 }
--- a/crates/disruption/tests/record_store.rs
+++ b/crates/disruption/tests/record_store.rs
@@ -1,4 +1,5 @@
-//! Durable records are kept in step whatever becomes of a write, and never by an older one.
+//! Tests that the store brings the records in the state service to the desired values when writes are delayed,
+//! rejected or lose their response, and that a delayed write never replaces a newer one.
 
 mod support;
 
@@ -9,14 +10,15 @@
 use serde_json::json;
 use support::FakeStateService;
 
-/// Lets time pass and answers everything, up to so many milliseconds.
+/// Advances time in steps of 50 ms and answers all requests, for times from `from` to `until` (exclusive), in
+/// milliseconds.
 fn run(store: &mut RecordStore, service: &mut FakeStateService, from: u64, until: u64) {
     for now in (from..until).step_by(50) {
         service.serve(store, Timestamp::from_millis(now));
     }
 }
 
-/// The next write with its number; reads find nothing.
+/// Advances time until the store sends a write, and returns its ID and content. Reads get an empty page.
 fn next_write(store: &mut RecordStore, from: u64) -> (u64, ConditionalWrite) {
     for now in (from..from + 5000).step_by(50).map(Timestamp::from_millis) {
         let Some(OutgoingRequest { id, request }) = store.tick(now) else { continue };
@@ -31,7 +33,7 @@
 }
 
 #[test]
-fn a_write_that_is_carried_out_late_never_replaces_a_newer_one() {
+fn a_delayed_write_never_replaces_a_newer_one() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 16, 100.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
     store.set_desired("drain/machine/m-000001".into(), json!({"charges": 1}));
@@ -45,13 +47,13 @@
 }
 
 #[test]
-fn a_write_that_was_carried_out_without_an_answer_is_found_by_reading() {
+fn an_executed_write_without_a_response_is_found_by_reading_again() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 16, 100.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
     store.set_desired("drain/machine/m-000001".into(), json!(1));
     let (id, write) = next_write(&mut store, 200);
     assert_eq!(service.apply(&write), StoreResponse::Written { revision: 1 });
-    assert!(store.observed("drain/machine/m-000001").is_none(), "it is not durable before that is known");
+    assert!(store.observed("drain/machine/m-000001").is_none(), "observed before the response that confirms the write");
     store.handle_response(Timestamp::from_millis(300), id, StoreResponse::Unknown);
     run(&mut store, &mut service, 300, 5000);
     assert!(store.is_reconciled());
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn a_write_stays_within_the_transaction_and_keeps_its_order() {
+fn writes_respect_the_transaction_limit_and_keep_their_order() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 3, 100.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
     for n in 0..7 {
@@ -83,12 +85,12 @@
     assert_eq!(
         order.last().map(String::as_str),
         Some("drain/status/all"),
-        "a drain is taken when its machines are known"
+        "the status must be written after the members"
     );
 }
 
 #[test]
-fn writes_are_paced_and_a_refused_one_is_tried_again() {
+fn writes_are_rate_limited_and_a_rejected_write_is_retried() {
     let (mut store, mut service) = (RecordStore::new(Timestamp::ZERO, 16, 2.0), FakeStateService::default());
     run(&mut store, &mut service, 0, 200);
     (0..20).for_each(|n| store.set_desired(format!("drain/machine/m-{n:06}"), json!(n)));
@@ -96,5 +98,5 @@
     store.handle_response(Timestamp::from_millis(250), id, StoreResponse::Rejected);
     run(&mut store, &mut service, 300, 5300);
     let written = service.keys.len();
-    assert!((6..=12).contains(&written), "{written} changes in 5 s at 2 a second");
+    assert!((6..=12).contains(&written), "{written} changes in 5 s at a limit of 2 per second");
 }
--- a/crates/disruption/tests/selection.rs
+++ b/crates/disruption/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which machines a step takes: never more than fits, and at least as many as the greedy way.
+//! Tests the selection of machines: it never exceeds a limit, and is never smaller than the greedy selection.
 
 use caperstile_disruption::allowance::{Allowances, DisruptionState, LastEvictions};
 use caperstile_disruption::selection::{Candidate, SelectionLimits, select_greedily, select_machines};
@@ -11,7 +11,7 @@
     TaskClass { team: format!("team-{}", n % 2), class: format!("class-{n}") }
 }
 
-/// Allowances of so many replicas for each class.
+/// Returns allowances with one limit per class.
 fn allowances(limits: &[u32]) -> Allowances {
     let budget = |limit: &u32| Budget { max_unavailable: Some(Limit::Count(*limit)), ..Budget::default() };
     let classes = limits.iter().enumerate().map(|(n, limit)| (class(n), budget(limit))).collect();
@@ -39,38 +39,39 @@
 }
 
 #[test]
-fn the_solver_finds_what_the_greedy_way_misses() {
+fn the_solver_finds_larger_selections_than_the_greedy_algorithm() {
     let allowances = allowances(&[2, 2]);
-    // In order, the first takes all of the first class; the others take one of it each.
+    // Machines 1 and 2 each hold a task of both classes, machine 3 two of the first class, machine 4 two of the second.
     let candidates = [candidate(1, &[1, 1]), candidate(2, &[1, 1]), candidate(3, &[2, 0]), candidate(4, &[0, 2])];
-    let unlucky = [candidate(3, &[2, 0]), candidate(5, &[0, 1]), candidate(6, &[0, 1])];
+    let large_first = [candidate(3, &[2, 0]), candidate(5, &[0, 1]), candidate(6, &[0, 1])];
     assert_eq!(select_machines(&candidates, &limits(&allowances, 10)).len(), 2);
-    assert_eq!(select_machines(&unlucky, &limits(&allowances, 10)).len(), 3);
+    assert_eq!(select_machines(&large_first, &limits(&allowances, 10)).len(), 3);
     let greedy_trap = [candidate(1, &[0, 1]), candidate(2, &[2, 0]), candidate(3, &[1, 0]), candidate(4, &[1, 0])];
     assert_eq!(select_greedily(&greedy_trap, &limits(&allowances, 10)).len(), 2);
     assert_eq!(select_machines(&greedy_trap, &limits(&allowances, 10)).len(), 3);
 }
 
 #[test]
-fn the_first_that_fits_is_always_taken() {
+fn the_first_candidate_that_fits_is_always_selected() {
     let allowances = allowances(&[2]);
-    // Two small ones would be more, but the large one has waited longest.
+    // The two small machines would make a larger selection, but the large one is first in order.
     let candidates = [candidate(1, &[2]), candidate(2, &[1]), candidate(3, &[1])];
     assert_eq!(select_machines(&candidates, &limits(&allowances, 10)), vec![MachineId(1)]);
 }
 
 #[test]
-fn replacements_bound_a_step() {
+fn ready_replacements_limit_a_selection() {
     let allowances = allowances(&[9]);
     let pool = InstancePool { machine_type: "g8".into(), zone: "a".into(), spot: false };
     let at = |machine| Candidate { replacement_pool: Some(pool.clone()), ..candidate(machine, &[1]) };
-    let step = SelectionLimits { ready_replacements: BTreeMap::from([(pool.clone(), 2)]), ..limits(&allowances, 10) };
-    assert_eq!(select_machines(&[at(1), at(2), at(3)], &step).len(), 2);
-    assert!(select_machines(&[at(1)], &limits(&allowances, 10)).is_empty(), "nothing is ready");
+    let with_replacements =
+        SelectionLimits { ready_replacements: BTreeMap::from([(pool.clone(), 2)]), ..limits(&allowances, 10) };
+    assert_eq!(select_machines(&[at(1), at(2), at(3)], &with_replacements).len(), 2);
+    assert!(select_machines(&[at(1)], &limits(&allowances, 10)).is_empty(), "selected without a ready replacement");
 }
 
 #[test]
-fn like_machines_are_decided_together_at_any_number() {
+fn thousands_of_equal_machines_are_selected_as_one_group() {
     let allowances = allowances(&[300]);
     let candidates: Vec<Candidate> = (0..4000).map(|n| candidate(n, &[1])).collect();
     assert_eq!(select_machines(&candidates, &limits(&allowances, 4000)).len(), 300);
@@ -80,7 +81,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_step_exceeds_a_budget_and_none_is_smaller_than_the_greedy_one(
+    fn no_selection_exceeds_a_budget_or_is_smaller_than_the_greedy_one(
         budgets in proptest::collection::vec(0u32..6, 4),
         loads in proptest::collection::vec(proptest::collection::vec(0u32..4, 4), 1..24),
         machines in 1u32..12,
@@ -88,13 +89,13 @@
         let allowances = allowances(&budgets);
         let candidates: Vec<Candidate> = loads.iter().enumerate().map(|(n, counts)| candidate(n, counts)).collect();
         let limits = limits(&allowances, machines);
-        let chosen = select_machines(&candidates, &limits);
-        prop_assert!(chosen.len() <= machines as usize);
+        let selected = select_machines(&candidates, &limits);
+        prop_assert!(selected.len() <= machines as usize);
         for (class, budget) in budgets.iter().enumerate() {
-            let out: u32 = chosen.iter().map(|id| loads[id.0 as usize][class]).sum();
-            prop_assert!(out <= *budget, "{out} of class {class}, {budget} allowed");
+            let evicted: u32 = selected.iter().map(|id| loads[id.0 as usize][class]).sum();
+            prop_assert!(evicted <= *budget, "{evicted} tasks of class {class} selected, {budget} allowed");
         }
-        prop_assert!(chosen.len() >= select_greedily(&candidates, &limits).len());
-        prop_assert_eq!(&chosen, &select_machines(&candidates, &limits), "the same facts, the same step");
+        prop_assert!(selected.len() >= select_greedily(&candidates, &limits).len());
+        prop_assert_eq!(&selected, &select_machines(&candidates, &limits), "the same input gave different selections");
     }
 }
--- a/crates/disruption/tests/support/fleet.rs
+++ b/crates/disruption/tests/support/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet that does just what a test says.
+//! A fake fleet whose machines, tasks and availability the test sets.
 
-use super::START;
+use super::START_MS;
 use caperstile_disruption::records::BudgetCharge;
 use caperstile_disruption::{
     ChargeState, ClassAvailability, Effect, Eviction, Fleet, InstancePool, MachineView, ReplacementSupply,
@@ -13,12 +13,12 @@
     TaskClass { team: "crew".into(), class: name.into() }
 }
 
-/// A fleet of machines with tasks; what is unavailable besides is set by the test.
+/// A fake fleet. The test sets its machines and how many further replicas are unavailable.
 #[derive(Clone)]
 pub struct FakeFleet {
     pub machines: BTreeMap<MachineId, MachineView>,
     pub desired: u32,
-    /// Replicas that are lost for other reasons.
+    /// Number of replicas that are unavailable for reasons other than an eviction.
     pub lost: u32,
     pub is_complete: bool,
     pub unreachable_zone: Option<String>,
@@ -26,7 +26,7 @@
 }
 
 impl FakeFleet {
-    /// Machines with so many replicas of `web` each.
+    /// Creates a fleet of machines that each hold `replicas` replicas of class `web`.
     pub fn with_replicas(machines: u64, replicas: u32) -> FakeFleet {
         let mut fleet = FakeFleet {
             machines: BTreeMap::new(),
@@ -60,7 +60,7 @@
         let pool = InstancePool { machine_type: "g8".into(), zone: "a".into(), spot: false };
         let view = MachineView {
             pool,
-            provisioned_at: WallClock::from_millis(START - 1000),
+            provisioned_at: WallClock::from_millis(START_MS - 1000),
             reachable: true,
             terminating: false,
             tasks,
@@ -68,7 +68,7 @@
         self.machines.insert(MachineId(id), view);
     }
 
-    /// Carries the evictions out: the tasks are told to stop.
+    /// Executes the evictions of single tasks: marks these tasks as stopping.
     pub fn evict(&mut self, effects: &[Effect]) {
         for effect in effects {
             if let Effect::Evict(Eviction::Task { machine, attempt }) = effect {
@@ -85,10 +85,10 @@
     }
 }
 
-/// Capacity for all replicas, or for none.
-struct Unlimited(bool);
+/// Has capacity for all replicas if true, otherwise for none.
+struct FixedCapacity(bool);
 
-impl SpareCapacity for Unlimited {
+impl SpareCapacity for FixedCapacity {
     fn reserve(&mut self, _: MachineId, _: &[AttemptId]) -> bool {
         self.0
     }
@@ -112,23 +112,23 @@
     }
     fn availability(&self) -> BTreeMap<TaskClass, ClassAvailability> {
         let tasks = self.machines.values().flat_map(|view| &view.tasks);
-        let runs = tasks.filter(|task| task.kind == TaskKind::Replica && !task.stopping).count() as u32;
-        let web = ClassAvailability { desired: self.desired, unavailable: self.desired - runs + self.lost };
+        let running = tasks.filter(|task| task.kind == TaskKind::Replica && !task.stopping).count() as u32;
+        let web = ClassAvailability { desired: self.desired, unavailable: self.desired - running + self.lost };
         BTreeMap::from([(class("web"), web), (class("render"), ClassAvailability { desired: 100, unavailable: 0 })])
     }
     fn charge_state(&self, charge: &BudgetCharge) -> ChargeState {
-        // Jobs from 900 on are batch work.
+        // Jobs with IDs from 900 on are batch jobs.
         let replica = charge.job.0 < 900;
         let class = class(if replica { "web" } else { "render" });
         match self.find(charge) {
             Some(task) if !task.stopping => ChargeState::Pending { class, already_unavailable: false },
-            // A replica that left its machine runs elsewhere at once.
+            // A replica that is no longer on its machine is assumed to run on another one.
             None if replica => ChargeState::Released,
             _ => ChargeState::Disrupted { class, already_unavailable: replica },
         }
     }
     fn spare_capacity<'a>(&'a self, _: &BTreeSet<MachineId>) -> Box<dyn SpareCapacity + 'a> {
-        Box::new(Unlimited(self.has_capacity))
+        Box::new(FixedCapacity(self.has_capacity))
     }
     fn replacement_supply(&self, _: &InstancePool, _: WallClock, _: &BTreeSet<MachineId>) -> ReplacementSupply {
         ReplacementSupply::default()
--- a/crates/disruption/tests/support/mod.rs
+++ b/crates/disruption/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the tests of this package.
-#![allow(dead_code)] // Each test uses some of them.
+//! Fakes of the fleet and the state service, for the tests of this package.
+#![allow(dead_code)] // Each test file uses only some of the fakes.
 
 pub mod fleet;
 
@@ -8,10 +8,10 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Time of day at the begin of a test, in milliseconds since 1970.
-pub const START: u64 = 1_700_000_000_000;
+/// Time of day at the start of a test, in milliseconds since the Unix epoch.
+pub const START_MS: u64 = 1_700_000_000_000;
 
-/// A state service that keeps revisions.
+/// An in-memory state service with revisions.
 #[derive(Default)]
 pub struct FakeStateService {
     pub keys: BTreeMap<String, (u64, Value)>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Lets a record store make its requests at this time, and answers all of them.
+    /// Answers all requests that a record store sends at time `now`.
     pub fn serve(&mut self, store: &mut RecordStore, now: Timestamp) {
         let mut next = store.tick(now);
         while let Some(outgoing) = next {
