--- a/crates/admission/src/backlog.rs
+++ b/crates/admission/src/backlog.rs
@@ -1,78 +1,81 @@
-//! How long the jobs of a pair wait for machines, and what that leaves to be admitted.
+//! Predicts how long jobs of a pair wait for machines, and derives the rate of tasks that may be admitted.
 
 use crate::decay;
 use crate::submission::TeamClassPair;
 use caperstile_types::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Starts this long ago count 1/e of those now.
+/// Time constant of the moving start rates: a start of this age has a weight of 1/e.
 const TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// Before anything has waited for so long there is no backlog.
-const SETTLED: Duration = Duration::from_secs(8);
-/// The same while hardly anything is started: machines are still booting.
-const BOOTING: Duration = Duration::from_secs(45);
-/// Tasks per second below which hardly anything is started.
-const FEW_STARTS: f64 = 0.5;
-/// Below this part of the longest wait nothing is limited.
-const LIMITED_FROM: f64 = 0.5;
+/// Minimum age of a pair's oldest job without a started task for its pending tasks to count as a backlog.
+const MIN_BACKLOG_AGE: Duration = Duration::from_secs(8);
+/// The same while the start rate is below [`MIN_START_RATE`]: instances may still be booting for these tasks.
+const MIN_BACKLOG_AGE_WHILE_BOOTING: Duration = Duration::from_secs(45);
+/// Tasks per second below which [`MIN_BACKLOG_AGE_WHILE_BOOTING`] applies.
+const MIN_START_RATE: f64 = 0.5;
+/// Share of the maximum wait below which the predicted wait does not limit admission.
+const LIMIT_THRESHOLD: f64 = 0.5;
 
-/// What waits of one pair.
+/// The backlog of one pair of team and class.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PairBacklog {
-    /// Tasks that wait for a machine.
+    /// Number of pending tasks.
     pub pending_tasks: u64,
-    /// When the oldest job of which nothing has begun was submitted.
+    /// Submission time of the oldest job that has neither running nor finished tasks; `None` if there is no such job.
     pub oldest_submitted_at: Option<Timestamp>,
-    /// How long its jobs may wait for machines.
+    /// Time for which the pair's jobs may wait for machines.
     pub max_wait: Duration,
 }
 
-/// Meters the starts of each pair and predicts how long a job that comes now will wait.
+/// Measures the rate of task starts of each pair and predicts how long the tasks of a new job wait for machines.
 #[derive(Debug, Default)]
 pub struct BacklogMeter {
-    starts: BTreeMap<TeamClassPair, f64>,
-    waiting: BTreeMap<TeamClassPair, PairBacklog>,
+    start_rates: BTreeMap<TeamClassPair, f64>,
+    backlogs: BTreeMap<TeamClassPair, PairBacklog>,
     decayed_at: Timestamp,
 }
 
 impl BacklogMeter {
-    /// A task of this pair was started.
+    /// Records the start of one task of this pair.
     pub fn record_start(&mut self, pair: &TeamClassPair) {
         let rate = 1.0 / TIME_CONSTANT.as_secs_f64();
-        match self.starts.get_mut(pair) {
-            Some(starts) => *starts += rate,
+        match self.start_rates.get_mut(pair) {
+            Some(start_rate) => *start_rate += rate,
             None => {
-                self.starts.insert(pair.clone(), rate);
+                self.start_rates.insert(pair.clone(), rate);
             }
         }
     }
 
-    /// What waits now, of all pairs that have anything waiting.
-    pub fn observe(&mut self, now: Timestamp, waiting: BTreeMap<TeamClassPair, PairBacklog>) {
-        let kept = decay::kept(now.since(self.decayed_at), TIME_CONSTANT);
+    /// Replaces the backlogs of all pairs by `backlogs`, which contains every pair that has pending tasks, and decays
+    /// the start rates to the time `now`.
+    pub fn observe(&mut self, now: Timestamp, backlogs: BTreeMap<TeamClassPair, PairBacklog>) {
+        let factor = decay::remaining_weight(now.since(self.decayed_at), TIME_CONSTANT);
         self.decayed_at = now;
-        self.starts.values_mut().for_each(|starts| *starts *= kept);
-        self.starts.retain(|pair, starts| *starts > 0.001 || waiting.contains_key(pair));
-        self.waiting = waiting;
+        self.start_rates.values_mut().for_each(|start_rate| *start_rate *= factor);
+        self.start_rates.retain(|pair, start_rate| *start_rate > 0.001 || backlogs.contains_key(pair));
+        self.backlogs = backlogs;
     }
 
-    /// How long the tasks of a job that comes now are predicted to wait; `None` without a backlog.
+    /// Predicts how long the tasks of a new job wait for machines, from the number of pending tasks and the start rate.
+    /// Without any starts the prediction is the maximum duration. Returns `None` without a backlog.
     pub fn predicted_wait(&self, now: Timestamp, pair: &TeamClassPair) -> Option<Duration> {
-        let backlog = self.waiting.get(pair)?;
-        let starts = self.starts.get(pair).copied().unwrap_or(0.0);
-        let settles_in = if starts < FEW_STARTS { BOOTING } else { SETTLED };
-        let settled = backlog.oldest_submitted_at.is_some_and(|oldest| now.since(oldest) >= settles_in);
-        settled.then(|| Duration::from_secs_f64(backlog.pending_tasks as f64 / starts))
+        let backlog = self.backlogs.get(pair)?;
+        let start_rate = self.start_rates.get(pair).copied().unwrap_or(0.0);
+        let min_age = if start_rate < MIN_START_RATE { MIN_BACKLOG_AGE_WHILE_BOOTING } else { MIN_BACKLOG_AGE };
+        let has_backlog = backlog.oldest_submitted_at.is_some_and(|oldest| now.since(oldest) >= min_age);
+        has_backlog.then(|| Duration::from_secs_f64(backlog.pending_tasks as f64 / start_rate))
     }
 
-    /// Tasks per second that may be admitted of a pair, so that its jobs come to wait for as long as they may; `None`: all.
-    pub fn admissible(&self, now: Timestamp, pair: &TeamClassPair) -> Option<f64> {
+    /// Returns the tasks per second of a pair that may be admitted so that the predicted wait converges to the maximum
+    /// wait; `None` if the rate is not limited.
+    pub fn admissible_task_rate(&self, now: Timestamp, pair: &TeamClassPair) -> Option<f64> {
         let wait = self.predicted_wait(now, pair)?.as_secs_f64();
-        let longest = self.waiting.get(pair)?.max_wait.as_secs_f64();
-        if wait < longest * LIMITED_FROM {
+        let max_wait = self.backlogs.get(pair)?.max_wait.as_secs_f64();
+        if wait < max_wait * LIMIT_THRESHOLD {
             return None;
         }
-        let starts = self.starts.get(pair).copied().unwrap_or(0.0);
-        Some(starts * longest / wait)
+        let start_rate = self.start_rates.get(pair).copied().unwrap_or(0.0);
+        Some(start_rate * max_wait / wait)
     }
 }
--- a/crates/admission/src/control.rs
+++ b/crates/admission/src/control.rs
@@ -1,54 +1,55 @@
-//! The leader's side: demand and capacity in, numbered tables out.
+//! The leader's side of admission control: computes numbered admission tables from demand, load and backlog.
 
 use crate::backlog::{BacklogMeter, PairBacklog};
-use crate::capacity::{CapacityRegulator, FLOOR, Utilization};
+use crate::capacity::{CapacityRegulator, MIN_LIMIT, Utilization};
 use crate::demand::{DemandMeter, PairDemand};
 use crate::fair_share::{Claim, max_min};
 use crate::policy::{AdmissionPolicy, BacklogBound};
 use crate::report::DemandReport;
 use crate::submission::{OTHER_CLASSES, Submission, TeamClassPair};
-use crate::table::{AdmissionTable, DRAW_LENGTH, Decision, Ratio, TableEntry, TableNumber};
+use crate::table::{AdmissionTable, Decision, Ratio, SALT_LIFETIME, TableEntry, TableNumber};
 use caperstile_types::{Duration, FencingToken, JobId, Timestamp};
 use roaring::RoaringTreemap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// How often a table is made while something is refused.
-pub const PUBLISH_EVERY: Duration = Duration::from_secs(1);
-/// A pair below this ratio is refused; above it the estimate of its demand is no more exact than the difference.
-const WORTH_REFUSING: f64 = 0.9;
-/// So long a new leader takes to know the demand.
-const WARM_UP: Duration = Duration::from_secs(5);
-/// A refusal is over once nothing was refused for so long.
-const REFUSAL_OVER: Duration = Duration::from_secs(10);
-/// Users repeat a submission for a minute; accepted jobs are named in the tables for a little longer.
-const REPEATED_FOR: Duration = Duration::from_secs(65);
-/// Accepted jobs that are remembered at the most.
-const MOST_ACCEPTED: usize = 16_384;
-
-/// A pair whose submissions begin or cease to be refused.
+/// Interval between two tables while any pair is refused.
+pub const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
+/// A pair whose share reaches this part of its demand is admitted in full: the estimate of the demand is not accurate
+/// enough to act on a smaller difference.
+const FULL_ADMISSION_SHARE: f64 = 0.9;
+/// Time that a new leader needs to measure the demand.
+const WARM_UP_TIME: Duration = Duration::from_secs(5);
+/// Time without refusals after which a refusal period of a pair has ended.
+const REFUSAL_END_DELAY: Duration = Duration::from_secs(10);
+/// Time for which tables list an accepted job: a little longer than the minute for which users repeat a submission.
+const ACCEPTED_RETENTION: Duration = Duration::from_secs(65);
+/// Maximum number of recently accepted jobs that are kept.
+const MAX_ACCEPTED_JOBS: usize = 16_384;
+
+/// The start or end of a refusal period of one pair.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RefusalChange {
-    /// The pair.
+    /// Team and class to which the change applies.
     pub pair: TeamClassPair,
-    /// Whether some are refused from now on.
+    /// Whether submissions of the pair are refused from now on; `false` if the refusals have ended.
     pub refused: bool,
 }
 
-/// What a pair asks for and gets, for operators.
+/// Demand and admission of one pair, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PairStatus {
-    /// The pair.
+    /// Team and class to which the status applies.
     pub pair: TeamClassPair,
-    /// Cost per second that it asks for.
+    /// Cost per second of all submissions, admitted or refused.
     pub demanded: f64,
-    /// Cost per second that is admitted.
+    /// Cost per second of the admitted submissions.
     pub admitted: f64,
-    /// How long its jobs are predicted to wait for machines, if there is a backlog.
+    /// Predicted time that the tasks of a new job wait for machines; `None` without a backlog.
     pub predicted_wait: Option<Duration>,
-    /// The share that is admitted.
+    /// Share of the submissions that the table in force admits.
     pub ratio: Ratio,
-    /// Since when some are refused.
+    /// Start of the pair's refusal period; `None` if the pair is not in one.
     pub refused_since: Option<Timestamp>,
 }
 
@@ -63,7 +64,7 @@
     }
 }
 
-/// Makes the tables of one leader.
+/// Computes the admission tables of one leader.
 #[derive(Debug)]
 pub struct AdmissionControl {
     policy: AdmissionPolicy,
@@ -71,17 +72,17 @@
     regulator: CapacityRegulator,
     demand: DemandMeter,
     backlog: BacklogMeter,
-    accepted: VecDeque<(Timestamp, JobId)>,
-    refused_since: BTreeMap<TeamClassPair, Refused>,
+    accepted_jobs: VecDeque<(Timestamp, JobId)>,
+    refusals: BTreeMap<TeamClassPair, RefusalPeriod>,
     changes: Vec<RefusalChange>,
     published_at: Timestamp,
-    drawn_at: Timestamp,
-    /// Until then the ratios of the leader before count too.
-    warm_at: Timestamp,
+    salt_changed_at: Timestamp,
+    /// Time until which the predecessor's ratios are upper bounds for those of new tables.
+    warm_up_ends_at: Timestamp,
 }
 
 impl AdmissionControl {
-    /// A leader that has just been elected refuses nothing.
+    /// Creates the state of a newly elected leader, which refuses nothing yet.
     pub fn new(token: FencingToken, now: Timestamp, policy: AdmissionPolicy) -> AdmissionControl {
         AdmissionControl {
             policy,
@@ -89,17 +90,18 @@
             regulator: CapacityRegulator::default(),
             demand: DemandMeter::default(),
             backlog: BacklogMeter::default(),
-            accepted: VecDeque::new(),
-            refused_since: BTreeMap::new(),
+            accepted_jobs: VecDeque::new(),
+            refusals: BTreeMap::new(),
             changes: Vec::new(),
             published_at: now,
-            drawn_at: now,
-            warm_at: now,
+            salt_changed_at: now,
+            warm_up_ends_at: now,
         }
     }
 
-    /// Goes on with the limit and the ratios of the leader before, until it knows the demand itself. Those who had to wait while nobody
-    /// led come all at once.
+    /// Takes over the limit and the ratios of the predecessor's table until this leader has measured the demand itself.
+    /// Submissions that were delayed while there was no leader arrive at the same time; without the ratios, all of them
+    /// would be admitted.
     pub fn inherit(&mut self, now: Timestamp, table: &AdmissionTable) {
         if !self.policy.enabled {
             return;
@@ -108,116 +110,125 @@
             self.regulator.inherit(limit);
         }
         self.table = table.renumbered(self.table.number);
-        self.warm_at = now + WARM_UP;
-        self.published_at = now.saturating_sub(PUBLISH_EVERY);
+        self.warm_up_ends_at = now + WARM_UP_TIME;
+        self.published_at = now.saturating_sub(PUBLISH_INTERVAL);
     }
 
-    /// Other settings come into force with the next table.
+    /// Replaces the settings; they apply from the next table on.
     pub fn set_policy(&mut self, policy: AdmissionPolicy) {
         self.policy = policy;
     }
 
-    /// The table in force.
+    /// Returns the table in force.
     pub fn table(&self) -> &AdmissionTable {
         &self.table
     }
 
-    /// The cost per second that is admitted at the most; `None`: everything.
+    /// Returns the maximum cost per second that is admitted; `None` if the load does not limit it.
     pub fn limit(&self) -> Option<f64> {
         self.regulator.limit()
     }
 
-    /// Decides on a submission that has reached the leader, and counts it.
+    /// Decides on a submission that has reached the leader, and adds it to the demand.
     pub fn decide(&mut self, now: Timestamp, submission: &Submission, tasks: u32) -> Decision {
         let pair = TeamClassPair::new(submission.team, submission.class);
-        self.demand.asked(now, &pair, 1, tasks);
+        self.demand.record_demand(now, &pair, 1, tasks);
         let decision = self.table.decide(submission);
         if decision == Decision::Admit {
-            self.demand.admitted(now, &pair, tasks);
+            self.demand.record_admitted(now, &pair, tasks);
         }
         decision
     }
 
-    /// Another node refused these.
+    /// Adds the submissions that another node has refused to the demand.
     pub fn record_remote_refusals(&mut self, now: Timestamp, report: &DemandReport) {
         for (pair, refused) in report.pairs() {
-            self.demand.asked(now, pair, refused.jobs, refused.tasks);
+            self.demand.record_demand(now, pair, refused.jobs, refused.tasks);
         }
     }
 
-    /// A job was accepted, durably: a repeat of its submission must not be refused.
+    /// Records that the acceptance of a job is durable. From the next table on, a repeated submission of it is never
+    /// refused.
     pub fn record_accepted(&mut self, now: Timestamp, job: JobId) {
-        self.accepted.push_back((now, job));
-        while self.accepted.len() > MOST_ACCEPTED
-            || self.accepted.front().is_some_and(|(at, _)| now.since(*at) > REPEATED_FOR)
+        self.accepted_jobs.push_back((now, job));
+        while self.accepted_jobs.len() > MAX_ACCEPTED_JOBS
+            || self.accepted_jobs.front().is_some_and(|(at, _)| now.since(*at) > ACCEPTED_RETENTION)
         {
-            self.accepted.pop_front();
+            self.accepted_jobs.pop_front();
         }
     }
 
-    /// Takes a measurement of how busy this node was for the last second, and how long its inputs wait.
-    pub fn observe_load(&mut self, now: Timestamp, utilization: Utilization, queueing: Duration) {
+    /// Records the utilization of this node in the last second and the queueing delay of its inputs, and adjusts the
+    /// limit.
+    pub fn observe_load(&mut self, now: Timestamp, utilization: Utilization, queueing_delay: Duration) {
         self.demand.decay(now);
-        self.regulator.observe(now, utilization, queueing, self.demand.demanded(), self.demand.admitted_rate());
+        self.regulator.observe(
+            now,
+            utilization,
+            queueing_delay,
+            self.demand.demanded_rate(),
+            self.demand.admitted_rate(),
+        );
     }
 
-    /// A task of this pair was started.
+    /// Records the start of one task of this pair.
     pub fn record_start(&mut self, pair: &TeamClassPair) {
         self.backlog.record_start(pair);
     }
 
-    /// Whether it wants to be told what waits, before the next `tick`.
+    /// Whether the caller should pass the backlog to [`Self::observe_backlog`] before the next [`Self::tick`], because
+    /// a table is due.
     pub fn needs_backlog(&self, now: Timestamp) -> bool {
-        now.since(self.published_at) >= PUBLISH_EVERY
+        now.since(self.published_at) >= PUBLISH_INTERVAL
     }
 
-    /// What waits for machines, of all pairs whose jobs end by themselves.
-    pub fn observe_backlog(&mut self, now: Timestamp, waiting: BTreeMap<TeamClassPair, PairBacklog>) {
-        self.backlog.observe(now, waiting);
+    /// Records the tasks that are pending, for all pairs of batch jobs; services are not counted.
+    pub fn observe_backlog(&mut self, now: Timestamp, backlogs: BTreeMap<TeamClassPair, PairBacklog>) {
+        self.backlog.observe(now, backlogs);
     }
 
-    /// Lets time pass; a new table when one is due. While nothing is refused there is none.
+    /// Computes and returns a new table if one is due; `None` if not, and while nothing is refused.
     pub fn tick(&mut self, now: Timestamp) -> Option<&AdmissionTable> {
-        if now.since(self.published_at) < PUBLISH_EVERY {
+        if now.since(self.published_at) < PUBLISH_INTERVAL {
             return None;
         }
         self.published_at = now;
-        let mut entries = self.entries(now);
-        if now < self.warm_at {
-            self.keep_ratios(&mut entries);
+        let mut entries = self.compute_entries(now);
+        if now < self.warm_up_ends_at {
+            self.cap_ratios(&mut entries);
         }
-        self.note_changes(now, &entries);
+        self.record_changes(now, &entries);
         if entries.is_empty() && self.table.admits_all() {
             return None;
         }
-        self.serve_the_starved(now, &mut entries);
-        if now.since(self.drawn_at) >= DRAW_LENGTH {
-            self.drawn_at = now;
+        self.admit_starved_pairs(now, &mut entries);
+        if now.since(self.salt_changed_at) >= SALT_LIFETIME {
+            self.salt_changed_at = now;
             self.table.salt = self.table.salt.wrapping_add(1);
         }
         let number = TableNumber { sequence: self.table.number.sequence + 1, ..self.table.number };
-        let accepted: RoaringTreemap = self.accepted.iter().map(|(_, job)| job.0).collect();
+        let accepted: RoaringTreemap = self.accepted_jobs.iter().map(|(_, job)| job.0).collect();
         self.table = AdmissionTable::new(number, self.table.salt, entries, accepted);
         self.table.limit = self.regulator.limit();
         Some(&self.table)
     }
 
-    /// Pairs whose refusal began or ceased since this was asked last.
+    /// Removes and returns the starts and ends of refusal periods that were recorded since the previous call.
     pub fn take_changes(&mut self) -> Vec<RefusalChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Whether any pair is refused, or was until not long ago.
+    /// Whether any pair is in a refusal period, which outlasts its last refusal by [`REFUSAL_END_DELAY`].
     pub fn is_refusing(&self) -> bool {
-        !self.refused_since.is_empty()
+        !self.refusals.is_empty()
     }
 
-    /// What each pair asks for and gets.
+    /// Returns demand and admission of each measured pair.
     pub fn status(&self, now: Timestamp) -> Vec<PairStatus> {
         self.demand.pairs().map(|(pair, demand)| self.pair_status(now, pair, demand)).collect()
     }
 
-    /// What one pair asks for and gets.
+    /// Returns demand and admission of one pair; `None` if its demand is not measured.
     pub fn status_of(&self, now: Timestamp, pair: &TeamClassPair) -> Option<PairStatus> {
         self.demand.pair(pair).map(|demand| self.pair_status(now, pair, demand))
     }
@@ -229,32 +240,34 @@
             admitted: demand.admitted,
             predicted_wait: self.backlog.predicted_wait(now, pair),
             ratio: self.table.ratio(&pair.team, &pair.class),
-            refused_since: self.refused_since.get(pair).map(|refused| refused.since),
+            refused_since: self.refusals.get(pair).map(|refused| refused.since),
         }
     }
 
-    /// What each pair may ask for: no more than brings its backlog to the longest wait.
+    /// Returns the demand of a pair in cost per second, reduced to what its backlog permits if the policy bounds
+    /// backlogs at present.
     fn admissible_demand(&self, now: Timestamp, pair: &TeamClassPair, demand: &PairDemand) -> f64 {
         let bounded = match self.policy.backlog_bound {
             BacklogBound::Never => false,
             BacklogBound::WhileOverloaded => self.regulator.limit().is_some(),
             BacklogBound::Always => true,
         };
-        let Some(tasks) = self.backlog.admissible(now, pair).filter(|_| bounded) else {
+        let Some(tasks) = self.backlog.admissible_task_rate(now, pair).filter(|_| bounded) else {
             return demand.demanded;
         };
         demand.demanded * (tasks / demand.demanded_tasks).min(1.0)
     }
 
-    /// Divides the limit among teams and their classes; the pairs that get clearly less than they ask for.
-    fn entries(&mut self, now: Timestamp) -> Vec<TableEntry> {
+    /// Divides the limit among the teams, and each team's share among its classes. Returns the entries of pairs whose
+    /// share is clearly below their demand, and those that exempt a class from a limit on its team's other classes.
+    fn compute_entries(&mut self, now: Timestamp) -> Vec<TableEntry> {
         if !self.policy.enabled {
             return Vec::new();
         }
         let mut teams: BTreeMap<&str, Vec<PairClaim>> = BTreeMap::new();
         for (pair, demand) in self.demand.pairs().filter(|(_, demand)| demand.demanded > 0.0) {
             let claim =
-                PairClaim { pair, asked: demand.demanded, admissible: self.admissible_demand(now, pair, demand) };
+                PairClaim { pair, demanded: demand.demanded, admissible: self.admissible_demand(now, pair, demand) };
             teams.entry(&pair.team).or_default().push(claim);
         }
         let total = |classes: &Vec<PairClaim>| classes.iter().map(|claim| claim.admissible).sum();
@@ -272,17 +285,17 @@
             let claims: Vec<Claim> =
                 classes.iter().map(|claim| Claim { weight: 1.0, demand: claim.admissible }).collect();
             for (claim, share) in classes.iter().zip(max_min(share, &claims)) {
-                let refused = share < WORTH_REFUSING * claim.asked;
-                let ratio = if refused { Ratio::from_share(share / claim.asked) } else { Ratio::ALL };
+                let refused = share < FULL_ADMISSION_SHARE * claim.demanded;
+                let ratio = if refused { Ratio::from_share(share / claim.demanded) } else { Ratio::ALL };
                 entries.push(TableEntry { pair: claim.pair.clone(), ratio });
             }
         }
-        drop_unneeded(&mut entries);
+        remove_redundant(&mut entries);
         entries
     }
 
-    /// Lets no pair have a higher ratio than in the last table.
-    fn keep_ratios(&self, entries: &mut Vec<TableEntry>) {
+    /// Limits the ratio of each pair to its ratio in the current table.
+    fn cap_ratios(&self, entries: &mut Vec<TableEntry>) {
         for (team, class, ratio) in self.table.entries() {
             let pair = TeamClassPair::new(team, class);
             match entries.iter_mut().find(|entry| entry.pair == pair) {
@@ -292,66 +305,69 @@
         }
     }
 
-    /// Admits pairs in full that have gone without an admitted job for too long: those that wait longest, and no more of them than the
-    /// limit carries until the next table.
-    fn serve_the_starved(&self, now: Timestamp, entries: &mut Vec<TableEntry>) {
-        // Followers refuse most of what a pair asks for, so that it counts as asking all the time while it is refused.
-        let unserved_since = |pair: &TeamClassPair| {
-            let refused = self.refused_since.get(pair).map_or(now, |refused| refused.since);
-            let admitted = self.demand.pair(pair).and_then(|demand| demand.admitted_at);
+    /// Removes the entries of pairs that have had no admitted job for too long, so that they are admitted in full.
+    /// Those that have gone without longest come first, and no more are removed than one job each fits into the limit
+    /// until the next table.
+    fn admit_starved_pairs(&self, now: Timestamp, entries: &mut Vec<TableEntry>) {
+        // Followers refuse most submissions of a refused pair before they reach the leader. Therefore the pair is
+        // assumed to submit jobs throughout its refusal period.
+        let without_admission_since = |pair: &TeamClassPair| {
+            let refused = self.refusals.get(pair).map_or(now, |refused| refused.since);
+            let admitted = self.demand.pair(pair).and_then(|demand| demand.last_admitted_at);
             admitted.map_or(refused, |admitted| admitted.max(refused))
         };
         let mut starved: Vec<(Timestamp, TeamClassPair)> = entries
             .iter()
-            .map(|entry| (unserved_since(&entry.pair), entry.pair.clone()))
+            .map(|entry| (without_admission_since(&entry.pair), entry.pair.clone()))
             .filter(|(since, _)| now.since(*since) >= self.policy.max_wait)
             .collect();
         starved.sort();
-        let carried = self.regulator.limit().unwrap_or(f64::MAX).max(FLOOR) * PUBLISH_EVERY.as_secs_f64();
-        starved.truncate(carried.ceil() as usize);
+        let max_starved = self.regulator.limit().unwrap_or(f64::MAX).max(MIN_LIMIT) * PUBLISH_INTERVAL.as_secs_f64();
+        starved.truncate(max_starved.ceil() as usize);
         entries.retain(|entry| !starved.iter().any(|(_, pair)| *pair == entry.pair));
     }
 
-    /// Notes which pairs are refused. A refusal is over only after some time without: a pair at its limit would else be said to begin and
-    /// cease with every table.
-    fn note_changes(&mut self, now: Timestamp, entries: &[TableEntry]) {
+    /// Updates the refusal periods of all pairs. A period ends only after [`REFUSAL_END_DELAY`] without refusals:
+    /// otherwise, a pair whose demand is close to its limit would be reported as refused and admitted again with every
+    /// table.
+    fn record_changes(&mut self, now: Timestamp, entries: &[TableEntry]) {
         for entry in entries.iter().filter(|entry| entry.ratio < Ratio::ALL) {
-            match self.refused_since.get_mut(&entry.pair) {
-                Some(refused) => refused.last = now,
+            match self.refusals.get_mut(&entry.pair) {
+                Some(refused) => refused.last_refused_at = now,
                 None => {
-                    self.refused_since.insert(entry.pair.clone(), Refused { since: now, last: now });
+                    self.refusals.insert(entry.pair.clone(), RefusalPeriod { since: now, last_refused_at: now });
                     self.changes.push(RefusalChange { pair: entry.pair.clone(), refused: true });
                 }
             }
         }
-        let over = |refused: &Refused| now.since(refused.last) >= REFUSAL_OVER;
+        let has_ended = |refused: &RefusalPeriod| now.since(refused.last_refused_at) >= REFUSAL_END_DELAY;
         let ended: Vec<TeamClassPair> =
-            self.refused_since.iter().filter(|(_, refused)| over(refused)).map(|(pair, _)| pair.clone()).collect();
+            self.refusals.iter().filter(|(_, refused)| has_ended(refused)).map(|(pair, _)| pair.clone()).collect();
         for pair in ended {
-            self.refused_since.remove(&pair);
+            self.refusals.remove(&pair);
             self.changes.push(RefusalChange { pair, refused: false });
         }
     }
 }
 
-/// Leaves out entries that admit everything, but for teams whose other classes are refused together.
-fn drop_unneeded(entries: &mut Vec<TableEntry>) {
-    let refused_together = |entry: &&TableEntry| entry.pair.class == OTHER_CLASSES && entry.ratio < Ratio::ALL;
+/// Removes entries that admit everything, except for teams whose entry for all other classes refuses submissions.
+fn remove_redundant(entries: &mut Vec<TableEntry>) {
+    let limits_other_classes = |entry: &&TableEntry| entry.pair.class == OTHER_CLASSES && entry.ratio < Ratio::ALL;
     let teams: BTreeSet<String> =
-        entries.iter().filter(refused_together).map(|entry| entry.pair.team.clone()).collect();
+        entries.iter().filter(limits_other_classes).map(|entry| entry.pair.team.clone()).collect();
     entries.retain(|entry| entry.ratio < Ratio::ALL || teams.contains(&entry.pair.team));
 }
 
-/// What one pair asks for, and what it may have of it.
+/// Demand of one pair, and the part of it that its backlog allows, both in cost per second.
 struct PairClaim<'a> {
     pair: &'a TeamClassPair,
-    asked: f64,
+    demanded: f64,
     admissible: f64,
 }
 
-/// When submissions of a pair were refused, first and last.
+/// A period in which submissions of a pair are refused.
 #[derive(Debug, Clone, Copy)]
-struct Refused {
+struct RefusalPeriod {
     since: Timestamp,
-    last: Timestamp,
+    last_refused_at: Timestamp,
 }
--- a/crates/admission/src/decay.rs
+++ b/crates/admission/src/decay.rs
@@ -1,8 +1,8 @@
-//! Averages that forget.
+//! Exponential decay for moving averages.
 
 use caperstile_types::Duration;
 
-/// What is left of an old measurement after so long; 1/e after the time constant.
-pub(crate) fn kept(passed: Duration, time_constant: Duration) -> f64 {
-    (-passed.as_secs_f64() / time_constant.as_secs_f64()).exp()
+/// Returns the weight, from 0 to 1, that a measurement retains after `elapsed`: 1/e after one `time_constant`.
+pub(crate) fn remaining_weight(elapsed: Duration, time_constant: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
--- a/crates/admission/src/demand.rs
+++ b/crates/admission/src/demand.rs
@@ -1,35 +1,38 @@
-//! How much each pair asks for and gets.
+//! Measures the demand and the admitted submissions of each pair of team and class.
 
 use crate::decay;
 use crate::submission::{Cost, OTHER_CLASSES, TeamClassPair};
 use caperstile_types::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// What a pair did this long ago counts 1/e of what it does now.
+/// Time constant of the moving rates: a submission of this age has a weight of 1/e.
 const TIME_CONSTANT: Duration = Duration::from_secs(5);
-/// A pair that has asked for nothing for so long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(120);
-/// Pairs that are kept apart, and classes of one team; what comes beyond shares an entry of its team.
-const MOST_PAIRS: usize = 4_096;
-const MOST_CLASSES: usize = 32;
+/// Time without submissions after which a pair is removed.
+const RETENTION: Duration = Duration::from_secs(120);
+/// Maximum number of pairs that are measured separately. Further pairs share one entry per team, which has the class
+/// [`OTHER_CLASSES`].
+const MAX_PAIRS: usize = 4_096;
+/// Maximum number of classes of one team that are measured separately; further classes share the team's entry.
+const MAX_CLASSES_PER_TEAM: usize = 32;
 
-/// What one pair asked for and got.
+/// Demand and admitted submissions of one pair.
 #[derive(Debug, Clone)]
 pub(crate) struct PairDemand {
-    /// Cost per second that it asks for.
+    /// Cost per second of all submissions, admitted or refused.
     pub(crate) demanded: f64,
-    /// Tasks per second that it asks for.
+    /// Tasks per second of all submissions, admitted or refused.
     pub(crate) demanded_tasks: f64,
-    /// Cost per second that was admitted.
+    /// Cost per second of the admitted submissions.
     pub(crate) admitted: f64,
-    /// When one of its submissions was admitted last.
-    pub(crate) admitted_at: Option<Timestamp>,
-    asked_at: Timestamp,
+    /// Time of the last admitted submission; `None` if none has been admitted.
+    pub(crate) last_admitted_at: Option<Timestamp>,
+    last_demanded_at: Timestamp,
 }
 
-/// Meters the demand of all pairs.
+/// Measures the demand of all pairs.
 ///
-/// The leader sees what followers have not refused, and they report what they have. Memory is bounded whatever names are invented.
+/// The leader sees the submissions that followers forward; followers report those that they refuse. Memory use is
+/// bounded for any number of distinct team and class names that users submit.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     pairs: BTreeMap<TeamClassPair, PairDemand>,
@@ -37,59 +40,66 @@
 }
 
 impl DemandMeter {
-    fn key(&self, pair: &TeamClassPair) -> TeamClassPair {
-        let room = || self.pairs.len() < MOST_PAIRS && self.classes_of(&pair.team) < MOST_CLASSES;
-        if self.pairs.contains_key(pair) || room() {
+    fn tracked_pair(&self, pair: &TeamClassPair) -> TeamClassPair {
+        let can_track = || self.pairs.len() < MAX_PAIRS && self.class_count(&pair.team) < MAX_CLASSES_PER_TEAM;
+        if self.pairs.contains_key(pair) || can_track() {
             pair.clone()
         } else {
             TeamClassPair::new(&pair.team, OTHER_CLASSES)
         }
     }
 
-    fn classes_of(&self, team: &str) -> usize {
+    fn class_count(&self, team: &str) -> usize {
         let from = TeamClassPair::new(team, OTHER_CLASSES);
         self.pairs.range(from..).take_while(|(pair, _)| pair.team == team).count()
     }
 
     fn entry(&mut self, now: Timestamp, pair: &TeamClassPair) -> &mut PairDemand {
-        let fresh = PairDemand { demanded: 0.0, demanded_tasks: 0.0, admitted: 0.0, admitted_at: None, asked_at: now };
-        let key = self.key(pair);
-        self.pairs.entry(key).or_insert(fresh)
+        let empty = PairDemand {
+            demanded: 0.0,
+            demanded_tasks: 0.0,
+            admitted: 0.0,
+            last_admitted_at: None,
+            last_demanded_at: now,
+        };
+        let key = self.tracked_pair(pair);
+        self.pairs.entry(key).or_insert(empty)
     }
 
-    /// Submissions of this pair arrived here, or were refused by another node: so many jobs, with so many tasks all together.
-    pub fn asked(&mut self, now: Timestamp, pair: &TeamClassPair, jobs: u32, tasks: u32) {
+    /// Records submissions of `jobs` jobs with `tasks` tasks in total, which arrived at this node or were refused by
+    /// another node.
+    pub fn record_demand(&mut self, now: Timestamp, pair: &TeamClassPair, jobs: u32, tasks: u32) {
         let entry = self.entry(now, pair);
-        entry.asked_at = now;
+        entry.last_demanded_at = now;
         entry.demanded += Cost::of_jobs(jobs, tasks).0 / TIME_CONSTANT.as_secs_f64();
         entry.demanded_tasks += f64::from(tasks) / TIME_CONSTANT.as_secs_f64();
     }
 
-    /// A submission of this pair was admitted.
-    pub fn admitted(&mut self, now: Timestamp, pair: &TeamClassPair, tasks: u32) {
+    /// Records that a submission of this pair was admitted.
+    pub fn record_admitted(&mut self, now: Timestamp, pair: &TeamClassPair, tasks: u32) {
         let entry = self.entry(now, pair);
-        entry.admitted_at = Some(now);
+        entry.last_admitted_at = Some(now);
         entry.admitted += Cost::of_jobs(1, tasks).0 / TIME_CONSTANT.as_secs_f64();
     }
 
-    /// Lets time pass.
+    /// Decays all rates to the time `now` and removes pairs without recent submissions.
     pub fn decay(&mut self, now: Timestamp) {
-        let kept = decay::kept(now.since(self.decayed_at), TIME_CONSTANT);
+        let factor = decay::remaining_weight(now.since(self.decayed_at), TIME_CONSTANT);
         self.decayed_at = now;
         for pair in self.pairs.values_mut() {
-            pair.demanded *= kept;
-            pair.demanded_tasks *= kept;
-            pair.admitted *= kept;
+            pair.demanded *= factor;
+            pair.demanded_tasks *= factor;
+            pair.admitted *= factor;
         }
-        self.pairs.retain(|_, pair| now.since(pair.asked_at) < FORGET_AFTER);
+        self.pairs.retain(|_, pair| now.since(pair.last_demanded_at) < RETENTION);
     }
 
-    /// Cost per second that all pairs ask for.
-    pub fn demanded(&self) -> f64 {
+    /// Returns the cost per second of all submissions of all pairs.
+    pub fn demanded_rate(&self) -> f64 {
         self.pairs.values().map(|pair| pair.demanded).sum()
     }
 
-    /// Cost per second that was admitted of all pairs.
+    /// Returns the cost per second of the admitted submissions of all pairs.
     pub fn admitted_rate(&self) -> f64 {
         self.pairs.values().map(|pair| pair.admitted).sum()
     }
--- a/crates/admission/src/fair_share.rs
+++ b/crates/admission/src/fair_share.rs
@@ -1,32 +1,33 @@
-//! Weighted max-min fairness: what is to be divided goes to all by their weights, but to nobody more than it asks for.
+//! Weighted max-min fairness: divides a capacity in proportion to weights and gives no claim more than its demand.
 
-/// Somebody who asks for a share.
+/// A claim on a share of the capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Claim {
-    /// Its weight; must be positive.
+    /// Weight of the claim; must be positive.
     pub weight: f64,
-    /// What it asks for.
+    /// Requested amount, and the maximum that is assigned.
     pub demand: f64,
 }
 
-/// Divides `capacity` among the claims, in their order.
+/// Divides `capacity` among the claims. Returns the shares in the order of the claims.
 ///
-/// Progressive filling: all are raised in proportion to their weights; whoever has what it asks for drops out, and the others share what
-/// is left. So nobody can get more without taking from one who has less for its weight.
+/// Uses progressive filling: all shares grow in proportion to their weights; a claim whose demand is met stops growing,
+/// and the others divide the rest. Therefore no share can be increased without reducing another one that is not larger
+/// relative to its weight.
 pub fn max_min(capacity: f64, claims: &[Claim]) -> Vec<f64> {
     let mut shares = vec![0.0; claims.len()];
-    let mut order: Vec<usize> = (0..claims.len()).collect();
-    // Whoever asks for least by its weight is satisfied first.
-    let level = |index: &usize| claims[*index].demand / claims[*index].weight;
-    order.sort_by(|a, b| level(a).total_cmp(&level(b)));
-    let mut left = capacity.max(0.0);
-    let mut weights: f64 = claims.iter().map(|claim| claim.weight).sum();
-    for index in order {
+    let mut fill_order: Vec<usize> = (0..claims.len()).collect();
+    // The claims with the lowest demand relative to their weight are satisfied first.
+    let normalized_demand = |index: &usize| claims[*index].demand / claims[*index].weight;
+    fill_order.sort_by(|a, b| normalized_demand(a).total_cmp(&normalized_demand(b)));
+    let mut remaining = capacity.max(0.0);
+    let mut remaining_weight: f64 = claims.iter().map(|claim| claim.weight).sum();
+    for index in fill_order {
         let claim = claims[index];
-        let fair = left * claim.weight / weights;
-        shares[index] = claim.demand.min(fair);
-        left -= shares[index];
-        weights -= claim.weight;
+        let fair_portion = remaining * claim.weight / remaining_weight;
+        shares[index] = claim.demand.min(fair_portion);
+        remaining -= shares[index];
+        remaining_weight -= claim.weight;
     }
     shares
 }
--- a/crates/admission/src/hash.rs
+++ b/crates/admission/src/hash.rs
@@ -1,20 +1,21 @@
-//! Hashes that are the same on every controller and in every version.
+//! Hashes that are identical on all controllers and in all versions, so that all nodes decide alike.
 
 use caperstile_types::JobId;
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Draws for different purposes must not depend on each other.
+/// What a hash value is used for. Each purpose has its own hash key, so that the values for one purpose are independent
+/// of those for another.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Purpose {
-    /// Whether a submission is admitted.
+pub(crate) enum HashPurpose {
+    /// Selects the submissions that are admitted.
     Admission = 1,
-    /// When a refused user may come back.
-    Retry = 2,
+    /// Selects the retry delay of a refused submission.
+    RetryAfter = 2,
 }
 
-/// A number below 2^32 for a job, evenly distributed and different in each draw.
-pub(crate) fn uniform_u32(purpose: Purpose, job: JobId, salt: u32) -> u32 {
+/// Hashes a job's id to a uniformly distributed number below 2^32. Different salts give independent numbers.
+pub(crate) fn uniform_u32(purpose: HashPurpose, job: JobId, salt: u32) -> u32 {
     let mut hasher = SipHasher13::new_with_keys(purpose as u64, u64::from(salt));
     hasher.write_u64(job.0.to_le());
     (hasher.finish() >> 32) as u32
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,14 +1,17 @@
-//! Overload admission that all controllers agree on, as a pure state machine.
+//! Admission control of submissions under overload, consistent across all controllers and implemented as a pure state
+//! machine.
 //!
-//! The leading controller measures how busy it is ([`CapacityRegulator`]) and how much each team and class asks for
-//! ([`DemandMeter`]). While it is overloaded it divides what it can admit by weighted max-min fairness ([`fair_share`]) and publishes the
-//! result as a numbered [`AdmissionTable`] ([`AdmissionControl`]). Every controller keeps the newest table ([`TableView`]) and decides on
-//! submissions by it: the decision is a pure function of the table and the submission, so the same table gives the same answer on every
-//! node, and a refused submission costs the leader nothing.
+//! The leader measures its own load ([`CapacityRegulator`]) and the demand of each pair of team and class
+//! ([`DemandMeter`]). While it is overloaded, it divides its capacity for submissions by weighted max-min fairness
+//! ([`fair_share`]) and publishes the result as a numbered [`AdmissionTable`] ([`AdmissionControl`]). Each controller
+//! keeps the newest table ([`TableView`]) and decides on submissions by it. The decision is a pure function of the
+//! table and the submission: the same table yields the same decision on every node, and a submission that a follower
+//! refuses costs the leader nothing.
 //!
-//! [`RequestQueue`] orders what waits for one controller: each class of requests has a bounded queue and a least share of the service.
+//! [`RequestQueue`] schedules the requests that are queued at one controller: each request class has a bounded queue
+//! and a minimum share of the service.
 //!
-//! There is no I/O and no clock here.
+//! This crate performs no I/O and reads no clock; callers pass the current time.
 #![forbid(unsafe_code)]
 
 mod backlog;
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,24 +1,25 @@
-//! Operators' settings of admission, read from sections of their INI file.
+//! Operators' settings of admission control, which are read from sections of their INI file.
 
 use caperstile_types::Duration;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SECTION: &str = "admission";
 const TEAM_SECTION: &str = "admission team ";
-/// Weight of a team that is not named.
+/// Weight of a team without a section of its own.
 const DEFAULT_WEIGHT: f64 = 1.0;
 const WEIGHTS: std::ops::RangeInclusive<f64> = 0.01..=100.0;
-/// Users give up after 60 s, so a longer wait would serve nobody.
+/// Accepted range of `max_wait_s`. Users stop retrying after 60 s, so a longer wait would not help any of them.
 const WAITS_S: std::ops::RangeInclusive<f64> = 5.0..=50.0;
 
-/// When submissions are refused because the jobs of their pair wait too long for machines.
+/// When submissions are refused because jobs of the same team and class wait too long for machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BacklogBound {
-    /// Never.
+    /// A backlog never causes refusals.
     Never,
-    /// While the controllers are overloaded: long queues cost them most, and what waits longest gains least by being accepted.
+    /// A backlog causes refusals only while the controllers are overloaded: long queues of pending tasks cost the
+    /// controllers most, and accepting a job gains least where it would wait longest.
     WhileOverloaded,
-    /// Whenever they wait too long.
+    /// A backlog causes refusals whenever the predicted wait is too long, also without overload.
     Always,
 }
 
@@ -33,14 +34,15 @@
     }
 }
 
-/// What operators say of admission.
+/// Operators' settings of admission control.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Whether an overloaded leader refuses submissions by a table.
+    /// Whether the leader limits submissions at all.
     pub enabled: bool,
-    /// When submissions are also refused because the jobs of their pair wait too long for machines.
+    /// When submissions are also refused because jobs of the same pair wait too long for machines.
     pub backlog_bound: BacklogBound,
-    /// A pair that asked for so long without an admitted job is admitted in full, unless more pairs wait than can be served in that time.
+    /// Time after which a pair that submits jobs but has had none admitted is admitted in full. It takes longer if more
+    /// pairs are starved than the limit permits to serve in that time.
     pub max_wait: Duration,
     weights: BTreeMap<String, f64>,
 }
@@ -56,30 +58,30 @@
     }
 }
 
-/// Why a setting cannot be used.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("[{section}] {key}: {reason}")]
 pub struct AdmissionPolicyError {
-    /// Section.
+    /// Section of the file that contains the setting, without brackets.
     pub section: String,
-    /// Key.
+    /// Key of the setting.
     pub key: String,
-    /// What is wrong.
+    /// Why the setting is invalid.
     pub reason: String,
 }
 
 impl AdmissionPolicy {
-    /// Whether a section of the operators' file belongs to admission.
+    /// Whether a section of the operators' file belongs to admission control.
     pub fn is_section(name: &str) -> bool {
         name == SECTION || name.starts_with(TEAM_SECTION)
     }
 
-    /// A team's weight.
+    /// Returns the team's weight in the weighted max-min division of the limit; 1 if none is set.
     pub fn weight(&self, team: &str) -> f64 {
         self.weights.get(team).copied().unwrap_or(DEFAULT_WEIGHT)
     }
 
-    /// Reads one setting; `teams` are those of the deployment.
+    /// Applies one setting. `teams` are the teams of the deployment; a section for any other team is an error.
     pub fn set(
         &mut self,
         section: &str,
--- a/crates/admission/src/report.rs
+++ b/crates/admission/src/report.rs
@@ -1,4 +1,4 @@
-//! What a follower tells the leader of submissions that it refused, so that the leader knows the whole demand.
+//! The demand report: a follower reports the submissions that it refused, so that the leader knows the total demand.
 
 use crate::codec::{self, DecodeError};
 use crate::submission::TeamClassPair;
@@ -6,21 +6,21 @@
 use zerocopy::byteorder::little_endian::{U16, U32};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Layout of an encoded report.
+/// Layout version of an encoded report.
 const LAYOUT: u16 = 1;
-/// Pairs of one report; what is refused of others is not told.
-const MOST_PAIRS: usize = 1_024;
+/// Maximum number of pairs in one report; refusals of further pairs are not reported.
+const MAX_PAIRS: usize = 1_024;
 
-/// What was refused of one pair.
+/// Refused submissions of one pair.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RefusedDemand {
-    /// Submissions.
+    /// Number of refused submissions.
     pub jobs: u32,
-    /// Their tasks, all together.
+    /// Total number of tasks of the refused submissions.
     pub tasks: u32,
 }
 
-/// What one node refused since its last report.
+/// Submissions that one node has refused since its previous report, by pair of team and class.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DemandReport {
     pairs: BTreeMap<TeamClassPair, RefusedDemand>,
@@ -43,10 +43,10 @@
 }
 
 impl DemandReport {
-    /// A submission of this pair was refused.
+    /// Records the refusal of one submission with `tasks` tasks.
     pub fn record_refused(&mut self, team: &str, class: &str, tasks: u32) {
         let pair = TeamClassPair::new(team, class);
-        if self.pairs.len() >= MOST_PAIRS && !self.pairs.contains_key(&pair) {
+        if self.pairs.len() >= MAX_PAIRS && !self.pairs.contains_key(&pair) {
             return;
         }
         let refused = self.pairs.entry(pair).or_default();
@@ -54,17 +54,17 @@
         refused.tasks = refused.tasks.saturating_add(tasks);
     }
 
-    /// Whether nothing was refused.
+    /// Whether no refusals are recorded.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    /// What was refused, by pair.
+    /// Returns the refused submissions of each pair.
     pub fn pairs(&self) -> impl Iterator<Item = (&TeamClassPair, &RefusedDemand)> {
         self.pairs.iter()
     }
 
-    /// The bytes of the report; pairs that do not fit are left out.
+    /// Encodes the report. Omits pairs that do not fit into one message and pairs with a name of more than 255 bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; size_of::<Header>()];
         let mut entries = 0u16;
@@ -79,18 +79,18 @@
         bytes
     }
 
-    /// Reads the bytes of a report.
+    /// Decodes a report.
     pub fn decode(bytes: &[u8]) -> Result<DemandReport, DecodeError> {
         let (header, mut rest) = Header::read_from_prefix(bytes).map_err(|_| DecodeError::Truncated)?;
         if header.layout.get() != LAYOUT {
-            return Err(DecodeError::Layout(header.layout.get()));
+            return Err(DecodeError::UnknownLayout(header.layout.get()));
         }
         let mut report = DemandReport::default();
         for _ in 0..header.entries.get() {
-            let (entry, after) = EntryHeader::read_from_prefix(rest).map_err(|_| DecodeError::Truncated)?;
-            let (pair, after) = codec::take_pair(after, entry.team_length, entry.class_length)?;
+            let (entry, remaining) = EntryHeader::read_from_prefix(rest).map_err(|_| DecodeError::Truncated)?;
+            let (pair, remaining) = codec::take_pair(remaining, entry.team_length, entry.class_length)?;
             report.pairs.insert(pair, RefusedDemand { jobs: entry.jobs.get(), tasks: entry.tasks.get() });
-            rest = after;
+            rest = remaining;
         }
         Ok(report)
     }
--- a/crates/admission/src/submission.rs
+++ b/crates/admission/src/submission.rs
@@ -1,26 +1,27 @@
-//! What admission looks at of a submission.
+//! The properties of a submission on which admission decisions depend.
 
 use caperstile_types::JobId;
 use std::fmt;
 
-/// Tasks that cost the controllers about as much as a job of its own: starts, reports and commits of each task against the
-/// questions of one user.
-const TASKS_PER_UNIT: f64 = 32.0;
+/// Number of tasks that cost the controllers about as much as one job: each task causes a start, heartbeat entries and
+/// log commits, each job causes status queries by its user.
+const TASKS_PER_COST_UNIT: f64 = 32.0;
 
-/// A team and one of its classes of jobs.
+/// A team and one of its job classes: the unit for which demand is measured and an admission ratio is set.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TeamClassPair {
-    /// Team.
+    /// Name of the team.
     pub team: String,
-    /// Class.
+    /// Name of the job class; empty for the entry that covers all other classes of the team.
     pub class: String,
 }
 
-/// Stands for all classes of a team that are not told apart. No job has it: names are not empty.
+/// Class name of the entry that covers all classes of a team without an entry of their own. No job has this class,
+/// since names are not empty.
 pub(crate) const OTHER_CLASSES: &str = "";
 
 impl TeamClassPair {
-    /// The pair of these names.
+    /// Creates a pair from the names of a team and a class.
     pub fn new(team: &str, class: &str) -> TeamClassPair {
         TeamClassPair { team: team.to_string(), class: class.to_string() }
     }
@@ -32,24 +33,24 @@
     }
 }
 
-/// What an accepted job costs the controllers, in units of a job with few tasks.
+/// Load that accepted jobs cause at the controllers. The unit is one job without the cost of its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Cost(pub f64);
 
 impl Cost {
-    /// The cost of so many jobs with so many tasks all together.
+    /// Returns the cost of `jobs` jobs that have `tasks` tasks in total.
     pub fn of_jobs(jobs: u32, tasks: u32) -> Cost {
-        Cost(f64::from(jobs) + f64::from(tasks) / TASKS_PER_UNIT)
+        Cost(f64::from(jobs) + f64::from(tasks) / TASKS_PER_COST_UNIT)
     }
 }
 
-/// A submission as admission sees it.
+/// The part of a submission that an admission decision depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Submission<'a> {
-    /// The job's id.
+    /// Id of the job; with the table's salt, it determines whether the submission is in the admitted share.
     pub job: JobId,
-    /// Its team.
+    /// Team of the job.
     pub team: &'a str,
-    /// Its class.
+    /// Class of the job.
     pub class: &'a str,
 }
--- a/crates/admission/src/table.rs
+++ b/crates/admission/src/table.rs
@@ -1,7 +1,7 @@
-//! The admission table: what share of each pair's submissions is admitted, and the decision by it.
+//! The admission table: the share of each pair's submissions that is admitted, and the decision on a submission.
 
 use crate::codec::{self, DecodeError};
-use crate::hash::{self, Purpose};
+use crate::hash::{self, HashPurpose};
 use crate::submission::{OTHER_CLASSES, Submission, TeamClassPair};
 use caperstile_types::{Duration, FencingToken, JobId};
 use roaring::RoaringTreemap;
@@ -9,82 +9,86 @@
 use zerocopy::byteorder::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Layout of the encoded table; a reader passes over tables of any other.
+/// Layout version of the encoded table; decoding rejects tables of any other layout.
 const LAYOUT: u16 = 1;
-/// Refused users come back after a time between this and twice this.
-const RETRY_AFTER_S: u16 = 8;
-/// Users come back in a later draw than the one that refused them, or the answer would be the same.
-pub(crate) const DRAW_LENGTH: Duration = Duration::from_millis(RETRY_AFTER_S as u64 * 1000);
+/// Minimum delay in seconds before a refused submission is retried; the maximum is twice this value.
+const MIN_RETRY_AFTER_S: u16 = 8;
+/// Minimum time for which a salt is used. It equals the minimum retry delay, so that a retried submission meets a new
+/// salt: with the same salt and ratio it would be refused again.
+pub(crate) const SALT_LIFETIME: Duration = Duration::from_millis(MIN_RETRY_AFTER_S as u64 * 1000);
 
-/// Parts of a unit of cost in which limits are encoded.
-const LIMIT_UNIT: f64 = 1000.0;
+/// Resolution at which limits are encoded: steps per unit of cost per second.
+const LIMIT_STEPS_PER_UNIT: f64 = 1000.0;
 
-/// Which table this is. A higher token is a later leader's; tables of one leader are numbered in sequence.
+/// Identifies a table and orders tables by age: a later leader has a higher token, and each leader numbers its tables
+/// consecutively.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TableNumber {
-    /// Fencing token of the leader that made it.
+    /// Fencing token of the leader that published the table.
     pub token: FencingToken,
-    /// Its number among that leader's tables.
+    /// Sequence number of the table, counted per leader.
     pub sequence: u64,
 }
 
-/// A share of submissions, in parts of 65,535.
+/// A share of submissions as a multiple of 1/65,535.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ratio(u16);
 
 impl Ratio {
-    /// Everything is admitted.
+    /// All submissions are admitted.
     pub const ALL: Ratio = Ratio(u16::MAX);
 
-    /// The ratio of this share; what lies outside of 0 to 1 is cut.
+    /// Converts a share, rounding up. Shares outside of 0 to 1 are clamped.
     pub fn from_share(share: f64) -> Ratio {
         Ratio((share.clamp(0.0, 1.0) * f64::from(u16::MAX)).ceil() as u16)
     }
 
-    /// The share, from 0 to 1.
+    /// Returns the share, from 0 to 1.
     pub fn share(self) -> f64 {
         f64::from(self.0) / f64::from(u16::MAX)
     }
 
-    /// Whether a job is among the admitted in this draw. A higher ratio admits all that a lower one does.
+    /// Whether the job belongs to the admitted share under this salt. With the same salt, a higher ratio admits every
+    /// job that a lower ratio admits.
     fn admits(self, job: JobId, salt: u32) -> bool {
-        self == Ratio::ALL || (hash::uniform_u32(Purpose::Admission, job, salt) >> 16) < u32::from(self.0)
+        self == Ratio::ALL || (hash::uniform_u32(HashPurpose::Admission, job, salt) >> 16) < u32::from(self.0)
     }
 }
 
-/// What the table says of one pair.
+/// The admission ratio of one pair.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableEntry {
-    /// Team and class.
+    /// Team and class to which the ratio applies.
     pub pair: TeamClassPair,
-    /// The share of its submissions that is admitted.
+    /// Share of the pair's submissions that is admitted.
     pub ratio: Ratio,
 }
 
-/// What is to become of a submission.
+/// The outcome of admission control for one submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// The leader may accept it.
+    /// The submission is admitted; the leader may accept the job.
     Admit,
-    /// It is refused for now.
+    /// The submission is refused; the user may retry it.
     Refuse {
-        /// When its user may come back, in seconds.
+        /// Delay in seconds after which the user may retry.
         retry_after_s: u16,
     },
 }
 
-/// Which submissions are refused, for all controllers alike.
+/// Admission ratios by which all controllers decide on submissions.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionTable {
-    /// Which table it is.
+    /// Identifies the table; a node replaces its table only by one with a higher number.
     pub number: TableNumber,
-    /// Decides which jobs a ratio admits; it changes every few seconds, so that nobody is refused for ever.
+    /// Salt of the hash that selects which jobs a ratio admits. It changes every few seconds, so that no job is refused
+    /// forever.
     pub salt: u32,
-    /// The cost per second that the leader admits at the most, for the next leader to begin with.
+    /// Maximum cost per second that the leader admits, which a successor starts with; `None` if unlimited.
     pub limit: Option<f64>,
-    /// By team and class.
+    /// Ratios by team and class; pairs that are missing are admitted in full.
     ratios: BTreeMap<String, BTreeMap<String, Ratio>>,
-    /// Jobs that were accepted not long ago: a repeat of such a submission is never refused.
+    /// Jobs that were accepted recently: a repeated submission of such a job is never refused.
     accepted: RoaringTreemap,
 }
 
@@ -94,7 +98,7 @@
     layout: U16,
     entries: U16,
     salt: U32,
-    /// In thousandths; 0: none.
+    /// In thousandths of a unit of cost per second; 0 encodes the absence of a limit.
     limit: U32,
     token: U64,
     sequence: U64,
@@ -109,12 +113,13 @@
 }
 
 impl AdmissionTable {
-    /// A table that refuses nothing.
+    /// Creates a table that admits every submission.
     pub fn admit_all(number: TableNumber, salt: u32) -> AdmissionTable {
         AdmissionTable { number, salt, limit: None, ratios: BTreeMap::new(), accepted: RoaringTreemap::new() }
     }
 
-    /// A table of these entries. Those that admit everything are needed only beside one for all other classes of their team.
+    /// Creates a table from its entries. Drops entries with [`Ratio::ALL`], except in teams with an entry that covers
+    /// all other classes: there they exempt their class from it.
     pub fn new(
         number: TableNumber,
         salt: u32,
@@ -132,42 +137,43 @@
         table
     }
 
-    /// The same table under another number, for a leader that goes on with it.
+    /// Returns a copy of the table under another number, for a leader that takes it over.
     pub(crate) fn renumbered(&self, number: TableNumber) -> AdmissionTable {
         AdmissionTable { number, ..self.clone() }
     }
 
-    /// Whether it refuses nothing.
+    /// Whether the table admits every submission.
     pub fn admits_all(&self) -> bool {
         self.ratios.is_empty()
     }
 
-    /// The share that is admitted of a team's class.
+    /// Returns the admission ratio of a team's class.
     pub fn ratio(&self, team: &str, class: &str) -> Ratio {
         let of_class = |classes: &BTreeMap<String, Ratio>| classes.get(class).or(classes.get(OTHER_CLASSES)).copied();
         self.ratios.get(team).and_then(of_class).unwrap_or(Ratio::ALL)
     }
 
-    /// All entries.
+    /// Returns the team, class and ratio of each entry.
     pub fn entries(&self) -> impl Iterator<Item = (&str, &str, Ratio)> {
         self.ratios
             .iter()
             .flat_map(|(team, classes)| classes.iter().map(|(class, ratio)| (team.as_str(), class.as_str(), *ratio)))
     }
 
-    /// Decides on a submission. The same table gives the same answer on every node.
+    /// Decides on a submission. The same table yields the same decision on every node.
     pub fn decide(&self, submission: &Submission) -> Decision {
         let ratio = self.ratio(submission.team, submission.class);
         if ratio.admits(submission.job, self.salt) || self.accepted.contains(submission.job.0) {
             return Decision::Admit;
         }
-        // Spread evenly, so that those who are refused together do not come back together.
-        let spread = hash::uniform_u32(Purpose::Retry, submission.job, self.salt) % u32::from(RETRY_AFTER_S + 1);
-        Decision::Refuse { retry_after_s: RETRY_AFTER_S + spread as u16 }
+        // Uniform jitter, so that users who are refused at the same time do not retry at the same time.
+        let jitter =
+            hash::uniform_u32(HashPurpose::RetryAfter, submission.job, self.salt) % u32::from(MIN_RETRY_AFTER_S + 1);
+        Decision::Refuse { retry_after_s: MIN_RETRY_AFTER_S + jitter as u16 }
     }
 
-    /// The bytes of the table. What does not fit is left out: of entries that are missing everything is admitted, and of accepted jobs
-    /// that are missing a repeat may be refused.
+    /// Encodes the table. Omits what does not fit into one message: a pair without an entry is admitted in full, and
+    /// without the set of accepted jobs, repeated submissions of accepted jobs may be refused.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![0; size_of::<Header>()];
         let mut entries = 0u16;
@@ -180,37 +186,39 @@
             layout: U16::new(LAYOUT),
             entries: U16::new(entries),
             salt: U32::new(self.salt),
-            limit: U32::new(self.limit.map_or(0, |limit| (limit * LIMIT_UNIT).min(f64::from(u32::MAX)) as u32)),
+            limit: U32::new(
+                self.limit.map_or(0, |limit| (limit * LIMIT_STEPS_PER_UNIT).min(f64::from(u32::MAX)) as u32),
+            ),
             token: U64::new(self.number.token.0),
             sequence: U64::new(self.number.sequence),
         };
         bytes[..size_of::<Header>()].copy_from_slice(header.as_bytes());
-        if bytes.len() + self.accepted.serialized_size() <= codec::MAX_BYTES {
-            // Writing into memory does not fail.
+        if bytes.len() + self.accepted.serialized_size() <= codec::MAX_MESSAGE_BYTES {
+            // Writing to a `Vec` cannot fail.
             let _ = self.accepted.serialize_into(&mut bytes);
         }
         bytes
     }
 
-    /// Reads the bytes of a table.
+    /// Decodes a table.
     pub fn decode(bytes: &[u8]) -> Result<AdmissionTable, DecodeError> {
         let (header, mut rest) = Header::read_from_prefix(bytes).map_err(|_| DecodeError::Truncated)?;
         if header.layout.get() != LAYOUT {
-            return Err(DecodeError::Layout(header.layout.get()));
+            return Err(DecodeError::UnknownLayout(header.layout.get()));
         }
         let number = TableNumber { token: FencingToken(header.token.get()), sequence: header.sequence.get() };
         let mut entries = Vec::new();
         for _ in 0..header.entries.get() {
-            let (entry, after) = EntryHeader::read_from_prefix(rest).map_err(|_| DecodeError::Truncated)?;
-            let (pair, after) = codec::take_pair(after, entry.team_length, entry.class_length)?;
+            let (entry, remaining) = EntryHeader::read_from_prefix(rest).map_err(|_| DecodeError::Truncated)?;
+            let (pair, remaining) = codec::take_pair(remaining, entry.team_length, entry.class_length)?;
             entries.push(TableEntry { pair, ratio: Ratio(entry.ratio.get()) });
-            rest = after;
+            rest = remaining;
         }
         let accepted = match rest {
             [] => RoaringTreemap::new(),
-            _ => RoaringTreemap::deserialize_from(rest).map_err(|_| DecodeError::Accepted)?,
+            _ => RoaringTreemap::deserialize_from(rest).map_err(|_| DecodeError::AcceptedJobs)?,
         };
-        let limit = Some(f64::from(header.limit.get()) / LIMIT_UNIT).filter(|limit| *limit > 0.0);
+        let limit = Some(f64::from(header.limit.get()) / LIMIT_STEPS_PER_UNIT).filter(|limit| *limit > 0.0);
         Ok(AdmissionTable { limit, ..AdmissionTable::new(number, header.salt.get(), entries, accepted) })
     }
 }
--- a/crates/admission/tests/table.rs
+++ b/crates/admission/tests/table.rs
@@ -118,10 +118,10 @@
     }
     let mut later = bytes.clone();
     later[0] = 2;
-    assert_eq!(AdmissionTable::decode(&later), Err(DecodeError::Layout(2)));
+    assert_eq!(AdmissionTable::decode(&later), Err(DecodeError::UnknownLayout(2)));
     let mut not_text = bytes;
     not_text[32] = 0xff;
-    assert_eq!(AdmissionTable::decode(&not_text), Err(DecodeError::Name));
+    assert_eq!(AdmissionTable::decode(&not_text), Err(DecodeError::NameNotUtf8));
 }
 
 #[test]
