--- a/crates/admission/tests/table.rs
+++ b/crates/admission/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables: the same answer on every node, encoding, and which one a node goes by.
+//! Admission tables: equal decisions on every node, encoding and decoding, and which table a node applies.
 
 use caperstile_admission::{
     AdmissionTable, Decision, DecodeError, DemandReport, Ratio, Submission, TableEntry, TableNumber, TableView,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_ratio_is_kept_and_other_pairs_are_not_touched() {
+fn the_ratio_determines_the_admitted_share_of_its_own_pair_only() {
     let table = table(number(7, 1), 3, 0.25, &[]);
     let admitted = (0..20_000).filter(|job| admits(&table, *job)).count();
     assert!((4_700..5_300).contains(&admitted), "{admitted} of 20,000");
@@ -36,30 +36,30 @@
 }
 
 #[test]
-fn a_higher_ratio_admits_all_that_a_lower_one_does() {
+fn a_higher_ratio_admits_every_job_that_a_lower_one_admits() {
     let (low, high) = (table(number(7, 1), 3, 0.2, &[]), table(number(7, 2), 3, 0.3, &[]));
     assert!((0..5_000).filter(|job| admits(&low, *job)).all(|job| admits(&high, job)));
 }
 
 #[test]
 fn nobody_is_refused_for_ever() {
-    let refused_by_all = |job: &u64| (0..200).all(|salt| !admits(&table(number(7, 1), salt, 0.1, &[]), *job));
-    assert_eq!((0..1_000).filter(refused_by_all).count(), 0);
+    let refused_under_all_salts = |job: &u64| (0..200).all(|salt| !admits(&table(number(7, 1), salt, 0.1, &[]), *job));
+    assert_eq!((0..1_000).filter(refused_under_all_salts).count(), 0);
 }
 
 #[test]
 fn refused_users_come_back_in_a_later_draw_spread_out_and_within_the_protocol() {
     let table = table(number(7, 1), 3, 0.0, &[]);
-    let mut times: Vec<u16> = (0..1_000)
+    let mut delays_s: Vec<u16> = (0..1_000)
         .map(|job| match table.decide(&submission(job)) {
             Decision::Refuse { retry_after_s } => retry_after_s,
             Decision::Admit => panic!("{job} is admitted at a ratio of 0"),
         })
         .collect();
-    times.sort_unstable();
-    assert!(times[0] >= 8 && times[999] <= 30, "{} to {}", times[0], times[999]);
-    times.dedup();
-    assert!(times.len() >= 8, "{times:?}");
+    delays_s.sort_unstable();
+    assert!(delays_s[0] >= 8 && delays_s[999] <= 30, "{} to {}", delays_s[0], delays_s[999]);
+    delays_s.dedup();
+    assert!(delays_s.len() >= 8, "{delays_s:?}");
 }
 
 #[test]
@@ -76,11 +76,11 @@
         view.receive(Timestamp::from_millis(at), table(number(token, sequence), 0, 0.0, &[]))
     };
     assert!(received(&mut view, 0, 7, 2));
-    assert!(!received(&mut view, 10, 7, 1), "an earlier one of the same leader");
-    assert!(!received(&mut view, 10, 7, 2), "the same again");
-    assert!(!received(&mut view, 10, 6, 9), "one of an earlier leader");
-    assert!(received(&mut view, 10, 8, 1), "one of a later leader");
-    assert!(!received(&mut view, 20, 7, 99), "one of the leader before");
+    assert!(!received(&mut view, 10, 7, 1), "an earlier table of the same leader");
+    assert!(!received(&mut view, 10, 7, 2), "a duplicate");
+    assert!(!received(&mut view, 10, 6, 9), "a table of an earlier leader");
+    assert!(received(&mut view, 10, 8, 1), "a table of a later leader");
+    assert!(!received(&mut view, 20, 7, 99), "a table of the predecessor");
 }
 
 #[test]
@@ -89,43 +89,48 @@
     assert_eq!(view.decide(Timestamp::ZERO, FencingToken(7), &submission(1)), Decision::Admit);
     view.receive(Timestamp::ZERO, table(number(7, 1), 0, 0.0, &[]));
     assert_ne!(view.decide(Timestamp::ZERO, FencingToken(7), &submission(1)), Decision::Admit);
-    assert_eq!(view.decide(Timestamp::ZERO, FencingToken(8), &submission(1)), Decision::Admit, "another node leads");
+    assert_eq!(
+        view.decide(Timestamp::ZERO, FencingToken(8), &submission(1)),
+        Decision::Admit,
+        "the table is of another leader"
+    );
     let late = Timestamp::ZERO + Duration::from_secs(5);
-    assert_eq!(view.decide(late, FencingToken(7), &submission(1)), Decision::Admit, "nothing was heard for 5 s");
-    // A late copy does not make it valid again.
+    assert_eq!(view.decide(late, FencingToken(7), &submission(1)), Decision::Admit, "the table expires after 5 s");
+    // A delayed duplicate does not extend the table's validity.
     view.receive(Timestamp::from_millis(4_000), table(number(7, 1), 0, 0.0, &[]));
     assert_eq!(view.decide(late, FencingToken(7), &submission(1)), Decision::Admit);
 }
 
 #[test]
-fn a_new_leader_begins_with_the_table_of_the_one_before_unless_that_is_long_ago() {
+fn a_new_leader_inherits_the_table_of_its_predecessor_only_for_15_s() {
     let mut view = TableView::default();
     let mut limited = table(number(7, 1), 0, 0.5, &[]);
     limited.limit = Some(4.25);
-    view.receive(Timestamp::ZERO, AdmissionTable::decode(&limited.encode()).expect("it can be read"));
+    view.receive(Timestamp::ZERO, AdmissionTable::decode(&limited.encode()).expect("a decodable table"));
     assert_eq!(view.inheritable(Timestamp::from_millis(14_000)).and_then(|table| table.limit), Some(4.25));
     assert_eq!(view.inheritable(Timestamp::from_millis(15_000)), None);
 }
 
 #[test]
-fn what_cannot_be_read_is_an_error() {
+fn undecodable_tables_are_rejected() {
     let bytes = table(number(7, 1), 3, 0.5, &[1, 2]).encode();
     for length in 0..bytes.len() {
-        let shorter = AdmissionTable::decode(&bytes[..length]);
-        // Accepted jobs may be left out by the sender.
-        let without_accepted = shorter.as_ref().is_ok_and(|table| admits(table, 1) != admits(table, 1) || length > 28);
-        assert!(shorter.is_err() || without_accepted, "{length} bytes");
+        let truncated = AdmissionTable::decode(&bytes[..length]);
+        // A table without accepted jobs is valid, as the sender may omit them.
+        let without_accepted =
+            truncated.as_ref().is_ok_and(|table| admits(table, 1) != admits(table, 1) || length > 28);
+        assert!(truncated.is_err() || without_accepted, "{length} bytes");
     }
-    let mut later = bytes.clone();
-    later[0] = 2;
-    assert_eq!(AdmissionTable::decode(&later), Err(DecodeError::UnknownLayout(2)));
-    let mut not_text = bytes;
-    not_text[32] = 0xff;
-    assert_eq!(AdmissionTable::decode(&not_text), Err(DecodeError::NameNotUtf8));
+    let mut unknown_layout = bytes.clone();
+    unknown_layout[0] = 2;
+    assert_eq!(AdmissionTable::decode(&unknown_layout), Err(DecodeError::UnknownLayout(2)));
+    let mut invalid_utf8 = bytes;
+    invalid_utf8[32] = 0xff;
+    assert_eq!(AdmissionTable::decode(&invalid_utf8), Err(DecodeError::NameNotUtf8));
 }
 
 #[test]
-fn however_many_pairs_and_jobs_there_are_a_table_fits_into_a_frame() {
+fn a_table_with_many_pairs_and_jobs_fits_into_a_frame() {
     let entries = (0..4_000).map(|n| TableEntry {
         pair: TeamClassPair::new(&format!("team-{n}-{}", "x".repeat(60)), "y"),
         ratio: Ratio::from_share(0.5),
@@ -134,7 +139,7 @@
     let table = AdmissionTable::new(number(7, 1), 3, entries, accepted);
     let bytes = table.encode();
     assert!(bytes.len() <= 60 * 1024, "{} bytes", bytes.len());
-    let read = AdmissionTable::decode(&bytes).expect("it can be read");
+    let read = AdmissionTable::decode(&bytes).expect("a decodable table");
     let entries = read.entries().count();
     assert!((100..4_000).contains(&entries), "{entries} entries");
 }
@@ -153,7 +158,7 @@
             ratio: Ratio::from_share(*share),
         });
         let table = AdmissionTable::new(number(token, sequence), salt, entries, accepted.iter().copied().collect());
-        let read = AdmissionTable::decode(&table.encode()).expect("it can be read");
+        let read = AdmissionTable::decode(&table.encode()).expect("a decodable table");
         prop_assert_eq!(&read, &table);
         for (team, class, _) in &pairs {
             for job in (0..50).map(JobId) {
@@ -164,13 +169,15 @@
     }
 
     #[test]
-    fn bytes_from_anywhere_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = AdmissionTable::decode(&bytes);
         let _ = DemandReport::decode(&bytes);
     }
 
     #[test]
-    fn reports_are_read_back(refused in prop::collection::vec(("[a-z]{1,9}", "[a-z]{1,9}", 0u32..100_000), 0..50)) {
+    fn demand_reports_survive_encoding(
+        refused in prop::collection::vec(("[a-z]{1,9}", "[a-z]{1,9}", 0u32..100_000), 0..50),
+    ) {
         let mut report = DemandReport::default();
         for (team, class, tasks) in &refused {
             report.record_refused(team, class, *tasks);
