--- a/benches/leader.rs
+++ b/benches/leader.rs
@@ -7,12 +7,12 @@
 use caperstile::api::UserRequest;
 use caperstile::effects::{Input, RequestOrigin};
 use criterion::Criterion;
-use leader_harness::{LeaderHarness, job, log, report};
+use leader_harness::{LeaderHarness, heartbeat, log_entries, submission};
 
 const MACHINES: u64 = 2080;
 
 fn leader(c: &mut Criterion) {
-    let log = log(MACHINES);
+    let log = log_entries(MACHINES);
     let mut group = c.benchmark_group("a leader of 2,080 machines");
     group.sample_size(10);
     group.bench_function("an election until all are fenced", |b| b.iter(|| LeaderHarness::new(&log).elect()));
@@ -25,18 +25,18 @@
         b.iter(|| {
             seq += 1;
             let (id, origin) = (1 + seq % MACHINES, RequestOrigin::Http(seq));
-            harness.later(3, Input::Heartbeat(origin, Box::new(report(id, seq, token))));
+            harness.handle_after(3, Input::Heartbeat(origin, Box::new(heartbeat(id, seq, token))));
         });
     });
     group.bench_function("a poll of a running job", |b| {
         let name = "job-000412".to_string();
-        b.iter(|| harness.feed(Input::User(RequestOrigin::Http(1), UserRequest::Get(name.clone()))));
+        b.iter(|| harness.handle(Input::User(RequestOrigin::Http(1), UserRequest::Get(name.clone()))));
     });
     group.bench_function("a submission until it is durable", |b| {
         let mut id = 100_000;
         b.iter(|| {
             id += 1;
-            harness.later(200, Input::User(RequestOrigin::Http(id), UserRequest::Submit(job(id))));
+            harness.handle_after(200, Input::User(RequestOrigin::Http(id), UserRequest::Submit(submission(id))));
         });
     });
 }
--- a/benches/node.rs
+++ b/benches/node.rs
@@ -16,7 +16,7 @@
 use std::process::{Child, Command};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{StoreStandIn, store_request};
+use support::{FakeStore, store_request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use warp::Filter;
@@ -27,7 +27,7 @@
 
 #[derive(Default)]
 struct Shared {
-    store: StoreStandIn,
+    store: FakeStore,
     rented: u64,
     most: u64,
     reports: u64,
@@ -298,7 +298,7 @@
 async fn main() {
     let setting = |name: &str, or: f64| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(or);
     let (machines, every) = (setting("MACHINES", 246.0) as u64, setting("REPORT_S", 2.0));
-    let mut state = StoreStandIn::default();
+    let mut state = FakeStore::default();
     (state.page, state.value_bytes) = (1000, 16 * 1024);
     let shared = Arc::new(Mutex::new(Shared { most: machines, store: state, ..Shared::default() }));
     let taken: Vec<TcpListener> = (0..4).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -12,7 +12,7 @@
 use caperstile::upgrade::Format;
 use caperstile::wire::Heartbeat;
 use caperstile::write_ahead_log::{LogEvent, LogRecord, WriteAheadLog};
-use leader_harness::{LeaderHarness, log, report};
+use leader_harness::{LeaderHarness, heartbeat, log_entries};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -54,11 +54,11 @@
 #[test]
 fn frequent_inputs_allocate_little() {
     const MACHINES: u64 = 300;
-    let mut harness = LeaderHarness::new(&log(MACHINES));
+    let mut harness = LeaderHarness::new(&log_entries(MACHINES));
     harness.elect();
     let token = harness.node.leader().expect("it leads").token().0;
     let texts: Vec<Vec<u8>> =
-        (0..1200).map(|n| serde_json::to_vec(&report(1 + n % MACHINES, 10 + n, token)).expect("JSON")).collect();
+        (0..1200).map(|n| serde_json::to_vec(&heartbeat(1 + n % MACHINES, 10 + n, token)).expect("JSON")).collect();
 
     let reading = mean(texts.len(), |n| drop(serde_json::from_slice::<Heartbeat>(&texts[n as usize])));
     let reports: Vec<Box<Heartbeat>> =
@@ -66,10 +66,10 @@
     let mut reports = reports.into_iter();
     // Three reports a millisecond apart and a tick now and then, so that rounds of planning are in it.
     let taking = mean(texts.len(), |n| {
-        harness.later(3, Input::Heartbeat(RequestOrigin::Http(n), reports.next().expect("one each")))
+        harness.handle_after(3, Input::Heartbeat(RequestOrigin::Http(n), reports.next().expect("one each")))
     });
     let polling =
-        mean(500, |n| harness.feed(Input::User(RequestOrigin::Http(n), UserRequest::Get("job-000012".into()))));
+        mean(500, |n| harness.handle(Input::User(RequestOrigin::Http(n), UserRequest::Get("job-000012".into()))));
     let waiting = ticks_of_a_waiting_snapshot();
     println!("{waiting} for a tick while a snapshot waits");
     assert!(waiting < 0.5, "{waiting} allocations for a tick while a snapshot waits for the write budget");
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -17,7 +17,7 @@
     sim.submit(SERVICE, &[&service[..], &[("Cores", json!(4.0))]].concat());
     sim.submit(BATCH, &[("Pieces", json!(3)), ("RuntimeS", json!(400.0)), ("Cores", json!(4.0))]);
     sim.run_until(20_000);
-    assert_eq!((sim.running(SERVICE), sim.running(BATCH)), (2, 3), "seed {seed}");
+    assert_eq!((sim.running_tasks(SERVICE), sim.running_tasks(BATCH)), (2, 3), "seed {seed}");
     sim
 }
 
@@ -31,7 +31,7 @@
 }
 
 fn assert_no_rule_broken(sim: &Simulation, case: &str) {
-    assert!(sim.broken_rules.is_empty(), "{case}: {:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
 /// Every job but these has come to its end, and its user was told so.
@@ -61,11 +61,11 @@
             let case = format!("{job} {fate:?}");
             let mut sim = service_and_batch(seed as u64);
             let old = sim.leader().expect("somebody leads");
-            sim.faults.unanswered_writes = (100, true);
+            sim.faults.writes_without_response = (100, true);
             sim.cancel(job);
             sim.run_until(sim.now + 300);
-            sim.faults.unanswered_writes = (0, false);
-            sim.isolate(old);
+            sim.faults.writes_without_response = (0, false);
+            sim.isolate_controller(old);
             // Direct commands of the next leader wait on their way, so that it fences nobody.
             let machines: Vec<u64> = sim.workers.keys().copied().collect();
             sim.faults.commands_held.extend(machines);
@@ -74,17 +74,17 @@
             assert_ne!(next, old, "{case}");
             match fate {
                 Fate::GoesOn => {}
-                Fate::Ends => sim.crash(next),
-                Fate::CutOff => sim.isolate(next),
+                Fate::Ends => sim.crash_controller(next),
+                Fate::CutOff => sim.isolate_controller(next),
                 Fate::Followed => {
-                    sim.crash(next);
+                    sim.crash_controller(next);
                     sim.run_until(sim.now + 4000);
                 }
             }
             sim.store.down = true;
             sim.run_until(sim.now + sim.site.cancel_ms + 20_000);
             assert_no_rule_broken(&sim, &case);
-            assert_eq!(sim.running(job), 0, "{case}");
+            assert_eq!(sim.running_tasks(job), 0, "{case}");
             sim.end_all_faults();
             sim.run_until(sim.now + 100_000);
             assert_no_rule_broken(&sim, &case);
@@ -97,7 +97,7 @@
 #[test]
 fn new_leaders_one_after_the_other_do_not_renew_what_is_cancelled() {
     let mut sim = service_and_batch(11);
-    let machine = sim.machine_of("job-000001/0").expect("it runs");
+    let machine = sim.machine_running("job-000001/0").expect("it runs");
     sim.faults.commands_held.insert(machine);
     sim.faults.outbound_lost.insert(machine);
     sim.cloud.unavailable = true;
@@ -105,7 +105,7 @@
     assert!(until_cancelled(&mut sim, SERVICE, 3000), "all machines are fenced");
     for _ in 0..5 {
         let leader = sim.leader().expect("somebody leads");
-        sim.restart(leader, 3000);
+        sim.restart_controller(leader, 3000);
         sim.run_until(sim.now + 9000);
         // One report gets through, and its answer.
         sim.faults.outbound_lost.remove(&machine);
@@ -119,7 +119,7 @@
     sim.run_until(sim.now + 5000);
     assert_no_rule_broken(&sim, "a chain of leaders");
     assert!(sim.now > 20_000 + sim.site.cancel_ms, "the chain is longer than a cancellation may take");
-    assert_eq!(sim.running(SERVICE), 0);
+    assert_eq!(sim.running_tasks(SERVICE), 0);
 }
 
 /// A trouble, begun at one moment; all end together with `Simulation::mend`.
@@ -201,24 +201,24 @@
     /// Begins it, for the machines of this job where it is a trouble of machines.
     fn begin_at(self, sim: &mut Simulation, job: &str) {
         let leader = sim.leader().unwrap_or(0);
-        let its: Vec<u64> = (0..2).filter_map(|i| sim.machine_of(&format!("{job}/{i}"))).collect();
+        let its: Vec<u64> = (0..2).filter_map(|i| sim.machine_running(&format!("{job}/{i}"))).collect();
         match self {
-            Trouble::Refused => drop(sim.store.refused_nodes.insert(leader)),
-            Trouble::Isolated => sim.isolate(leader),
-            Trouble::Apart => drop(sim.faults.cut_from_workers.insert(leader)),
+            Trouble::Refused => drop(sim.store.unavailable_to_nodes.insert(leader)),
+            Trouble::Isolated => sim.isolate_controller(leader),
+            Trouble::Apart => drop(sim.faults.partitioned_from_workers.insert(leader)),
             Trouble::Island => sim.isolate_zone(support::zone_of(&sim.site.clone(), leader), leader),
-            Trouble::Back => sim.restart(leader, 300),
-            Trouble::Ended => sim.restart(leader, 6000),
+            Trouble::Back => sim.restart_controller(leader, 300),
+            Trouble::Ended => sim.restart_controller(leader, 6000),
             Trouble::AllEnd => {
-                (0..3).for_each(|n| sim.crash(n));
-                sim.start_after(leader, 800);
+                (0..3).for_each(|n| sim.crash_controller(n));
+                sim.start_controller_after(leader, 800);
             }
-            Trouble::AllAway => (0..3).for_each(|n| sim.restart(n, 20_000)),
+            Trouble::AllAway => (0..3).for_each(|n| sim.restart_controller(n, 20_000)),
             Trouble::Outage => sim.store.down = true,
             Trouble::Slow => sim.faults.store_delay_ms = 300,
-            Trouble::AnswersLost => sim.faults.unanswered_writes = (100, true),
-            Trouble::LateWrites => sim.faults.unanswered_writes = (50, false),
-            Trouble::Cut => its.into_iter().for_each(|m| sim.cut_machine(m)),
+            Trouble::AnswersLost => sim.faults.writes_without_response = (100, true),
+            Trouble::LateWrites => sim.faults.writes_without_response = (50, false),
+            Trouble::Cut => its.into_iter().for_each(|m| sim.partition_machine(m)),
             Trouble::InboundLost => sim.faults.inbound_lost.extend(its),
             Trouble::OutboundLost => sim.faults.outbound_lost.extend(its),
             Trouble::Hang => its.into_iter().for_each(|m| sim.hang_machine(m, 9000)),
@@ -227,7 +227,7 @@
             Trouble::Copies => {
                 (sim.faults.duplicate_heartbeats, sim.faults.duplicate_requests) = ((60, 30_000), (60, 30_000))
             }
-            Trouble::KeptForNext => sim.faults.heartbeats_kept_percent = 100,
+            Trouble::KeptForNext => sim.faults.replayed_heartbeats_percent = 100,
             Trouble::CloudDown => sim.cloud.unavailable = true,
         }
     }
@@ -273,9 +273,9 @@
     assert_no_rule_broken(&sim, &case);
     assert_eq!(sim.jobs[SERVICE].last_status, "aborted", "{case}");
     assert_eq!(sim.jobs[limited].last_status, "aborted", "{case}");
-    assert_eq!(sim.running(SERVICE) + sim.running(limited), 0, "{case}");
+    assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(limited), 0, "{case}");
     assert_all_ended(&sim, &[BATCH], &case);
-    let (cancels, questions) = sim.users.refused;
+    let (cancels, questions) = sim.users.refused_requests;
     println!(
         "{case}: {cancels} cancellations and {questions} questions refused, {} starts after one",
         sim.tasks.starts_after_cancellation
@@ -328,7 +328,7 @@
             assert!(until_cancelled(&mut sim, BATCH, 5000), "{case}: refused for too long");
             sim.run_until(sim.now + sim.site.cancel_ms);
             assert_no_rule_broken(&sim, &case);
-            assert_eq!(sim.running(SERVICE) + sim.running(BATCH), 0, "{case}");
+            assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(BATCH), 0, "{case}");
         }
     }
 }
@@ -342,18 +342,18 @@
             let case = format!("{offset} ms around the end, {lost} % of the answers lost");
             let mut sim = service_and_batch(offset);
             sim.submit("job-000009", &[("Pieces", json!(2)), ("RuntimeS", json!(4.0)), ("Cores", json!(1.0))]);
-            let begun = |sim: &Simulation| sim.running("job-000009") == 2;
+            let begun = |sim: &Simulation| sim.running_tasks("job-000009") == 2;
             while !begun(&sim) {
                 assert!(sim.now < 60_000, "{case}: it runs");
                 sim.run_until(sim.now + 10);
             }
             sim.run_until(sim.now + 3500 + offset);
             sim.users.recheck_everywhere = true;
-            sim.faults.unanswered_writes = (lost, true);
+            sim.faults.writes_without_response = (lost, true);
             sim.cancel("job-000009");
             sim.resubmit("job-000009");
             sim.run_until(sim.now + 1500);
-            sim.faults.unanswered_writes = (0, false);
+            sim.faults.writes_without_response = (0, false);
             sim.run_until(sim.now + 8000);
             assert_no_rule_broken(&sim, &case);
             assert!(matches!(sim.jobs["job-000009"].last_status.as_str(), "done" | "aborted"), "{case}");
@@ -386,7 +386,7 @@
                     assert!(sim.now < 60_000, "{case}: the filler ends, and leaves a machine idle");
                     sim.run_until(sim.now + 100);
                 }
-                assert_eq!(sim.running(first), 2, "{case}");
+                assert_eq!(sim.running_tasks(first), 2, "{case}");
                 at.begin_at(&mut sim, first);
                 let begin = sim.now;
                 let mut steps = [(cancelled, 0), (changed, 1), (comes, 2)];
@@ -418,14 +418,14 @@
     for seed in 0..6u64 {
         let mut sim = service_and_batch(seed);
         sim.users.recheck_everywhere = true;
-        sim.faults.unanswered_writes = (if seed % 2 == 0 { 0 } else { 20 }, seed % 4 == 1);
+        sim.faults.writes_without_response = (if seed % 2 == 0 { 0 } else { 20 }, seed % 4 == 1);
         for n in 0..10u64 {
             let leader = sim.leader().unwrap_or(0);
             match (seed + n) % 4 {
-                0 => sim.restart(leader, 400),
-                1 => sim.restart(leader, 7000),
-                2 => drop(sim.store.refused_nodes.insert(leader)),
-                _ => sim.isolate(leader),
+                0 => sim.restart_controller(leader, 400),
+                1 => sim.restart_controller(leader, 7000),
+                2 => drop(sim.store.unavailable_to_nodes.insert(leader)),
+                _ => sim.isolate_controller(leader),
             }
             let id = format!("job-{:06}", 10 + n);
             sim.submit(&id, &[("RuntimeS", json!(4.0)), ("Cores", json!(1.0))]);
@@ -435,19 +435,19 @@
                 sim.cancel(&id);
             }
             sim.run_until(sim.now + 7000);
-            sim.store.refused_nodes.clear();
-            sim.reconnect();
+            sim.store.unavailable_to_nodes.clear();
+            sim.end_isolation();
             if n == 5 && seed > 3 {
-                (0..3).for_each(|n| sim.crash(n));
+                (0..3).for_each(|n| sim.crash_controller(n));
                 sim.run_until(sim.now + sim.site.lease_ms + 3000);
-                (0..3).for_each(|n| sim.start(n));
+                (0..3).for_each(|n| sim.start_controller(n));
             }
         }
         sim.end_all_faults();
         sim.run_until(sim.now + 120_000);
         assert_no_rule_broken(&sim, &format!("seed {seed}"));
         assert_all_ended(&sim, &[SERVICE, BATCH], &format!("seed {seed}"));
-        assert_eq!(sim.running(SERVICE), 2, "seed {seed}");
+        assert_eq!(sim.running_tasks(SERVICE), 2, "seed {seed}");
     }
 }
 
@@ -456,9 +456,9 @@
 #[test]
 fn new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() {
     for offset in (0..6000).step_by(400) {
-        let mut sim = Simulation::at(support::Site { boot_ms: 1500, ..support::Site::small() }, offset);
+        let mut sim = Simulation::with_site(support::Site { boot_ms: 1500, ..support::Site::small() }, offset);
         sim.run_until(3000);
-        sim.faults.unanswered_writes = (40, offset % 800 == 0);
+        sim.faults.writes_without_response = (40, offset % 800 == 0);
         for n in 0..4 {
             let id = format!("job-{n:06}");
             sim.submit(&id, &[("Cores", json!(4.0)), ("RuntimeS", json!(20.0)), ("Pieces", json!(3))]);
@@ -483,7 +483,7 @@
 /// changes twice: each is told its end, nothing comes back, and the log stays short.
 #[test]
 fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
-    let mut sim = Simulation::at(support::Site::many_small_machines(), 5);
+    let mut sim = Simulation::with_site(support::Site::many_small_machines(), 5);
     sim.users.recheck_everywhere = true;
     sim.run_until(3000);
     for n in 0..480u64 {
@@ -494,7 +494,7 @@
         }
         if n == 200 || n == 320 {
             let leader = sim.leader().expect("somebody leads");
-            sim.restart(leader, 300);
+            sim.restart_controller(leader, 300);
         }
     }
     sim.end_all_faults();
@@ -517,12 +517,12 @@
         sim.run_until(20_000);
         for at in [0, 4000, 4500, 9000] {
             sim.run_until(20_000 + at);
-            if let Some(machine) = (0..4).find_map(|i| sim.machine_of(&format!("job-{:06}/{i}", at % 2))) {
-                if seed % 2 == 0 { sim.kill_machine(machine) } else { sim.cut_machine(machine) }
+            if let Some(machine) = (0..4).find_map(|i| sim.machine_running(&format!("job-{:06}/{i}", at % 2))) {
+                if seed % 2 == 0 { sim.kill_machine(machine) } else { sim.partition_machine(machine) }
             }
             if at == 4500 {
                 let leader = sim.leader().expect("somebody leads");
-                sim.restart(leader, 300);
+                sim.restart_controller(leader, 300);
             }
         }
         sim.run_until(80_000);
@@ -564,7 +564,7 @@
         sim.resubmit(SERVICE);
         sim.cancel("job-000020");
         let leader = sim.leader().expect("somebody leads");
-        sim.restart(leader, 300);
+        sim.restart_controller(leader, 300);
         sim.run_until(sim.now + 8000);
         assert_eq!(sim.jobs[SERVICE].submit_status, 200);
         assert_eq!((sim.jobs["job-000020"].cancel_status, sim.jobs["job-000020"].last_status.as_str()), (200, "done"));
@@ -579,7 +579,7 @@
         let mut sim = service_and_batch(slow);
         sim.faults.store_delay_ms = slow;
         let leader = sim.leader().expect("somebody leads");
-        sim.crash(leader);
+        sim.crash_controller(leader);
         sim.cancel(SERVICE);
         assert!(until_cancelled(&mut sim, SERVICE, 25_000), "{} ms for an answer: refused for too long", 2 * slow);
         sim.run_until(sim.now + sim.site.cancel_ms);
@@ -596,15 +596,15 @@
     let nth = |sim: &Simulation, n: usize| *sim.workers.keys().nth(n % sim.workers.len()).expect("a machine");
     sim.submit("job-000001", &three_spread_replicas());
     sim.run_until(8000);
-    sim.restart(0, 50);
+    sim.restart_controller(0, 50);
     sim.submit("job-000000", &short);
     sim.run_until(10_186);
-    (0..3).for_each(|node| sim.crash(node));
+    (0..3).for_each(|node| sim.crash_controller(node));
     sim.run_until(11_979);
     let machine = nth(&sim, 0);
     sim.send_reclaim_notice(machine, 8);
     sim.run_until(12_134);
-    sim.restart(0, 78);
+    sim.restart_controller(0, 78);
     sim.run_until(15_414);
     let machine = nth(&sim, 1);
     sim.faults.inbound_lost.insert(machine);
@@ -613,7 +613,7 @@
     sim.send_reclaim_notice(machine, 8);
     sim.run_until(22_916);
     let machine = nth(&sim, 4);
-    sim.cut_machine(machine);
+    sim.partition_machine(machine);
     sim.run_until(24_458);
     sim.submit("job-000006", &short);
     sim.run_until(24_665);
@@ -625,6 +625,6 @@
     sim.run_until(30_512);
     sim.end_all_faults();
     sim.run_until(120_000);
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
-    assert_eq!(sim.running("job-000001"), 3, "replicas");
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    assert_eq!(sim.running_tasks("job-000001"), 3, "replicas");
 }
--- a/tests/drain_processes.rs
+++ b/tests/drain_processes.rs
@@ -35,30 +35,32 @@
 fn all_run(harness: &ProcessHarness, services: u32) {
     let jobs = (0..services).map(|n| (format!("job-{n:06}"), 3));
     let jobs: Vec<(String, usize)> = jobs.chain([("job-000100".into(), 2), ("job-000101".into(), 3)]).collect();
-    harness.until("all tasks", || jobs.iter().all(|(id, n)| harness.stand_ins().running(id) == *n).then_some(()));
+    harness.wait_until("all tasks", || {
+        jobs.iter().all(|(id, n)| harness.fake_services().running_tasks(id) == *n).then_some(())
+    });
 }
 
 /// Replaces the whole fleet while the leader is killed and a machine is cut off; seconds that it took.
 fn replace_all(harness: &mut ProcessHarness, services: u32) -> f64 {
-    let before = harness.stand_ins().machines();
+    let before = harness.fake_services().machine_ids();
     let begin = Instant::now();
-    let (code, answer) = harness.drain(&["start", "all", "--all", "--replace"]);
+    let (code, answer) = harness.run_drain_command(&["start", "all", "--all", "--replace"]);
     assert_eq!(code, 0, "{answer}");
     assert_eq!(answer["drains"][0]["status"]["phase"], "running", "{answer}");
-    harness.until("an eviction", || harness.stand_ins().evictions.contains_key("live").then_some(()));
-    let leader = harness.stand_ins().leader().expect("a leader");
+    harness.wait_until("an eviction", || harness.fake_services().evictions.contains_key("live").then_some(()));
+    let leader = harness.fake_services().leader().expect("a leader");
     harness.kill_node(leader);
-    let cut = *harness.stand_ins().machines().last().expect("a machine");
-    harness.stand_ins().cut(cut, true);
-    harness.until("another leader", || harness.stand_ins().leader().filter(|node| *node != leader));
+    let cut = *harness.fake_services().machine_ids().last().expect("a machine");
+    harness.fake_services().set_partitioned(cut, true);
+    harness.wait_until("another leader", || harness.fake_services().leader().filter(|node| *node != leader));
     harness.start_node(leader);
-    harness.stand_ins().cut(cut, false);
-    harness.until("the end of the drain", || (harness.status("all")["phase"] == "done").then_some(()));
+    harness.fake_services().set_partitioned(cut, false);
+    harness.wait_until("the end of the drain", || (harness.drain_status("all")["phase"] == "done").then_some(()));
     let took = begin.elapsed().as_secs_f64();
     all_run(harness, services);
-    let left: Vec<u64> = harness.stand_ins().machines().into_iter().filter(|id| before.contains(id)).collect();
+    let left: Vec<u64> = harness.fake_services().machine_ids().into_iter().filter(|id| before.contains(id)).collect();
     assert!(left.is_empty(), "{left:?} are left");
-    assert!(harness.stand_ins().broken.is_empty(), "{:?}", harness.stand_ins().broken);
+    assert!(harness.fake_services().violations.is_empty(), "{:?}", harness.fake_services().violations);
     took
 }
 
@@ -66,34 +68,34 @@
 fn an_operator_replaces_the_fleet_through_a_change_of_leader() {
     let mut harness = serving("drains", BUDGETS, 4);
     // What a newcomer gets wrong is told apart by exit codes.
-    assert_eq!(harness.drain(&["status", "all"]).0, 3, "there is no drain yet");
-    assert_eq!(harness.drain(&["start", "Bad", "--all"]).0, 3, "a bad name");
-    assert_eq!(harness.drain(&["start", "nothing"]).0, 2, "no machines named");
-    let (code, answer) = harness.drain(&["start", "nowhere", "--zone", "nowhere"]);
+    assert_eq!(harness.run_drain_command(&["status", "all"]).0, 3, "there is no drain yet");
+    assert_eq!(harness.run_drain_command(&["start", "Bad", "--all"]).0, 3, "a bad name");
+    assert_eq!(harness.run_drain_command(&["start", "nothing"]).0, 2, "no machines named");
+    let (code, answer) = harness.run_drain_command(&["start", "nowhere", "--zone", "nowhere"]);
     assert_eq!((code, &answer["error"]), (3, &json!("refused")), "{answer}");
     assert!(answer["reason"].as_str().is_some_and(|reason| reason.contains("no machine matches")), "{answer}");
 
     replace_all(&mut harness, 4);
-    let highest = harness.stand_ins().highest.clone();
+    let highest = harness.fake_services().peak_unavailable.clone();
     assert!(highest["live"] <= 2, "{highest:?}");
     assert!(
         highest.get("sync").copied().unwrap_or(0) <= 3 && highest.get("render").copied().unwrap_or(0) <= 2,
         "{highest:?}"
     );
     // The same request again is the same drain; another one under its name is refused.
-    assert_eq!(harness.drain(&["start", "all", "--all", "--replace"]).0, 0);
-    assert_eq!(harness.drain(&["start", "all", "--zone", "a"]).0, 3);
-    assert_eq!(harness.drain(&["cancel", "all"]).0, 3, "it is done");
+    assert_eq!(harness.run_drain_command(&["start", "all", "--all", "--replace"]).0, 0);
+    assert_eq!(harness.run_drain_command(&["start", "all", "--zone", "a"]).0, 3);
+    assert_eq!(harness.run_drain_command(&["cancel", "all"]).0, 3, "it is done");
 
-    let phase = |arguments: &[&str]| harness.drain(arguments).1["drains"][0]["status"]["phase"].clone();
+    let phase = |arguments: &[&str]| harness.run_drain_command(arguments).1["drains"][0]["status"]["phase"].clone();
     assert_eq!(phase(&["start", "again", "--all", "--replace"]), "running");
     assert_eq!(phase(&["pause", "again"]), "paused");
     assert_eq!(phase(&["resume", "again"]), "running");
     assert_eq!(phase(&["cancel", "again"]), "cancelled");
-    assert_eq!(harness.drain(&["resume", "again"]).0, 3, "it was called off");
+    assert_eq!(harness.run_drain_command(&["resume", "again"]).0, 3, "it was called off");
     let gone = format!("m-{:06}", 999_999);
-    assert_eq!(harness.drain(&["start", "gone", "--machine", &gone]).0, 3);
-    assert!(harness.stand_ins().highest["live"] <= 2);
+    assert_eq!(harness.run_drain_command(&["start", "gone", "--machine", &gone]).0, 3);
+    assert!(harness.fake_services().peak_unavailable["live"] <= 2);
     all_run(&harness, 4);
 }
 
@@ -104,12 +106,12 @@
     for services in [6, 16] {
         for (name, operators) in [("with", BUDGETS), ("without", NO_BUDGETS)] {
             let mut harness = serving(&format!("rolling-{name}"), operators, services);
-            let machines = harness.stand_ins().machines().len();
+            let machines = harness.fake_services().machine_ids().len();
             let took = replace_all(&mut harness, services);
-            let stand_ins = harness.stand_ins();
+            let fake_services = harness.fake_services();
             println!(
                 "{machines} machines, {name} budgets: {took:.1} s, most out at once {:?}, evictions {:?}",
-                stand_ins.highest, stand_ins.evictions
+                fake_services.peak_unavailable, fake_services.evictions
             );
         }
     }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -25,7 +25,7 @@
 
 /// Services of twelve replicas in all on a fleet that has settled.
 fn serving(seed: u64, operators: &'static str) -> Simulation {
-    let mut sim = Simulation::at(Site { operators, ..Site::small() }, seed);
+    let mut sim = Simulation::with_site(Site { operators, ..Site::small() }, seed);
     sim.disruption.limits.insert("web".into(), 2);
     for n in 0..4 {
         sim.submit(&format!("job-{n:06}"), &service(3));
@@ -36,9 +36,9 @@
 }
 
 fn all_run(sim: &Simulation) {
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     for n in 0..4 {
-        assert_eq!(sim.running(&format!("job-{n:06}")), 3, "replicas of job {n}");
+        assert_eq!(sim.running_tasks(&format!("job-{n:06}")), 3, "replicas of job {n}");
     }
 }
 
@@ -47,11 +47,11 @@
 fn a_fleet_is_replaced_within_the_budget() {
     let mut sim = serving(1, TWO);
     let before: Vec<u64> = sim.workers.keys().copied().collect();
-    sim.drain("all", json!({}), "replace");
-    assert!(sim.run_until_drain("all", "done", 300_000), "{:?}", sim.drain_status("all"));
+    sim.start_drain("all", json!({}), "replace");
+    assert!(sim.run_until_drain_phase("all", "done", 300_000), "{:?}", sim.drain_status("all"));
     assert!(before.iter().all(|id| !sim.workers.contains_key(id)), "old machines are left");
     assert!(sim.disruption.evictions["web"] >= 12);
-    assert_eq!(sim.disruption.highest["web"], 2, "the budget is used");
+    assert_eq!(sim.disruption.peak_unavailable["web"], 2, "the budget is used");
     sim.run_until(sim.now + 10_000);
     all_run(&sim);
 }
@@ -59,7 +59,7 @@
 /// Machines that hold replicas of services now.
 fn with_replicas(sim: &Simulation) -> Vec<u64> {
     let replicas = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
-    let mut machines: Vec<u64> = replicas.filter_map(|task| sim.machine_of(&task)).collect();
+    let mut machines: Vec<u64> = replicas.filter_map(|task| sim.machine_running(&task)).collect();
     machines.sort_unstable();
     machines.dedup();
     machines
@@ -80,14 +80,14 @@
 fn leaders_end_at_each_step() {
     for offset in (0..6000).step_by(150) {
         let mut sim = serving(2, TWO);
-        sim.drain("all", json!({}), "replace");
+        sim.start_drain("all", json!({}), "replace");
         // The first replacements are up some eight seconds later; from then on charges and commands follow each other.
         for round in 0..4 {
             sim.run_until(sim.now + 7000 + offset + round * 40);
             let leader = sim.leader();
-            leader.into_iter().for_each(|node| sim.restart(node, 300));
+            leader.into_iter().for_each(|node| sim.restart_controller(node, 300));
         }
-        assert!(sim.run_until_drain("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
+        assert!(sim.run_until_drain_phase("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         all_run(&sim);
     }
@@ -98,15 +98,15 @@
 fn the_state_service_is_away_in_mid_drain() {
     for offset in (0..5000).step_by(500) {
         let mut sim = serving(3, TWO);
-        sim.drain("all", json!({}), "replace");
+        sim.start_drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000 + offset);
         sim.store.down = true;
         sim.run_until(sim.now + 4000);
         let leader = sim.leader();
-        leader.into_iter().for_each(|node| sim.restart(node, 500));
+        leader.into_iter().for_each(|node| sim.restart_controller(node, 500));
         sim.run_until(sim.now + 20_000);
         sim.store.down = false;
-        assert!(sim.run_until_drain("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
+        assert!(sim.run_until_drain_phase("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         all_run(&sim);
     }
@@ -117,15 +117,15 @@
 fn transactions_are_carried_out_late_and_answers_are_lost() {
     for (seed, at_once) in (10..22).zip([false, true].into_iter().cycle()) {
         let mut sim = serving(seed, TWO);
-        sim.faults.unanswered_writes = (30, at_once);
-        sim.drain("all", json!({}), "replace");
+        sim.faults.writes_without_response = (30, at_once);
+        sim.start_drain("all", json!({}), "replace");
         for _ in 0..5 {
             sim.run_until(sim.now + 11_000);
             let leader = sim.leader();
-            leader.into_iter().for_each(|node| sim.restart(node, 400));
+            leader.into_iter().for_each(|node| sim.restart_controller(node, 400));
         }
-        sim.faults.unanswered_writes = (0, false);
-        assert!(sim.run_until_drain("all", "done", 500_000), "seed {seed}: {:?}", sim.drain_status("all"));
+        sim.faults.writes_without_response = (0, false);
+        assert!(sim.run_until_drain_phase("all", "done", 500_000), "seed {seed}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         all_run(&sim);
     }
@@ -136,12 +136,12 @@
 fn a_new_leader_that_misses_a_machine_evicts_nothing() {
     let mut sim = serving(4, TWO);
     let held = with_replicas(&sim);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 9000);
     let silent = *held.last().expect("a machine");
-    sim.cut_machine(silent);
+    sim.partition_machine(silent);
     let leader = sim.leader().expect("somebody leads");
-    sim.crash(leader);
+    sim.crash_controller(leader);
     while sim.leader().is_none() {
         sim.run_until(sim.now + 50);
     }
@@ -153,8 +153,8 @@
         sim.run_until(sim.now + 50);
     }
     sim.heal_machine(silent);
-    sim.start(leader);
-    assert!(sim.run_until_drain("all", "done", 400_000), "{:?}", sim.drain_status("all"));
+    sim.start_controller(leader);
+    assert!(sim.run_until_drain_phase("all", "done", 400_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     all_run(&sim);
 }
@@ -165,21 +165,21 @@
     const NONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 0\n";
     const ONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 1\n";
     let mut sim = serving(5, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 2 {
         sim.run_until(sim.now + 20);
     }
-    sim.set_operators(NONE);
+    sim.set_disruption_policy(NONE);
     // Orders that are under way are carried out.
     sim.run_until(sim.now + 4000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 30_000);
     assert_eq!(sim.disruption.evictions["web"], before, "evicted although the budget is 0");
     assert!(waits_for(&sim, "all").contains("the budget of crew/web is 0"), "{}", waits_for(&sim, "all"));
-    sim.set_operators(ONE);
+    sim.set_disruption_policy(ONE);
     sim.run_until(sim.now + 1000);
     sim.disruption.limits.insert("web".into(), 1);
-    assert!(sim.run_until_drain("all", "done", 400_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 400_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 10_000);
     all_run(&sim);
 }
@@ -192,9 +192,9 @@
     let mut sim = serving(6, WAIT);
     sim.submit("job-000050", &batch(2, 900.0));
     sim.run_until(sim.now + 20_000);
-    let render: Vec<u64> = (0..2).filter_map(|n| sim.machine_of(&format!("job-000050/{n}"))).collect();
+    let render: Vec<u64> = (0..2).filter_map(|n| sim.machine_running(&format!("job-000050/{n}"))).collect();
     let before: Vec<u64> = sim.workers.keys().copied().collect();
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let begun = sim.now;
     sim.run_until(begun + 80_000);
     let left: Vec<&u64> = before.iter().filter(|id| sim.workers.contains_key(id)).collect();
@@ -205,9 +205,9 @@
     );
     let reasons = waits_for(&sim, "all");
     assert!(reasons.contains("of crew/render on m-") && reasons.contains("ends within"), "{reasons}");
-    assert!(sim.run_until_drain("all", "done", begun + 240_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", begun + 240_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 20_000);
-    assert_eq!(sim.running("job-000050"), 2, "the render runs elsewhere");
+    assert_eq!(sim.running_tasks("job-000050"), 2, "the render runs elsewhere");
     all_run(&sim);
 }
 
@@ -219,13 +219,13 @@
     let mut sim = serving(24, ONE_MACHINE);
     sim.submit("job-000050", &batch(1, 900.0));
     sim.run_until(sim.now + 20_000);
-    let slow = sim.machine_of("job-000050/0").expect("the render runs");
+    let slow = sim.machine_running("job-000050/0").expect("the render runs");
     let others: Vec<u64> = with_replicas(&sim).into_iter().filter(|machine| *machine != slow).take(2).collect();
-    sim.drain_machines("slow", &[slow]);
+    sim.start_drain_of_machines("slow", &[slow]);
     sim.run_until(sim.now + 20_000);
-    assert_eq!(sim.machines_being_emptied(), [slow]);
-    sim.drain_machines("others", &others);
-    assert!(sim.run_until_drain("others", "done", sim.now + 90_000), "{:?}", sim.drain_status("others"));
+    assert_eq!(sim.draining_machines(), [slow]);
+    sim.start_drain_of_machines("others", &others);
+    assert!(sim.run_until_drain_phase("others", "done", sim.now + 90_000), "{:?}", sim.drain_status("others"));
     assert_eq!(sim.drain_phase("slow"), "running");
     assert!(waits_for(&sim, "slow").contains("job-000050/0 of crew/render"), "{}", waits_for(&sim, "slow"));
     sim.run_until(sim.now + 15_000);
@@ -236,15 +236,15 @@
 #[test]
 fn batch_work_is_left_to_end_where_its_class_says_so() {
     const NEVER: &str = "[drains]\nenabled = yes\n[budget crew/render]\nbatch_wait_s = 5\nevict_batch = never\n";
-    let mut sim = Simulation::at(Site { operators: NEVER, ..Site::small() }, 7);
+    let mut sim = Simulation::with_site(Site { operators: NEVER, ..Site::small() }, 7);
     sim.submit("job-000050", &batch(4, 120.0));
     sim.run_until(20_000);
-    sim.drain("all", json!({}), "remove");
-    assert!(sim.run_until_drain("all", "done", 300_000), "{:?}", sim.drain_status("all"));
+    sim.start_drain("all", json!({}), "remove");
+    assert!(sim.run_until_drain_phase("all", "done", 300_000), "{:?}", sim.drain_status("all"));
     assert_eq!(sim.jobs["job-000050"].last_status, "done");
     let starts: usize = (0..4).map(|n| sim.tasks.starts[&format!("job-000050/{n}")].len()).sum();
     assert_eq!(starts, 4, "nothing was started twice");
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// Two drains, overlapping or not, in either order: one budget for both, neither starves, and the end is the same.
@@ -254,11 +254,11 @@
         let mut sim = serving(8, TWO);
         let before: Vec<u64> = sim.workers.keys().copied().collect();
         let filter = |name: &str| name.strip_prefix("zone-").map_or(json!({}), |zone| json!({"zone": zone}));
-        sim.drain(first, filter(first), "replace");
+        sim.start_drain(first, filter(first), "replace");
         sim.run_until(sim.now + 14_000);
-        sim.drain(second, filter(second), "replace");
+        sim.start_drain(second, filter(second), "replace");
         for name in [first, second] {
-            assert!(sim.run_until_drain(name, "done", 500_000), "{first} {second}: {:?}", sim.drain_status(name));
+            assert!(sim.run_until_drain_phase(name, "done", 500_000), "{first} {second}: {:?}", sim.drain_status(name));
         }
         let both = [first, second].contains(&"all") || first != second;
         assert!(both && before.iter().all(|id| !sim.workers.contains_key(id)), "{first}, {second}: machines are left");
@@ -271,12 +271,12 @@
 #[test]
 fn a_drain_is_paused_resumed_and_cancelled() {
     let mut sim = serving(9, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
     }
     sim.change_drain("all", "pause");
-    assert!(sim.run_until_drain("all", "paused", sim.now + 10_000));
+    assert!(sim.run_until_drain_phase("all", "paused", sim.now + 10_000));
     sim.run_until(sim.now + 5000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 20_000);
@@ -286,15 +286,15 @@
         sim.run_until(sim.now + 50);
     }
     sim.change_drain("all", "cancel");
-    assert!(sim.run_until_drain("all", "cancelled", sim.now + 10_000));
+    assert!(sim.run_until_drain_phase("all", "cancelled", sim.now + 10_000));
     sim.run_until(sim.now + 20_000);
     let (moved, left) = (sim.disruption.evictions["web"], with_replicas(&sim));
-    assert!(sim.machines_being_emptied().is_empty(), "{:?}", sim.machines_being_emptied());
+    assert!(sim.draining_machines().is_empty(), "{:?}", sim.draining_machines());
     all_run(&sim);
     // They take work again: nothing is rented for a service that fits.
     sim.submit("job-000060", &[service(2), vec![("Lane", json!("other"))]].concat());
     sim.run_until(sim.now + 30_000);
-    assert_eq!(sim.running("job-000060"), 2);
+    assert_eq!(sim.running_tasks("job-000060"), 2);
     assert_eq!((sim.disruption.evictions["web"], with_replicas(&sim)), (moved, left), "moved after the end");
 }
 
@@ -302,7 +302,7 @@
 #[test]
 fn a_request_that_is_removed_ends_its_drain() {
     let mut sim = serving(23, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
     }
@@ -310,11 +310,11 @@
     sim.run_until(sim.now + 8000);
     assert_eq!(sim.drain_phase("all"), "cancelled");
     let leader = sim.leader().expect("somebody leads");
-    sim.restart(leader, 300);
+    sim.restart_controller(leader, 300);
     sim.run_until(sim.now + 10_000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 20_000);
-    assert_eq!((sim.disruption.evictions["web"], sim.machines_being_emptied()), (before, Vec::new()));
+    assert_eq!((sim.disruption.evictions["web"], sim.draining_machines()), (before, Vec::new()));
     assert!(sim.drain_status("all").is_none(), "its status is kept without its request");
     all_run(&sim);
 }
@@ -325,10 +325,10 @@
     const NONE: &str = "[drains]\nenabled = yes\n[budget crew/web]\nmax_unavailable = 5%\n";
     let mut sim = serving(11, NONE);
     let there = *sim.workers.keys().next().expect("a machine");
-    sim.drain("none", json!({}), "remove");
-    sim.drain("nowhere", json!({"zone": "nowhere"}), "remove");
-    sim.drain_machines("gone", &[999_999]);
-    assert_eq!(sim.write_request("Bad Name".replace(' ', "_").as_str(), &json!({"mode": 1}), 0), 200);
+    sim.start_drain("none", json!({}), "remove");
+    sim.start_drain("nowhere", json!({"zone": "nowhere"}), "remove");
+    sim.start_drain_of_machines("gone", &[999_999]);
+    assert_eq!(sim.write_drain_request("Bad Name".replace(' ', "_").as_str(), &json!({"mode": 1}), 0), 200);
     sim.run_until(sim.now + 8000);
     assert!(refusal(&sim, "none").contains("crew/web, whose budget of 5% is none of 12"), "{}", refusal(&sim, "none"));
     assert_eq!(refusal(&sim, "nowhere"), "no machine matches");
@@ -336,11 +336,11 @@
     assert!(refusal(&sim, "Bad_Name").contains("cannot be read"));
     // A second request under the same name does not pass, and one for a machine in a drain says so.
     let again = json!({"selector": {"machines": [there]}, "mode": "remove", "wanted": "run"});
-    assert_eq!(sim.write_request("none", &again, 0), 409);
-    sim.set_operators(TWO);
-    sim.drain("first", json!({}), "remove");
+    assert_eq!(sim.write_drain_request("none", &again, 0), 409);
+    sim.set_disruption_policy(TWO);
+    sim.start_drain("first", json!({}), "remove");
     sim.run_until(sim.now + 4000);
-    sim.drain_machines("second", &[there, 999_999]);
+    sim.start_drain_of_machines("second", &[there, 999_999]);
     sim.run_until(sim.now + 5000);
     let notes = sim.drain_status("second").expect("a status")["notes"].to_string();
     assert!(notes.contains("gone already: m-999999") && notes.contains("in drain first already"), "{notes}");
@@ -351,8 +351,8 @@
 fn room_is_rented_for_replicas_that_have_no_place() {
     let mut sim = serving(12, TWO);
     let full = with_replicas(&sim);
-    sim.drain_machines("some", &full);
-    assert!(sim.run_until_drain("some", "done", 300_000), "{:?}", sim.drain_status("some"));
+    sim.start_drain_of_machines("some", &full);
+    assert!(sim.run_until_drain_phase("some", "done", 300_000), "{:?}", sim.drain_status("some"));
     assert!(full.iter().all(|id| !sim.workers.contains_key(id)));
     sim.run_until(sim.now + 15_000);
     all_run(&sim);
@@ -373,15 +373,15 @@
         );
     }
     sim.run_until(sim.now + 40_000);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 9000);
-    sim.cut_zone("b");
+    sim.partition_zone("b");
     sim.run_until(sim.now + 8000);
     let before = sim.disruption.evictions.get("web").copied().unwrap_or(0);
     sim.run_until(sim.now + 6000);
     assert_eq!(sim.disruption.evictions.get("web").copied().unwrap_or(0), before, "evicted while a zone is away");
     sim.heal_zone("b");
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 20_000);
     all_run(&sim);
 }
@@ -391,9 +391,9 @@
 fn machines_in_trouble_in_mid_drain() {
     for trouble in 0..5 {
         let mut sim = serving(14, TWO);
-        sim.drain("all", json!({}), "replace");
+        sim.start_drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000);
-        let emptying = sim.machines_being_emptied();
+        let emptying = sim.draining_machines();
         let machine = *emptying.first().or(with_replicas(&sim).first()).expect("a machine");
         match trouble {
             0 => drop(sim.faults.inbound_lost.insert(machine)),
@@ -405,7 +405,7 @@
         sim.run_until(sim.now + 40_000);
         sim.faults.duplicate_heartbeats = (0, 0);
         sim.heal_machine(machine);
-        assert!(sim.run_until_drain("all", "done", 500_000), "trouble {trouble}: {:?}", sim.drain_status("all"));
+        assert!(sim.run_until_drain_phase("all", "done", 500_000), "trouble {trouble}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 20_000);
         all_run(&sim);
     }
@@ -416,7 +416,7 @@
 fn replacements_that_are_not_to_be_had() {
     let mut sim = serving(15, TWO);
     sim.cloud.capacity.clear();
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 40_000);
     assert_eq!(sim.disruption.evictions.get("web"), None, "evicted without a replacement");
     assert!(waits_for(&sim, "all").contains("the cloud has no small in zone"), "{}", waits_for(&sim, "all"));
@@ -424,7 +424,7 @@
         sim.cloud.capacity.insert((zone.into(), false), 8);
         sim.cloud.capacity.insert((zone.into(), true), 8);
     }
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     all_run(&sim);
 }
@@ -433,7 +433,7 @@
 #[test]
 fn a_replacement_that_fails_on_every_machine() {
     let mut sim = serving(16, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let machines: Vec<u64> = sim.workers.keys().copied().collect();
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 1 {
         sim.run_until(sim.now + 20);
@@ -445,11 +445,11 @@
         sim.run_until(sim.now + 1000);
         sim.workers.values_mut().for_each(|worker| worker.tasks_fail = true);
     }
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     let evicted = sim.disruption.evictions["web"];
     assert!(evicted <= 6, "{evicted} were stopped although none of them comes up again");
     sim.workers.values_mut().for_each(|worker| worker.tasks_fail = false);
-    assert!(sim.run_until_drain("all", "done", 600_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 600_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 70_000);
     all_run(&sim);
 }
@@ -460,10 +460,10 @@
     const SPACED: &str =
         "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 3\nmin_interval_s = 6\n";
     let mut sim = serving(17, SPACED);
-    sim.drain("all", json!({}), "replace");
-    assert!(sim.run_until_drain("all", "done", 600_000), "{:?}", sim.drain_status("all"));
+    sim.start_drain("all", json!({}), "replace");
+    assert!(sim.run_until_drain_phase("all", "done", 600_000), "{:?}", sim.drain_status("all"));
     // A worker may learn of one order sooner than of another: by up to a report.
-    let gap = sim.disruption.least_gap["web"];
+    let gap = sim.disruption.min_eviction_interval_ms["web"];
     assert!(gap >= 4000, "two evictions within {gap} ms");
     sim.run_until(sim.now + 15_000);
     all_run(&sim);
@@ -472,35 +472,35 @@
 /// The version in production leads for a while: the drain rests, and is taken up again whole.
 #[test]
 fn an_old_version_leads_for_a_while() {
-    let mut sim = Simulation::at(Site { operators: TWO, ..Site::small() }, 18);
+    let mut sim = Simulation::with_site(Site { operators: TWO, ..Site::small() }, 18);
     sim.disruption.limits.insert("web".into(), 2);
     sim.run_until(5000);
     if let Some(2) = sim.leader() {
-        sim.restart(2, 60_000);
+        sim.restart_controller(2, 60_000);
     }
-    sim.crash(2);
+    sim.crash_controller(2);
     sim.run_until(8000);
     sim.start_production_version(2);
     for n in 0..4 {
         sim.submit(&format!("job-{n:06}"), &service(3));
     }
     sim.run_until(40_000);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) == 0 {
         sim.run_until(sim.now + 100);
         assert!(sim.now < 80_000, "{:?}", sim.drain_status("all"));
     }
     let before = sim.disruption.evictions["web"];
     for node in [0, 1] {
-        sim.crash(node);
+        sim.crash_controller(node);
     }
     sim.run_until(sim.now + 8000);
     assert_eq!(sim.disruption.evictions["web"], before, "the old version knows no drains");
     sim.upgrade_controller(2, 500);
     for node in [0, 1] {
-        sim.start(node);
+        sim.start_controller(node);
     }
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     all_run(&sim);
 }
@@ -510,7 +510,7 @@
 fn gangs_count_whole() {
     const GANGS: &str = "[drains]\nenabled = yes\nmax_machines = 100%\n[budget crew/sync]\nmax_unavailable = 4\nbatch_wait_s = 10\n\
         evict_batch = checkpointed\n";
-    let mut sim = Simulation::at(Site { operators: GANGS, ..Site::small() }, 19);
+    let mut sim = Simulation::with_site(Site { operators: GANGS, ..Site::small() }, 19);
     let gang = |tasks: u64| {
         vec![
             ("Lane", json!("sync")),
@@ -527,9 +527,9 @@
         sim.submit(&format!("job-{:06}", 80 + n), &gang(3));
     }
     sim.run_until(40_000);
-    let running = |sim: &Simulation| (80..83).map(|n| sim.running(&format!("job-{n:06}"))).collect::<Vec<_>>();
+    let running = |sim: &Simulation| (80..83).map(|n| sim.running_tasks(&format!("job-{n:06}"))).collect::<Vec<_>>();
     assert_eq!(running(&sim), [3, 3, 3]);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let begun = sim.now;
     let mut fewest = 9;
     while sim.drain_phase("all") != "done" && sim.now < begun + 900_000 {
@@ -542,7 +542,7 @@
     }
     assert_eq!(sim.drain_phase("all"), "done", "{:?}", sim.drain_status("all"));
     assert!(fewest < 9, "none was stopped");
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// Consolidation is a voluntary stop like others: it passes the same gate.
@@ -550,7 +550,7 @@
 fn consolidation_stays_within_the_budget() {
     const NONE: &str = "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0\n";
     let evictions = |operators: &'static str| {
-        let mut sim = Simulation::at(Site { operators, ..Site::small() }, 20);
+        let mut sim = Simulation::with_site(Site { operators, ..Site::small() }, 20);
         sim.disruption.limits.insert("web".into(), 2);
         for n in 0..12 {
             sim.submit(&format!("job-{n:06}"), &service(2));
@@ -560,7 +560,7 @@
             sim.cancel(&format!("job-{n:06}"));
         }
         sim.run_until(400_000);
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         sim.disruption.evictions.get("web").copied().unwrap_or(0)
     };
     assert!(evictions(TWO) > 0, "nothing is consolidated");
@@ -572,21 +572,21 @@
 #[test]
 fn a_machine_that_has_not_answered_the_new_leader_is_not_returned_as_empty() {
     let mut sim = serving(21, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let replicas = |sim: &Simulation, machine: u64| {
         let tasks = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
-        tasks.filter(|task| sim.machine_of(task) == Some(machine)).count()
+        tasks.filter(|task| sim.machine_running(task) == Some(machine)).count()
     };
     let emptying = loop {
         sim.run_until(sim.now + 20);
         assert!(sim.now < 90_000, "no machine with replicas is being emptied");
-        if let Some(machine) = sim.machines_being_emptied().into_iter().find(|machine| replicas(&sim, *machine) > 0) {
+        if let Some(machine) = sim.draining_machines().into_iter().find(|machine| replicas(&sim, *machine) > 0) {
             break machine;
         }
     };
-    sim.cut_machine(emptying);
+    sim.partition_machine(emptying);
     let leader = sim.leader().expect("somebody leads");
-    sim.crash(leader);
+    sim.crash_controller(leader);
     let loaded = |sim: &Simulation| {
         let term = |node: usize| sim.controllers.processes[node].as_ref().and_then(|node| node.leader());
         sim.leader().and_then(term).is_some_and(|term| term.is_loaded())
@@ -597,8 +597,8 @@
     sim.run_until(sim.now + 1500);
     assert!(sim.workers.contains_key(&emptying), "returned with replicas on it");
     sim.heal_machine(emptying);
-    sim.start(leader);
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    sim.start_controller(leader);
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     all_run(&sim);
 }
@@ -633,10 +633,10 @@
     sim.workers.values_mut().for_each(|worker| worker.tasks_fail = false);
     sim.run_until(sim.now + 60_000);
     assert!(sim.workers.contains_key(&sick), "its services go on");
-    sim.drain_machines("sick", &[sick]);
-    assert!(sim.run_until_drain("sick", "done", 300_000), "{:?}", sim.drain_status("sick"));
+    sim.start_drain_of_machines("sick", &[sick]);
+    assert!(sim.run_until_drain_phase("sick", "done", 300_000), "{:?}", sim.drain_status("sick"));
     assert!(!sim.workers.contains_key(&sick));
     sim.run_until(sim.now + 15_000);
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
-    (0..3).for_each(|n| assert_eq!(sim.running(&format!("job-{n:06}")), 3, "replicas of job {n}"));
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    (0..3).for_each(|n| assert_eq!(sim.running_tasks(&format!("job-{n:06}")), 3, "replicas of job {n}"));
 }
--- a/tests/effects_digest.rs
+++ b/tests/effects_digest.rs
@@ -17,7 +17,7 @@
 type Fields = Vec<(&'static str, Value)>;
 
 fn simulation(site: Site, seed: u64) -> Simulation {
-    let mut sim = Simulation::at(site, seed);
+    let mut sim = Simulation::with_site(site, seed);
     sim.effect_log = Some(EffectLog::new(std::env::var_os(TEXT_DIR_VARIABLE).is_some()));
     sim
 }
@@ -41,7 +41,7 @@
     if let (Some(directory), Some(text)) = (std::env::var_os(TEXT_DIR_VARIABLE), log.text()) {
         std::fs::write(PathBuf::from(directory).join(format!("{day}.txt")), text).expect("the text is written");
     }
-    assert!(sim.broken_rules.is_empty(), "{day}: {:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{day}: {:?}", sim.violations);
     (expected != found).then(|| {
         let differences = EffectLog::differences(&expected, &found);
         format!(
@@ -93,7 +93,7 @@
 
 fn bounce_leader(sim: &mut Simulation, after_ms: u64) {
     if let Some(node) = sim.leader() {
-        sim.restart(node, after_ms);
+        sim.restart_controller(node, after_ms);
     }
 }
 
@@ -146,17 +146,17 @@
                 let machine = nth_machine(sim, 3);
                 sim.kill_machine(machine);
             }
-            52 => sim.cut_zone("b"),
-            56 => (0..3).for_each(|node| sim.restart(node, 500 + 900 * node as u64)),
+            52 => sim.partition_zone("b"),
+            56 => (0..3).for_each(|node| sim.restart_controller(node, 500 + 900 * node as u64)),
             76 => sim.heal_zone("b"),
-            86 => sim.faults.unanswered_writes = (50, false),
+            86 => sim.faults.writes_without_response = (50, false),
             88 => {
                 let leader = sim.leader().unwrap_or(0);
-                sim.isolate(leader);
+                sim.isolate_controller(leader);
             }
             96 => {
-                sim.faults.unanswered_writes = (0, false);
-                sim.reconnect();
+                sim.faults.writes_without_response = (0, false);
+                sim.end_isolation();
             }
             100 => (sim.faults.duplicate_heartbeats, sim.faults.duplicate_requests) = ((30, 3000), (30, 3000)),
             104 => {
@@ -167,14 +167,14 @@
             }
             108 => {
                 let leader = sim.leader().unwrap_or(0);
-                sim.store.refused_nodes.insert(leader);
+                sim.store.unavailable_to_nodes.insert(leader);
             }
             112 => {
                 let machine = nth_machine(sim, 4);
                 sim.workers.get_mut(&machine).expect("it is rented").tasks_fail = true;
             }
             116 => sim.cloud.unavailable = true,
-            120 => sim.store.lost_answers = 5,
+            120 => sim.store.lost_responses = 5,
             130 => sim.end_all_faults(),
             _ => {}
         }
@@ -205,26 +205,26 @@
     sim.submit(&job(11), &with(batch(3, 2.0, 25.0), &[("Loaners", json!(true))]));
     play(&mut sim, 0..240, |sim, second| match second {
         12 => sim.submit(&job(12), &gang(3)),
-        30 => sim.drain("all", json!({}), "replace"),
+        30 => sim.start_drain("all", json!({}), "replace"),
         42 => bounce_leader(sim, 300),
         55 => sim.change_drain("all", "pause"),
-        60 => sim.set_operators(ONE_OUT),
+        60 => sim.set_disruption_policy(ONE_OUT),
         65 => sim.change_drain("all", "run"),
-        72 => sim.drain("zone", json!({"zone": "a"}), "remove"),
+        72 => sim.start_drain("zone", json!({"zone": "a"}), "remove"),
         80 => sim.store.down = true,
         84 => bounce_leader(sim, 500),
         90 => sim.store.down = false,
         100 => sim.submit(&job(13), &batch(5, 1.0, 20.0)),
         110 => {
             let leader = sim.leader().unwrap_or(0);
-            sim.isolate(leader);
+            sim.isolate_controller(leader);
         }
-        118 => sim.reconnect(),
-        130 => sim.set_operators(TWO_OUT),
+        118 => sim.end_isolation(),
+        130 => sim.set_disruption_policy(TWO_OUT),
         140 => sim.change_drain("zone", "cancel"),
         150 => {
             let machines = [nth_machine(sim, 0), nth_machine(sim, 2), 999_999];
-            sim.drain_machines("some", &machines);
+            sim.start_drain_of_machines("some", &machines);
         }
         160 => sim.submit(&job(14), &batch(2, 1.0, 10.0)),
         180 => sim.end_all_faults(),
@@ -260,13 +260,13 @@
         match second {
             33 | 73 => sim.cancel(&job(jobs_per_second * (second - 20))),
             45 => bounce_leader(sim, 3000),
-            60 => sim.set_admission(BACKLOG_NEVER),
-            70 => sim.set_admission(BACKLOG_ALWAYS),
+            60 => sim.set_admission_policy(BACKLOG_NEVER),
+            70 => sim.set_admission_policy(BACKLOG_ALWAYS),
             80 => {
                 let leader = sim.leader().unwrap_or(0);
-                sim.isolate(leader);
+                sim.isolate_controller(leader);
             }
-            88 => sim.reconnect(),
+            88 => sim.end_isolation(),
             110 => {
                 sim.end_all_faults();
                 sim.controllers.overloaded = false;
@@ -312,9 +312,9 @@
             sim.kill_machine(machine);
         }
         64 => (100..104).for_each(|n| sim.cancel(&job(n))),
-        70 => sim.cut_zone("c"),
+        70 => sim.partition_zone("c"),
         100 => sim.heal_zone("c"),
-        110 => (0..5).for_each(|node| sim.restart(node, 300 + 400 * node as u64)),
+        110 => (0..5).for_each(|node| sim.restart_controller(node, 300 + 400 * node as u64)),
         125 => sim.end_all_faults(),
         _ => {}
     });
@@ -329,7 +329,7 @@
 /// The third controller is of the version in production, leads for a while, and becomes one of this version.
 fn rolling_upgrade(seed: u64) -> Simulation {
     let mut sim = simulation(Site::small(), seed);
-    sim.crash(2);
+    sim.crash_controller(2);
     sim.start_production_version(2);
     play(&mut sim, 0..90, |sim, second| {
         if second.is_multiple_of(2) && second < 40 {
@@ -337,7 +337,7 @@
         }
         match second {
             1 | 30 => sim.submit(&job(100 + second), &gang(3)),
-            20 => (0..2).for_each(|node| sim.restart(node, 6000)),
+            20 => (0..2).for_each(|node| sim.restart_controller(node, 6000)),
             34 => sim.upgrade_controller(2, 1000),
             _ => {}
         }
@@ -368,12 +368,12 @@
         16 => sim.store.down = false,
         25 => {
             let leader = sim.leader().unwrap_or(0);
-            sim.isolate(leader);
+            sim.isolate_controller(leader);
             ask_for_many(sim, 1);
         }
-        33 => sim.reconnect(),
+        33 => sim.end_isolation(),
         40 => {
-            sim.faults.unanswered_writes = (100, true);
+            sim.faults.writes_without_response = (100, true);
             ask_for_many(sim, 2);
         }
         44 => sim.end_all_faults(),
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -58,15 +58,15 @@
 }
 
 fn gathers(sim: &Simulation) -> bool {
-    !sim.machines_awaiting_gang(GANG).is_empty() && sim.running(GANG) == 0
+    !sim.machines_awaiting_gang(GANG).is_empty() && sim.running_tasks(GANG) == 0
 }
 
 fn runs(sim: &Simulation) -> bool {
-    sim.running(GANG) == 3
+    sim.running_tasks(GANG) == 3
 }
 
 fn kept(sim: &Simulation, story: &str) {
-    assert!(sim.broken_rules.is_empty(), "{story}: {:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{story}: {:?}", sim.violations);
 }
 
 /// A state of a gang in which a trouble meets it.
@@ -96,7 +96,7 @@
         When::Stopping => {
             assert!(until(&mut sim, 60_000, runs), "seed {seed}: it runs");
             sim.run_until(sim.now + 3000);
-            let machine = sim.machine_of("job-000001/0").expect("it runs");
+            let machine = sim.machine_running("job-000001/0").expect("it runs");
             sim.send_reclaim_notice(machine, 4);
             until(&mut sim, 8000, |s| s.checkpointing_tasks(GANG) > 0)
         }
@@ -113,7 +113,7 @@
     let mut told_running = false;
     while sim.now < 80_000 && sim.jobs[GANG].last_status != "done" {
         sim.run_until(sim.now + 20);
-        assert!(matches!(sim.running(GANG), 0 | 3), "some run and some do not");
+        assert!(matches!(sim.running_tasks(GANG), 0 | 3), "some run and some do not");
         told_running |= sim.jobs[GANG].last_status == "running";
     }
     kept(&sim, "a quiet day");
@@ -147,7 +147,7 @@
             if let Some(ms) = leader_ends {
                 sim.run_until(sim.now + ms);
                 let leader = sim.leader().expect("somebody leads");
-                sim.restart(leader, 3000);
+                sim.restart_controller(leader, 3000);
             }
             sim.run_until(sim.now + 60_000);
             kept(&sim, &story);
@@ -185,13 +185,13 @@
                 Hangs => sim.hang_machine(machine, 11_000),
                 HearsNothing => drop(sim.faults.inbound_lost.insert(machine)),
                 Unheard => drop(sim.faults.outbound_lost.insert(machine)),
-                CutOff => sim.cut_machine(machine),
-                ForgetsForAMoment => sim.cut_machine_for(machine, 400),
+                CutOff => sim.partition_machine(machine),
+                ForgetsForAMoment => sim.partition_machine_for(machine, 400),
                 LeaderEnds => {
                     let leader = sim.leader().expect("somebody leads");
-                    sim.restart(leader, 5000);
+                    sim.restart_controller(leader, 5000);
                 }
-                AllEnd => (0..3).for_each(|node| sim.restart(node, 4000)),
+                AllEnd => (0..3).for_each(|node| sim.restart_controller(node, 4000)),
             }
             sim.run_until(sim.now + 30_000);
             sim.end_all_faults();
@@ -245,7 +245,7 @@
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("Loaners", json!(true)), ("RuntimeS", json!(40.0))]));
         assert!(until(&mut sim, 60_000, runs), "seed {seed}");
         sim.run_until(sim.now + 7100);
-        let machine = sim.machine_of("job-000001/1").expect("it runs");
+        let machine = sim.machine_running("job-000001/1").expect("it runs");
         sim.send_reclaim_notice(machine, 6);
         sim.run_until(sim.now + 8000);
         let saved = sim.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
@@ -263,7 +263,7 @@
     for seed in 0..5 {
         let (mut sim, _) = world(seed, When::Stopping);
         let leader = sim.leader().expect("somebody leads");
-        sim.restart(leader, 4000);
+        sim.restart_controller(leader, 4000);
         sim.run_until(sim.now + 100_000);
         kept(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
@@ -281,13 +281,13 @@
         sim.submit(GANG, &gang(&[&slow_to_save[..], &never_by_itself[..]].concat()));
         assert!(until(&mut sim, 60_000, runs), "seed {seed}");
         sim.run_until(sim.now + 8000);
-        let noticed = sim.machine_of("job-000001/0").expect("it runs");
-        let inbound_lost = sim.machine_of("job-000001/2").expect("it runs");
+        let noticed = sim.machine_running("job-000001/0").expect("it runs");
+        let inbound_lost = sim.machine_running("job-000001/2").expect("it runs");
         sim.faults.inbound_lost.insert(inbound_lost);
         sim.send_reclaim_notice(noticed, 14);
         assert!(until(&mut sim, 14_000, |s| s.checkpointing_tasks(GANG) == 2), "seed {seed}");
         let leader = sim.leader().expect("somebody leads");
-        sim.restart(leader, 6000);
+        sim.restart_controller(leader, 6000);
         sim.faults.inbound_lost.remove(&inbound_lost);
         sim.run_until(sim.now + 9000);
         let saved = sim.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
@@ -308,9 +308,9 @@
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("RuntimeS", json!(30.0))]));
         assert!(until(&mut sim, 60_000, runs), "seed {seed}");
         let leader = sim.leader().expect("somebody leads");
-        sim.restart(leader, 8000);
-        let machine = sim.machine_of("job-000001/1").expect("it runs");
-        sim.cut_machine_for(machine, 4200);
+        sim.restart_controller(leader, 8000);
+        let machine = sim.machine_running("job-000001/1").expect("it runs");
+        sim.partition_machine_for(machine, 4200);
         sim.run_until(sim.now + 60_000);
         kept(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gang_attempts(GANG)), ("done", 1), "seed {seed}");
@@ -355,7 +355,7 @@
             sim.run_until(sim.now + 2500);
             let machine = sim.machine_holding(GANG).expect("it runs");
             sim.faults.commands_held.insert(machine);
-            sim.cut_machine_for(machine, 18_000);
+            sim.partition_machine_for(machine, 18_000);
             sim.run_until(sim.now + 9000);
         }
         sim.end_all_faults();
@@ -374,7 +374,7 @@
             [("Crew", json!("small")), ("Cores", json!(1.0)), ("Pieces", json!(4)), ("RuntimeS", json!(60.0))];
         sim.submit(GANG, &gang(&limited));
         sim.submit("job-000002", &[("Crew", json!("small")), ("Cores", json!(1.0)), ("RuntimeS", json!(3.0))]);
-        assert!(until(&mut sim, 60_000, |s| s.running(GANG) == 4), "seed {seed}");
+        assert!(until(&mut sim, 60_000, |s| s.running_tasks(GANG) == 4), "seed {seed}");
         let zone = sim.zone_of_machine(sim.machine_holding(GANG).expect("it runs"));
         let leader = sim.leader().expect("somebody leads");
         sim.isolate_zone(&zone, leader);
@@ -414,7 +414,7 @@
         assert_eq!(job.last_status, "done", "{id}");
     }
     for id in [GANG, "job-000002"] {
-        let waited = sim.jobs[id].begun.expect("it began") - sim.jobs[id].accepted_at;
+        let waited = sim.jobs[id].first_task_started_at.expect("it began") - sim.jobs[id].accepted_at;
         assert!(waited < 150_000, "{id} waited {waited} ms");
         assert_eq!(sim.gang_attempts(id), 1, "{id} began before all of it had room");
     }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -13,7 +13,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{StoreStandIn, store_request};
+use support::{FakeStore, store_request};
 use warp::Filter;
 use warp::http::{Method, Response, StatusCode};
 
@@ -49,7 +49,7 @@
 
 #[derive(Default)]
 struct StandIns {
-    store: StoreStandIn,
+    store: FakeStore,
     /// Attempt -> task and state of the one worker.
     tasks: BTreeMap<u64, (String, &'static str)>,
     token: u64,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -26,7 +26,7 @@
 
 impl Flood {
     fn at(site: Site, seed: u64, per_second: u64) -> Flood {
-        Flood { sim: Simulation::at(site, seed), per_second, flood_jobs: 0, quiet_jobs: 0, second: 0 }
+        Flood { sim: Simulation::with_site(site, seed), per_second, flood_jobs: 0, quiet_jobs: 0, second: 0 }
     }
 
     /// Controllers that are overloaded, with machines for everything that they admit.
@@ -81,7 +81,7 @@
     fn cancel_one(&mut self) {
         let open = |id: &&String| {
             let job = &self.sim.jobs[*id];
-            job.accepted && job.cancel_asked_at.is_none() && !matches!(job.last_status.as_str(), "done" | "aborted")
+            job.accepted && job.cancel_requested_at.is_none() && !matches!(job.last_status.as_str(), "done" | "aborted")
         };
         let newest = self.sim.jobs.keys().rev().filter(|id| id.as_str() < "job-900000").find(open).cloned();
         newest.into_iter().for_each(|id| self.sim.cancel(&id));
@@ -97,9 +97,9 @@
         self.sim.controllers.overloaded = false;
         self.sim.run_until(self.sim.now + 120_000);
         let sim = &self.sim;
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
-        let refused = self.count(|job| job.refused > 0);
+        let refused = self.count(|job| job.rejections > 0);
         assert!(refused > 30, "{refused} of {} jobs were refused", self.flood_jobs);
         for n in 0..self.quiet_jobs {
             let id = format!("job-{:06}", FIRST_QUIET + n);
@@ -110,7 +110,7 @@
             assert_eq!(job.last_status, "done", "{id} of the quiet team");
         }
         for (id, job) in &sim.jobs {
-            if let Some(asked) = job.cancel_asked_at {
+            if let Some(asked) = job.cancel_requested_at {
                 assert_eq!(job.cancel_status, 200, "{id} was to be cancelled at {asked}");
             }
             assert!(
@@ -160,9 +160,9 @@
         let mut flood = Flood::at(Site { machines: 4, value_kb: 8.0, operators, ..Site::small() }, 5, 3);
         flood.play(240, |_, _| {});
         flood.sim.run_until(flood.sim.now + 60_000);
-        let begun = |job: &support::UserJob| job.accepted && job.begun.is_some();
-        let accepted = flood.count(|job| job.accepted && job.cancel_asked_at.is_none());
-        (flood.count(|job| begun(job) && job.cancel_asked_at.is_none()) as f64) / accepted as f64
+        let begun = |job: &support::UserJob| job.accepted && job.first_task_started_at.is_some();
+        let accepted = flood.count(|job| job.accepted && job.cancel_requested_at.is_none());
+        (flood.count(|job| begun(job) && job.cancel_requested_at.is_none()) as f64) / accepted as f64
     };
     let (bounded, unbounded) = (waits(ALWAYS), waits("[admission]\nbound_backlog = never\n"));
     assert!(bounded > unbounded + 0.1, "begun a minute after the flood: {bounded:.2} bounded, {unbounded:.2} without");
@@ -174,7 +174,7 @@
         flood.play(150, |sim, second| {
             if second == 60 || second == 100 {
                 let node = leader(sim);
-                sim.restart(node, 5_000);
+                sim.restart_controller(node, 5_000);
             }
         });
         flood.check(10_000);
@@ -186,7 +186,7 @@
     for mut flood in [Flood::of_controllers(3), Flood::of_machines(3)] {
         flood.play(150, |sim, second| {
             if second == 60 {
-                (0..3).for_each(|node| sim.restart(node, 3_000));
+                (0..3).for_each(|node| sim.restart_controller(node, 3_000));
             }
         });
         flood.check(15_000);
@@ -198,7 +198,7 @@
     let mut flood = Flood::of_controllers(4);
     flood.play(150, |sim, second| {
         if second % 20 == 15 {
-            sim.restart((second / 20 % 3) as usize, 300);
+            sim.restart_controller((second / 20 % 3) as usize, 300);
         }
     });
     flood.check(20_000);
@@ -210,9 +210,9 @@
         flood.play(150, |sim, second| match second {
             60 => {
                 let node = leader(sim);
-                sim.isolate(node);
+                sim.isolate_controller(node);
             }
-            85 => sim.reconnect(),
+            85 => sim.end_isolation(),
             _ => {}
         });
         flood.check(30_000);
@@ -225,9 +225,9 @@
     flood.play(150, |sim, second| match second {
         50 => {
             let node = leader(sim);
-            sim.store.refused_nodes.insert(node);
+            sim.store.unavailable_to_nodes.insert(node);
         }
-        65 => sim.store.refused_nodes.clear(),
+        65 => sim.store.unavailable_to_nodes.clear(),
         90 => sim.store.down = true,
         100 => sim.store.down = false,
         _ => {}
@@ -242,13 +242,13 @@
     flood.play(150, |sim, second| match second {
         60 => {
             let follower = (0..3).find(|node| *node != leader(sim)).expect("a follower");
-            sim.isolate(follower);
+            sim.isolate_controller(follower);
         }
         62 => {
             let node = leader(sim);
-            sim.restart(node, 2_000);
+            sim.restart_controller(node, 2_000);
         }
-        66 => sim.reconnect(),
+        66 => sim.end_isolation(),
         _ => {}
     });
     flood.check(20_000);
@@ -258,11 +258,11 @@
 #[test]
 fn an_old_version_beside_new_ones_in_a_flood() {
     let mut flood = Flood::of_controllers(8);
-    flood.sim.crash(2);
+    flood.sim.crash_controller(2);
     flood.play(150, |sim, second| match second {
         // It comes as a follower, and leads while the others are down.
         20 => sim.start_production_version(2),
-        50 => (0..2).for_each(|node| sim.restart(node, 6_000)),
+        50 => (0..2).for_each(|node| sim.restart_controller(node, 6_000)),
         80 => sim.upgrade_controller(2, 1_000),
         _ => {}
     });
@@ -331,7 +331,7 @@
     flood.play(120, |sim, second| {
         if second == 70 {
             let node = leader(sim);
-            sim.restart(node, 5_000);
+            sim.restart_controller(node, 5_000);
         }
     });
     let accepted = |from: u64, until: u64| flood.count(|job| (from * 1000..until * 1000).contains(&job.accepted_at));
--- a/tests/overload_processes.rs
+++ b/tests/overload_processes.rs
@@ -77,7 +77,7 @@
                 continue;
             }
             let asked = Instant::now();
-            let status = harness.offer(pending.node, &pending.id, pending.load.clone(), 1.0);
+            let status = harness.try_submit(pending.node, &pending.id, pending.load.clone(), 1.0);
             let outcome = self.outcomes.get_mut(pending.load.class).expect("a known class");
             outcome.asked += 1;
             outcome.answers_ms.push(asked.elapsed().as_millis() as u64);
@@ -111,8 +111,8 @@
 /// Floods for so many seconds; the leader is killed in the middle and comes back.
 fn flood(name: &str, seconds: u64) -> (ProcessHarness, Users) {
     let mut harness = ProcessHarness::start(name, ALWAYS);
-    harness.stand_ins().most_machines = Some(2);
-    harness.until("a leader", || harness.stand_ins().leader());
+    harness.fake_services().max_machines = Some(2);
+    harness.wait_until("a leader", || harness.fake_services().leader());
     let mut users = Users::new();
     let mut killed = None;
     let step = Duration::from_millis(1000 / FLOOD_PER_S);
@@ -122,7 +122,7 @@
             users.enter(&DESK);
         }
         if n == seconds * FLOOD_PER_S / 2 {
-            killed = harness.stand_ins().leader();
+            killed = harness.fake_services().leader();
             killed.into_iter().for_each(|node| harness.kill_node(node));
         }
         if n == seconds * FLOOD_PER_S / 2 + 3 * FLOOD_PER_S {
@@ -138,7 +138,7 @@
 #[test]
 fn all_controllers_refuse_a_flood_and_admit_what_is_quiet_although_the_leader_is_killed() {
     let (harness, users) = flood("overload", 32);
-    assert!(harness.stand_ins().broken.is_empty(), "{:?}", harness.stand_ins().broken);
+    assert!(harness.fake_services().violations.is_empty(), "{:?}", harness.fake_services().violations);
     let (code, shown) = harness.admission_status();
     assert_eq!((code, &shown["refusing"]), (0, &json!(true)), "{shown}");
     let pairs = shown["status"]["refused"].as_array().expect("pairs");
@@ -157,7 +157,7 @@
 #[ignore = "takes minutes"]
 fn a_morning_on_which_all_book_at_once() {
     let (harness, mut users) = flood("overload-long", 300);
-    assert!(harness.stand_ins().broken.is_empty(), "{:?}", harness.stand_ins().broken);
+    assert!(harness.fake_services().violations.is_empty(), "{:?}", harness.fake_services().violations);
     for (class, outcome) in &mut users.outcomes {
         let (median, slow) = outcome.median_and_99th_ms();
         println!(
--- a/tests/production_compatibility.rs
+++ b/tests/production_compatibility.rs
@@ -80,7 +80,7 @@
 fn the_state_service_lowers_its_limits() {
     for seed in 0..4 {
         let before = Site { value_kb: 8.0, page: 1000, snapshot_every: 30, ..Site::small() };
-        let mut sim = Simulation::at(before.clone(), seed);
+        let mut sim = Simulation::with_site(before.clone(), seed);
         // Users that come while the leader key moves are sent away and come back one by one: no large value would be written.
         sim.run_until(6000);
         let submit = |sim: &mut Simulation, from: u64, every: u64| {
@@ -96,17 +96,17 @@
         // The nodes are replaced by ones that know what is to come.
         sim.site = Site { next: Some((1.0, 4, 15.0)), ..before };
         for node in 0..3 {
-            sim.restart(node, 300);
+            sim.restart_controller(node, 300);
             sim.run_until(sim.now + 4000);
         }
         submit(&mut sim, 100, 5);
         (sim.store.value_bytes, sim.store.txn_ops) = (1024, 4);
         let leader = sim.leader().expect("somebody leads");
-        sim.restart(leader, 300);
+        sim.restart_controller(leader, 300);
         submit(&mut sim, 200, 150);
         sim.end_all_faults();
         sim.run_until(sim.now + 60_000);
-        assert!(sim.broken_rules.is_empty(), "seed {seed}: {:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "seed {seed}: {id}");
         }
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -125,18 +125,18 @@
 fn inject(sim: &mut Simulation, fault: &Fault) {
     let name = |n: u8| format!("job-{:06}", n % 12);
     match fault {
-        Fault::Crash(n) => sim.crash(*n),
-        Fault::CrashAll => (0..3).for_each(|n| sim.crash(n)),
-        Fault::Start(n) => sim.start(*n),
+        Fault::Crash(n) => sim.crash_controller(*n),
+        Fault::CrashAll => (0..3).for_each(|n| sim.crash_controller(n)),
+        Fault::Start(n) => sim.start_controller(*n),
         Fault::StateDown(down) => sim.store.down = *down,
         Fault::RefuseNode(n, true) => {
-            sim.store.refused_nodes.insert(*n);
+            sim.store.unavailable_to_nodes.insert(*n);
         }
         Fault::RefuseNode(n, false) => {
-            sim.store.refused_nodes.remove(n);
+            sim.store.unavailable_to_nodes.remove(n);
         }
-        Fault::LoseAnswers(n) => sim.store.lost_answers = *n,
-        Fault::Cut(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.cut_machine(m)),
+        Fault::LoseAnswers(n) => sim.store.lost_responses = *n,
+        Fault::Cut(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.partition_machine(m)),
         Fault::Heal(n) => {
             if let Some(m) = nth_machine(sim, *n) {
                 sim.heal_machine(m);
@@ -154,25 +154,25 @@
         Fault::LoseInbound(n) => sim.faults.inbound_lost.extend(nth_machine(sim, *n)),
         Fault::Copies(share, late) => sim.faults.duplicate_heartbeats = (*share, *late),
         Fault::Repeats(share, late) => sim.faults.duplicate_requests = (*share, *late),
-        Fault::Apart(n) => drop(sim.faults.cut_from_workers.insert(*n)),
+        Fault::Apart(n) => drop(sim.faults.partitioned_from_workers.insert(*n)),
         Fault::Island(n) => sim.isolate_zone(support::zone_of(&sim.site.clone(), *n), *n),
-        Fault::Together => sim.faults.cut_from_workers.clear(),
-        Fault::Isolate(n) => sim.isolate(*n),
-        Fault::Reconnect => sim.reconnect(),
-        Fault::Bounce(n, ms) => sim.restart(*n, *ms),
+        Fault::Together => sim.faults.partitioned_from_workers.clear(),
+        Fault::Isolate(n) => sim.isolate_controller(*n),
+        Fault::Reconnect => sim.end_isolation(),
+        Fault::Bounce(n, ms) => sim.restart_controller(*n, *ms),
         Fault::Blink(n, ms) => {
             if let Some(m) = nth_machine(sim, *n) {
-                sim.cut_machine_for(m, *ms);
+                sim.partition_machine_for(m, *ms);
             }
         }
         Fault::LoseOutbound(n) => sim.faults.outbound_lost.extend(nth_machine(sim, *n)),
         Fault::Hang(n, ms) => nth_machine(sim, *n).into_iter().for_each(|m| sim.hang_machine(m, *ms)),
-        Fault::LateWrites(share, at_once) => sim.faults.unanswered_writes = (*share, *at_once),
-        Fault::KeptForNext(share) => sim.faults.heartbeats_kept_percent = *share,
+        Fault::LateWrites(share, at_once) => sim.faults.writes_without_response = (*share, *at_once),
+        Fault::KeptForNext(share) => sim.faults.replayed_heartbeats_percent = *share,
         Fault::CloseLooks(on) => sim.users.recheck_everywhere = *on,
         Fault::CloudDown(down) => sim.cloud.unavailable = *down,
         Fault::RefuseOneThenAll(ms) => {
-            sim.store.refused_nodes.extend(sim.leader());
+            sim.store.unavailable_to_nodes.extend(sim.leader());
             let until = sim.now + ms;
             sim.run_until(until);
             sim.store.down = true;
@@ -209,7 +209,7 @@
             let mode = if what & 4 == 0 { "replace" } else { "remove" };
             let request = json!({"selector": {"matching": filter[(what % 4) as usize]}, "mode": mode, "wanted": "run"});
             // Refused where there is one of this name, or while the state service is down.
-            sim.write_request(&format!("drain-{n}"), &request, 0);
+            sim.write_drain_request(&format!("drain-{n}"), &request, 0);
         }
         Fault::ChangeDrain(n, what) => {
             let name = format!("drain-{n}");
@@ -217,7 +217,7 @@
             let before = sim.store.keys.get(&format!("drain/request/{name}")).cloned();
             if let Some((mut request, revision, _)) = before.filter(|(request, ..)| request["wanted"] != "cancel") {
                 request["wanted"] = json!(wanted);
-                sim.write_request(&name, &request, revision);
+                sim.write_drain_request(&name, &request, revision);
             }
         }
         Fault::Flood(jobs) => {
@@ -231,7 +231,7 @@
             }
         }
         Fault::Overload(on) => sim.controllers.overloaded = *on,
-        Fault::Budgets(first) => sim.set_operators(if *first { ONE } else { HALF }),
+        Fault::Budgets(first) => sim.set_disruption_policy(if *first { ONE } else { HALF }),
         Fault::Cancel(n) => {
             if sim.jobs.contains_key(&name(*n)) {
                 sim.cancel(&name(*n));
@@ -247,7 +247,7 @@
         at = at.max(sim.now) + gap;
         sim.run_until(at);
         inject(sim, fault);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     }
     Ok(at)
 }
@@ -256,7 +256,12 @@
 fn check_all_ended(sim: &Simulation) -> Result<(), TestCaseError> {
     for (id, job) in sim.jobs.iter().filter(|(_, j)| j.accepted) {
         let over = matches!(job.last_status.as_str(), "done" | "aborted");
-        prop_assert!(over || sim.running(id) == 3, "{id} is {} with {} running", job.last_status, sim.running(id));
+        prop_assert!(
+            over || sim.running_tasks(id) == 3,
+            "{id} is {} with {} running",
+            job.last_status,
+            sim.running_tasks(id)
+        );
     }
     Ok(())
 }
@@ -280,7 +285,7 @@
         // All is mended: what was accepted must end.
         sim.end_all_faults();
         sim.run_until(at + 300_000);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         check_all_ended(&sim)?;
     }
 
@@ -291,7 +296,7 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![4 => fault(), 1 => operation()]), 15..50),
     ) {
-        let mut sim = Simulation::at(Site { operators: ONE, ..Site::small() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: ONE, ..Site::small() }, seed);
         sim.disruption.limits.insert("render".into(), 1);
         for id in ["job-000001", "job-000007"] {
             sim.submit(id, &three_spread_replicas());
@@ -304,7 +309,7 @@
             inject(&mut sim, &Fault::ChangeDrain(n, 0));
         }
         sim.run_until(at + 500_000);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         check_all_ended(&sim)?;
         for name in (0..4).map(|n| format!("drain-{n}")).filter(|name| sim.store.keys.contains_key(&format!("drain/request/{name}"))) {
             let ended = matches!(sim.drain_phase(&name).as_str(), "done" | "cancelled" | "refused");
@@ -327,18 +332,18 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![2 => fault(), 1 => overload()]), 15..45),
     ) {
-        let mut sim = Simulation::at(Site { operators: "[admission]\nbound_backlog = always\n", ..Site::small() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: "[admission]\nbound_backlog = always\n", ..Site::small() }, seed);
         sim.submit("job-000001", &three_spread_replicas());
         sim.controllers.overloaded = true;
         let at = inject_in_turn(&mut sim, 8000, &faults)?;
         sim.end_all_faults();
         sim.controllers.overloaded = false;
         sim.run_until(at + 300_000);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         prop_assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
         check_all_ended(&sim)?;
         for (id, job) in &sim.jobs {
-            prop_assert!(job.accepted || job.given_up || job.cancel_asked_at.is_some(), "{id} was lost: {}", job.last_status);
+            prop_assert!(job.accepted || job.given_up || job.cancel_requested_at.is_some(), "{id} was lost: {}", job.last_status);
         }
     }
 }
--- a/tests/rolling_upgrade.rs
+++ b/tests/rolling_upgrade.rs
@@ -15,7 +15,7 @@
 /// A world whose third controller is of the version in production.
 fn one_production_controller(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed);
-    sim.crash(2);
+    sim.crash_controller(2);
     sim.start_production_version(2);
     sim
 }
@@ -27,12 +27,12 @@
 /// Nothing that the version in production would lose or misread is stored.
 fn assert_readable_by_production(sim: &Simulation, case: &str) {
     for (key, value) in &sim.store.keys {
-        assert_eq!(old_node::misread(key, &value.0), None, "{case}");
+        assert_eq!(old_node::incompatibility(key, &value.0), None, "{case}");
     }
 }
 
 fn assert_no_rule_broken(sim: &Simulation, case: &str) {
-    assert!(sim.broken_rules.is_empty(), "{case}: {:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
 /// The leader is new, old and new again, both write the log, and gangs are sent away until the last node is new.
@@ -49,11 +49,11 @@
         assert_eq!((sim.jobs[GANG].submit_status, leader_key_moved(&sim)), (503, false), "{case}");
         // Both new nodes end for a while: the old one leads, reads the log and goes on with it.
         for node in [0, 1] {
-            sim.restart(node, 6000);
+            sim.restart_controller(node, 6000);
         }
         sim.run_until(sim.now + 5000);
         assert_eq!(sim.controllers.production_version[&2].elections, 1, "{case}: the old node leads");
-        assert_eq!(sim.controllers.production_version[&2].misread, Vec::<String>::new(), "{case}");
+        assert_eq!(sim.controllers.production_version[&2].incompatible_entries, Vec::<String>::new(), "{case}");
         assert_readable_by_production(&sim, &case);
         sim.run_until(sim.now + 4000);
         assert!(!leader_key_moved(&sim), "{case}");
@@ -86,16 +86,16 @@
         assert!(leader_key_moved(&sim), "{case}");
         submit_gang(&mut sim, GANG);
         sim.run_until(12_000);
-        sim.crash(2);
+        sim.crash_controller(2);
         sim.start_production_version(2);
         let tombstone = sim.store.keys["leader"].clone();
         for _ in 0..4 {
             for node in [0, 1] {
-                sim.restart(node, 4000);
+                sim.restart_controller(node, 4000);
             }
             sim.run_until(sim.now + 10_000);
             let old = &sim.controllers.production_version[&2];
-            assert_eq!((old.elections, old.puzzled), (0, true), "{case}");
+            assert_eq!((old.elections, old.leader_key_unreadable), (0, true), "{case}");
             assert_eq!(sim.store.keys["leader"], tombstone, "{case}");
         }
         sim.run_until(sim.now + 60_000);
@@ -110,15 +110,15 @@
 fn the_switch_meets_each_trouble_of_the_state_service() {
     type Trouble = (&'static str, fn(&mut Simulation));
     let troubles: [Trouble; 7] = [
-        ("answers lost", |sim| sim.faults.unanswered_writes = (100, true)),
-        ("late writes", |sim| sim.faults.unanswered_writes = (60, false)),
+        ("answers lost", |sim| sim.faults.writes_without_response = (100, true)),
+        ("late writes", |sim| sim.faults.writes_without_response = (60, false)),
         ("repeats", |sim| sim.faults.duplicate_requests = (100, 20_000)),
         ("slow", |sim| sim.faults.store_delay_ms = 300),
-        ("refused", |sim| sim.store.refused_nodes.extend(sim.leader())),
+        ("refused", |sim| sim.store.unavailable_to_nodes.extend(sim.leader())),
         ("outage", |sim| sim.store.down = true),
         ("ends", |sim| {
             let leader = sim.leader().unwrap_or(0);
-            sim.restart(leader, 500);
+            sim.restart_controller(leader, 500);
         }),
     ];
     for (name, begin) in troubles {
@@ -147,7 +147,7 @@
 #[test]
 fn a_node_that_never_comes_up_keeps_gangs_waiting() {
     let mut sim = Simulation::new(5);
-    sim.crash(2);
+    sim.crash_controller(2);
     sim.store.keys.remove("version/n2");
     submit_gang(&mut sim, GANG);
     sim.submit("job-000002", &[("RuntimeS", json!(2.0))]);
@@ -155,7 +155,7 @@
     assert_no_rule_broken(&sim, "one node is away");
     assert_eq!((sim.jobs[GANG].submit_status, leader_key_moved(&sim)), (503, false));
     assert_eq!(sim.jobs["job-000002"].last_status, "done");
-    sim.start(2);
+    sim.start_controller(2);
     sim.run_until(90_000);
     assert_eq!(sim.jobs[GANG].last_status, "done");
 }
--- a/tests/scale_measurements.rs
+++ b/tests/scale_measurements.rs
@@ -29,19 +29,19 @@
 /// Replicas that run, and those that are wanted.
 fn replicas(sim: &Simulation) -> (usize, usize) {
     let services = sim.jobs.iter().filter(|(id, _)| id.as_str() < "job-100000");
-    services.fold((0, 0), |(up, wanted), (id, job)| (up + sim.running(id), wanted + job.pieces() as usize))
+    services.fold((0, 0), |(up, wanted), (id, job)| (up + sim.running_tasks(id), wanted + job.task_count() as usize))
 }
 
 #[test]
 #[ignore = "takes minutes"]
 fn four_thousand_machines_lose_their_leader_and_the_state_service() {
-    let mut sim = Simulation::at(Site::four_thousand_machines(), 41);
+    let mut sim = Simulation::with_site(Site::four_thousand_machines(), 41);
     fill_nine_tenths(&mut sim);
     sim.run_until(140_000);
     println!("machines after 140 s: {}, replicas up and wanted {:?}", sim.workers.len(), replicas(&sim));
     assert!(sim.workers.len() >= 4000, "{} machines", sim.workers.len());
     let leader = sim.leader().expect("somebody leads");
-    sim.restart(leader, 5000);
+    sim.restart_controller(leader, 5000);
     let lost_at = sim.now;
     while sim.all_machines_fenced() || sim.now < lost_at + 500 {
         sim.run_until(sim.now + 50);
@@ -66,7 +66,7 @@
     sim.run_until(sim.now + 40_000);
     let (up, wanted) = replicas(&sim);
     println!("after it: replicas up and wanted {:?}", (up, wanted));
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     assert!(up >= before, "{up} of {wanted} replicas are up, {before} before the outage");
     println!("longest input of a node: {:?}", sim.controllers.processing_time.1);
 }
@@ -76,7 +76,7 @@
 #[test]
 #[ignore = "takes minutes"]
 fn services_for_nine_tenths_of_the_room_find_a_place() {
-    let mut sim = Simulation::at(Site::four_thousand_machines(), 41);
+    let mut sim = Simulation::with_site(Site::four_thousand_machines(), 41);
     fill_nine_tenths(&mut sim);
     sim.run_until(140_000);
     let (up, wanted) = replicas(&sim);
@@ -86,15 +86,15 @@
 /// Processor time of the nodes' state machines over the same 40 s, with and without a drain.
 fn drain_cost(site: Site, seed: u64) -> (Duration, Duration, u64, usize) {
     let run = |drain: bool| {
-        let mut sim = Simulation::at(Site { operators: BUDGETS, ..site.clone() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: BUDGETS, ..site.clone() }, seed);
         fill_nine_tenths(&mut sim);
         sim.run_until(110_000);
         sim.controllers.processing_time = Default::default();
         if drain {
-            sim.drain("all", json!({"zone": "a"}), "remove");
+            sim.start_drain("all", json!({"zone": "a"}), "remove");
         }
         sim.run_until(150_000);
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         let emptied = sim.drain_status("all").map_or(0, |status| status["emptied"].as_u64().unwrap_or(0));
         (sim.controllers.processing_time.0, emptied, sim.workers.len())
     };
--- a/tests/scenario_replay.rs
+++ b/tests/scenario_replay.rs
@@ -30,10 +30,10 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         let time: f64 = words[0].parse().unwrap_or_else(|_| panic!("{at}: no time"));
         sim.run_until(1000 + (time * 1000.0) as u64);
-        assert!(sim.broken_rules.is_empty(), "{at}: {:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{at}: {:?}", sim.violations);
         let machine = |sim: &Simulation, names: &mut HashMap<String, u64>, word: &str| -> u64 {
             if let Some(task) = word.strip_prefix("of:") {
-                let id = sim.machine_of(task).unwrap_or_else(|| panic!("{at}: {task} runs nowhere"));
+                let id = sim.machine_running(task).unwrap_or_else(|| panic!("{at}: {task} runs nowhere"));
                 names.insert("it".into(), id);
                 return id;
             }
@@ -55,26 +55,26 @@
             ("cancel", [id]) => sim.cancel(id),
             ("crash", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.crash(leader);
+                sim.crash_controller(leader);
                 names.insert("crashed".into(), leader as u64);
             }
-            ("crash", ["all"]) => (0..3).for_each(|n| sim.crash(n)),
-            ("crash", [n]) => sim.crash(node(n)),
-            ("start", ["all"]) => (0..3).for_each(|n| sim.start(n)),
-            ("start", ["crashed"]) => sim.start(names["crashed"] as usize),
-            ("start", [n]) => sim.start(node(n)),
+            ("crash", ["all"]) => (0..3).for_each(|n| sim.crash_controller(n)),
+            ("crash", [n]) => sim.crash_controller(node(n)),
+            ("start", ["all"]) => (0..3).for_each(|n| sim.start_controller(n)),
+            ("start", ["crashed"]) => sim.start_controller(names["crashed"] as usize),
+            ("start", [n]) => sim.start_controller(node(n)),
             ("state", ["down"]) => sim.store.down = true,
             ("state", ["up"]) => sim.store.down = false,
             ("state", ["refuses", "leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.store.refused_nodes.insert(leader);
+                sim.store.unavailable_to_nodes.insert(leader);
             }
-            ("state", ["serves", "all"]) => sim.store.refused_nodes.clear(),
-            ("state", ["loses", n]) => sim.store.lost_answers = n.parse().expect("a count"),
-            ("state", ["writes", n]) => sim.store.writes_left = n.parse().ok(),
+            ("state", ["serves", "all"]) => sim.store.unavailable_to_nodes.clear(),
+            ("state", ["loses", n]) => sim.store.lost_responses = n.parse().expect("a count"),
+            ("state", ["writes", n]) => sim.store.transactions_until_outage = n.parse().ok(),
             ("cut", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.cut_machine(m);
+                sim.partition_machine(m);
             }
             ("heal", [m]) => {
                 let m = machine(&sim, &mut names, m);
@@ -86,7 +86,7 @@
             }
             ("copies", [percent, seconds]) => {
                 let late: u64 = seconds.parse().expect("seconds");
-                sim.rules.check_registrations = true;
+                sim.invariants.check_reregistrations = true;
                 sim.faults.duplicate_heartbeats = (percent.parse().expect("a share"), late * 1000);
             }
             ("repeats", [percent, seconds]) => {
@@ -95,18 +95,18 @@
             }
             ("lose-workers", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.faults.cut_from_workers.insert(leader);
+                sim.faults.partitioned_from_workers.insert(leader);
                 names.insert("crashed".into(), leader as u64);
             }
             ("isolate", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.isolate(leader);
+                sim.isolate_controller(leader);
                 names.insert("crashed".into(), leader as u64);
                 names.insert("isolated".into(), leader as u64);
             }
             ("isolate", ["follower"]) => {
                 let follower = (0..3).find(|n| Some(*n) != sim.leader()).expect("three nodes");
-                sim.isolate(follower);
+                sim.isolate_controller(follower);
                 names.insert("isolated".into(), follower as u64);
             }
             ("cut-off-zone", ["leader"]) => {
@@ -116,21 +116,25 @@
                 names.insert("isolated".into(), leader as u64);
                 names.insert("crashed".into(), leader as u64);
             }
-            ("reconnect", []) => sim.reconnect(),
+            ("reconnect", []) => sim.end_isolation(),
             ("bounce", ["leader", ms]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{at}: nobody leads"));
-                sim.restart(leader, ms.parse().expect("milliseconds"));
+                sim.restart_controller(leader, ms.parse().expect("milliseconds"));
+            }
+            ("bounce", [n, ms]) if n.starts_with('n') => {
+                sim.restart_controller(node(n), ms.parse().expect("milliseconds"))
+            }
+            ("bounce", ["all", ms]) => {
+                (0..3).for_each(|n| sim.restart_controller(n, ms.parse().expect("milliseconds")))
             }
-            ("bounce", [n, ms]) if n.starts_with('n') => sim.restart(node(n), ms.parse().expect("milliseconds")),
-            ("bounce", ["all", ms]) => (0..3).for_each(|n| sim.restart(n, ms.parse().expect("milliseconds"))),
             ("blink", [m, ms]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.cut_machine_for(m, ms.parse().expect("milliseconds"));
+                sim.partition_machine_for(m, ms.parse().expect("milliseconds"));
             }
             ("probe", ["isolated"]) => sim.check_health(names["isolated"] as usize),
             ("ask", ["isolated", id]) => {
-                sim.users.slowest_answer_ms = 0;
-                sim.ask_controller(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
+                sim.users.slowest_response_ms = 0;
+                sim.send_user_request(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
             }
             ("mend", []) => sim.end_all_faults(),
             ("hold-commands", [m]) => {
@@ -178,23 +182,23 @@
             assert_eq!(leaders.to_string(), **n, "{at}");
         }
         ["told", id, status] => assert_eq!(sim.jobs[*id].last_status, *status, "{at}"),
-        ["running", id, n] => assert_eq!(sim.running(id).to_string(), **n, "{at}"),
+        ["running", id, n] => assert_eq!(sim.running_tasks(id).to_string(), **n, "{at}"),
         ["submit", id, status] => assert_eq!(sim.jobs[*id].submit_status.to_string(), **status, "{at}"),
         ["cancel", id, status] => assert_eq!(sim.jobs[*id].cancel_status.to_string(), **status, "{at}"),
         ["starts", task, n] => assert_eq!(sim.tasks.starts.get(*task).map_or(0, Vec::len).to_string(), **n, "{at}"),
         ["machines", n] => assert_eq!(sim.workers.len().to_string(), **n, "{at}"),
         ["gone", m] => assert!(!sim.workers.contains_key(&names[*m]), "{at}: {m} is still rented"),
         ["kept", m] => assert!(sim.workers.contains_key(&names[*m]), "{at}: {m} was returned"),
-        ["moved", task] => assert_ne!(sim.machine_of(task), names.get("it").copied(), "{at}"),
+        ["moved", task] => assert_ne!(sim.machine_running(task), names.get("it").copied(), "{at}"),
         ["answers", "within", ms] => {
             assert!(
-                sim.users.slowest_answer_ms <= ms.parse().expect("milliseconds"),
+                sim.users.slowest_response_ms <= ms.parse().expect("milliseconds"),
                 "{at}: an answer took {} ms",
-                sim.users.slowest_answer_ms
+                sim.users.slowest_response_ms
             );
         }
         ["answered", id, "within", ms] => {
-            let ago = sim.now - sim.jobs[*id].answered_at;
+            let ago = sim.now - sim.jobs[*id].status_received_at;
             assert!(ago <= ms.parse().expect("milliseconds"), "{at}: {id} was answered for {ago} ms ago");
         }
         ["healthy", "isolated", yes] => {
@@ -264,13 +268,13 @@
             sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(2.0))]);
         }
         sim.run_until(12_000 + writes * 150);
-        sim.store.writes_left = Some(writes as u32);
+        sim.store.transactions_until_outage = Some(writes as u32);
         sim.run_until(22_000);
-        (0..3).for_each(|n| sim.crash(n));
-        sim.store.writes_left = None;
-        (0..3).for_each(|n| sim.start(n));
+        (0..3).for_each(|n| sim.crash_controller(n));
+        sim.store.transactions_until_outage = None;
+        (0..3).for_each(|n| sim.start_controller(n));
         sim.run_until(100_000);
-        assert!(sim.broken_rules.is_empty(), "after {writes} writes: {:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "after {writes} writes: {:?}", sim.violations);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "{id} after {writes} writes");
         }
@@ -291,9 +295,9 @@
             sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(2.0))]);
         }
         sim.run_until(42_000 + seed * 500);
-        (0..3).for_each(|n| sim.restart(n, 300));
+        (0..3).for_each(|n| sim.restart_controller(n, 300));
         sim.run_until(90_000);
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "{id}");
         }
@@ -308,7 +312,7 @@
     sim.cloud.capacity.values_mut().for_each(|machines| *machines = 0);
     sim.submit("job-000001", &[]);
     sim.run_until(60_000);
-    (0..3).for_each(|n| sim.restart(n, 500));
+    (0..3).for_each(|n| sim.restart_controller(n, 500));
     sim.run_until(66_000);
     let leader = sim.leader().expect("somebody leads");
     let book = sim.controllers.processes[leader].as_ref().and_then(|c| c.leader()).expect("a term").jobs();
--- a/tests/support/admission.rs
+++ b/tests/support/admission.rs
@@ -11,7 +11,7 @@
 
 /// What nodes decided by their tables: the same table must give the same answer for a job on every node.
 #[derive(Debug, Default)]
-pub struct Decisions {
+pub struct AdmissionDecisions {
     by_table: HashMap<(TableNumber, JobId), bool>,
     /// Refusals by node.
     pub refused_by: BTreeMap<usize, u64>,
@@ -29,7 +29,7 @@
     (!controller.leader().is_some_and(known)).then_some((*origin, job))
 }
 
-impl Decisions {
+impl AdmissionDecisions {
     /// Notes what a node did with a submission.
     pub(super) fn note(
         &mut self,
@@ -66,7 +66,7 @@
     }
 
     /// Other settings of admission come into force at all controllers.
-    pub fn set_admission(&mut self, operators: &'static str) {
+    pub fn set_admission_policy(&mut self, operators: &'static str) {
         self.site.operators = operators;
         for node in 0..self.site.nodes {
             let policy = settings(&self.site, node).admission;
@@ -80,9 +80,9 @@
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else { return };
         if retry_after > 30_000 {
-            self.broken_rules.push(format!("{now} {id} is to come back after {retry_after_s} s"));
+            self.violations.push(format!("{now} {id} is to come back after {retry_after_s} s"));
         }
-        job.refused += 1;
+        job.rejections += 1;
         job.given_up = now + retry_after > job.submitted_at + GIVE_UP_MS;
         if !job.given_up {
             self.schedule(retry_after, Event::UserRequest(id.to_string(), call));
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -10,7 +10,7 @@
 
 /// The cloud's state.
 #[derive(Debug, Default)]
-pub struct CloudStandIn {
+pub struct FakeCloud {
     /// Machines that were rented so far; the last one has this number.
     rented_count: u64,
     /// Machines by the name of the request that rented them.
@@ -23,12 +23,12 @@
     pub(super) released_at: BTreeMap<u64, u64>,
 }
 
-impl CloudStandIn {
+impl FakeCloud {
     /// A cloud that has as many machines of each zone and kind as this deployment may rent.
-    pub(super) fn with_capacity(site: &Site) -> CloudStandIn {
+    pub(super) fn with_capacity(site: &Site) -> FakeCloud {
         let of_zone =
             |zone: &&str| [((zone.to_string(), false), site.machines), ((zone.to_string(), true), site.machines)];
-        CloudStandIn { capacity: site.zones.iter().flat_map(of_zone).collect(), ..CloudStandIn::default() }
+        FakeCloud { capacity: site.zones.iter().flat_map(of_zone).collect(), ..FakeCloud::default() }
     }
 }
 
@@ -77,8 +77,8 @@
             self.cloud.rented_count += 1;
             let id = self.cloud.rented_count;
             ids.push(id);
-            let is_cut = self.faults.cut_zones.contains(zone);
-            self.workers.insert(id, Worker::booting(zone, spot, is_cut));
+            let is_partitioned = self.faults.partitioned_zones.contains(zone);
+            self.workers.insert(id, Worker::booting(zone, spot, is_partitioned));
             self.schedule(self.site.boot_ms, Event::MachineBooted(id));
         }
         let answer = machine_names(&ids);
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -50,7 +50,7 @@
     }
 
     /// Starts a controller, if it is down.
-    pub fn start(&mut self, node: usize) {
+    pub fn start_controller(&mut self, node: usize) {
         if self.controllers.processes[node].is_some() {
             return;
         }
@@ -64,7 +64,7 @@
     }
 
     /// Ends a controller's process. Whoever waits for it sees the connection break.
-    pub fn crash(&mut self, node: usize) {
+    pub fn crash_controller(&mut self, node: usize) {
         if self.controllers.processes[node].take().is_none() {
             return;
         }
@@ -82,13 +82,13 @@
     }
 
     /// Ends a controller's process; it is back after so many milliseconds.
-    pub fn restart(&mut self, node: usize, after_ms: u64) {
-        self.crash(node);
-        self.start_after(node, after_ms);
+    pub fn restart_controller(&mut self, node: usize, after_ms: u64) {
+        self.crash_controller(node);
+        self.start_controller_after(node, after_ms);
     }
 
     /// A controller that ended is back after so many milliseconds.
-    pub fn start_after(&mut self, node: usize, after_ms: u64) {
+    pub fn start_controller_after(&mut self, node: usize, after_ms: u64) {
         self.schedule(after_ms, Event::StartController(node));
     }
 
@@ -196,7 +196,7 @@
             return;
         }
         (self.controllers.highest_token, self.controllers.highest_token_since) = (token, self.now);
-        for (machine, heartbeat) in std::mem::take(&mut self.faults.kept_heartbeats) {
+        for (machine, heartbeat) in std::mem::take(&mut self.faults.heartbeats_to_replay) {
             for to in 0..self.site.nodes {
                 let soon = self.random_below(400);
                 self.send_duplicate_heartbeat(machine, to as u64, soon, &heartbeat);
@@ -287,7 +287,7 @@
         self.check_registered(&request);
         self.check_drain_write(&request);
         let refused = self.store.refuses(node);
-        let (share, at_once) = self.faults.unanswered_writes;
+        let (share, at_once) = self.faults.writes_without_response;
         let is_write = matches!(*request, StoreRequest::CompareAndSwap(_));
         if is_write && !refused && share > 0 && self.random_below(100) < share {
             let late = if at_once { 0 } else { 2000 + self.random_below(10_000) };
@@ -296,8 +296,8 @@
             return self.schedule(NO_ANSWER_MS, Event::ControllerInput(node, epoch, Box::new(unanswered)));
         }
         let (status, body) = self.store.handle(self.now, node, &request);
-        let response = if self.store.lost_answers > 0 && status != 503 {
-            self.store.lost_answers -= 1;
+        let response = if self.store.lost_responses > 0 && status != 503 {
+            self.store.lost_responses -= 1;
             ServiceResponse::none()
         } else {
             ServiceResponse { status, body: body.to_string().into() }
--- a/tests/support/drains.rs
+++ b/tests/support/drains.rs
@@ -12,17 +12,17 @@
     /// Tasks that were stopped by command, with their class.
     out: BTreeMap<String, String>,
     /// Most that were out at once, by class.
-    pub highest: BTreeMap<String, usize>,
+    pub peak_unavailable: BTreeMap<String, usize>,
     /// How many were stopped in all, by class.
     pub evictions: BTreeMap<String, usize>,
     /// When something was stopped last, by class, and the least time between two.
     last: BTreeMap<String, u64>,
-    pub least_gap: BTreeMap<String, u64>,
+    pub min_eviction_interval_ms: BTreeMap<String, u64>,
 }
 
 impl Simulation {
     /// An operator writes a request on condition that it has this revision; the answer's status.
-    pub fn write_request(&mut self, name: &str, request: &Value, revision: u64) -> u16 {
+    pub fn write_drain_request(&mut self, name: &str, request: &Value, revision: u64) -> u16 {
         let key = format!("drain/request/{name}");
         let put = StoreWrite::Put { key: key.clone(), value: request.clone(), lease: None };
         let txn = CompareAndSwap { conditions: vec![condition(&key, Revision(revision))], writes: vec![put] };
@@ -30,22 +30,22 @@
     }
 
     /// An operator asks for a drain of all machines that match.
-    pub fn drain(&mut self, name: &str, filter: Value, mode: &str) {
+    pub fn start_drain(&mut self, name: &str, filter: Value, mode: &str) {
         let request = json!({"selector": {"matching": filter}, "mode": mode, "wanted": "run"});
-        assert_eq!(self.write_request(name, &request, 0), 200, "drain {name}");
+        assert_eq!(self.write_drain_request(name, &request, 0), 200, "drain {name}");
     }
 
     /// An operator asks for a drain of these machines.
-    pub fn drain_machines(&mut self, name: &str, machines: &[u64]) {
+    pub fn start_drain_of_machines(&mut self, name: &str, machines: &[u64]) {
         let request = json!({"selector": {"machines": machines}, "mode": "remove", "wanted": "run"});
-        assert_eq!(self.write_request(name, &request, 0), 200, "drain {name}");
+        assert_eq!(self.write_drain_request(name, &request, 0), 200, "drain {name}");
     }
 
     /// An operator lets a drain rest, go on or end.
     pub fn change_drain(&mut self, name: &str, wanted: &str) {
         let (mut request, revision, _) = self.store.keys[&format!("drain/request/{name}")].clone();
         request["wanted"] = json!(wanted);
-        assert_eq!(self.write_request(name, &request, revision), 200, "{wanted} {name}");
+        assert_eq!(self.write_drain_request(name, &request, revision), 200, "{wanted} {name}");
     }
 
     /// What the leader says of a drain.
@@ -60,7 +60,7 @@
     }
 
     /// Runs until a drain is in this phase; whether it came in time.
-    pub fn run_until_drain(&mut self, name: &str, phase: &str, limit: u64) -> bool {
+    pub fn run_until_drain_phase(&mut self, name: &str, phase: &str, limit: u64) -> bool {
         while self.now < limit && self.drain_phase(name) != phase {
             self.run_until(self.now + 250);
         }
@@ -68,13 +68,13 @@
     }
 
     /// Machines that the leader empties, as its records say.
-    pub fn machines_being_emptied(&self) -> Vec<u64> {
+    pub fn draining_machines(&self) -> Vec<u64> {
         let keys = self.store.keys.keys().filter_map(|key| key.strip_prefix("drain/machine/"));
         keys.filter_map(|id| id.parse::<MachineId>().ok()).map(|id| id.0).collect()
     }
 
     /// Other budgets come into force at all controllers.
-    pub fn set_operators(&mut self, operators: &'static str) {
+    pub fn set_disruption_policy(&mut self, operators: &'static str) {
         self.site.operators = operators;
         for node in 0..self.site.nodes {
             let policy = settings(&self.site, node).policy;
@@ -90,7 +90,7 @@
         };
         let leads = txn.conditions.iter().any(|c| c.key.starts_with("leader") && c.revision > 0);
         if txn.writes.iter().any(of_drains) && !leads {
-            self.broken_rules.push(format!("{} a write of drains without the leader key: {txn:?}", self.now));
+            self.violations.push(format!("{} a write of drains without the leader key: {txn:?}", self.now));
         }
     }
 
@@ -106,15 +106,15 @@
         let disruption = &mut self.disruption;
         *disruption.evictions.entry(class.clone()).or_default() += 1;
         if let Some(last) = disruption.last.insert(class.clone(), now) {
-            let gap = disruption.least_gap.entry(class.clone()).or_insert(u64::MAX);
+            let gap = disruption.min_eviction_interval_ms.entry(class.clone()).or_insert(u64::MAX);
             *gap = (*gap).min(now - last);
         }
         disruption.out.insert(task.to_string(), class.clone());
         let out = disruption.out.values().filter(|other| **other == class).count();
-        let highest = disruption.highest.entry(class.clone()).or_default();
+        let highest = disruption.peak_unavailable.entry(class.clone()).or_default();
         *highest = (*highest).max(out);
         if disruption.limits.get(&class).is_some_and(|limit| out > *limit) {
-            self.broken_rules.push(format!("{now} disruption: {out} of {class} are out, {task} the last"));
+            self.violations.push(format!("{now} disruption: {out} of {class} are out, {task} the last"));
         }
     }
 
@@ -134,7 +134,7 @@
         }
         let tasks: Vec<String> =
             w.tasks.values().filter(|t| t.state == TaskState::Running).map(|t| t.task.clone()).collect();
-        if self.machines_being_emptied().contains(&machine) {
+        if self.draining_machines().contains(&machine) {
             tasks.iter().for_each(|task| self.note_eviction(machine, task));
         }
     }
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -148,7 +148,7 @@
                     self.handle_input(node, *input);
                 }
             }
-            Event::StartController(node) => self.start(node),
+            Event::StartController(node) => self.start_controller(node),
             Event::ProductionVersionTick(node, epoch) => self.production_version_tick(node, epoch),
             Event::StoreRequest(node, epoch, caller, id, request) => {
                 self.store_request_arrives(node, epoch, caller, id, request);
@@ -164,7 +164,7 @@
                 self.command_arrives(node, epoch, token, machine, id, body);
             }
             Event::DuplicateCommand(machine, body) => {
-                if self.workers.get(&machine).is_some_and(|w| w.is_alive && w.is_booted && !w.is_cut) {
+                if self.workers.get(&machine).is_some_and(|w| w.is_alive && w.is_booted && !w.is_partitioned) {
                     self.handle_command(machine, &body);
                 }
             }
@@ -189,10 +189,10 @@
             Event::HealMachine(machine) => self.heal_machine(machine),
             Event::ResumeMachine(machine) => self.resume_machine(machine),
             Event::UserPoll(id) => self.poll(&id),
-            Event::UserRequest(id, request) => self.ask_any_controller(id, request),
+            Event::UserRequest(id, request) => self.send_user_request_to_any(id, request),
             Event::UserRequestAt(node, id, request) => {
                 if self.controllers.processes[node].is_some() {
-                    self.ask_controller(node, id, request);
+                    self.send_user_request(node, id, request);
                 }
             }
         }
--- a/tests/support/faults.rs
+++ b/tests/support/faults.rs
@@ -16,16 +16,16 @@
     /// What waits for machines that hang.
     pub(super) hung_events: BTreeMap<u64, Vec<Event>>,
     /// Of a hundred transactions so many get no answer; carried out at once, or 2 to 12 s later, after newer ones.
-    pub unanswered_writes: (u64, bool),
+    pub writes_without_response: (u64, bool),
     /// The state service takes so many milliseconds over each request, and as many again until the answer is there.
     pub store_delay_ms: u64,
     /// Of a hundred heartbeats so many are kept, and arrive at every controller as soon as the next leader begins.
-    pub heartbeats_kept_percent: u64,
-    pub(super) kept_heartbeats: Vec<(u64, Box<Heartbeat>)>,
+    pub replayed_heartbeats_percent: u64,
+    pub(super) heartbeats_to_replay: Vec<(u64, Box<Heartbeat>)>,
     /// Controllers without state service and other controllers, but with their workers and users.
     pub(super) isolated: BTreeSet<usize>,
     /// Controllers that no worker reaches, nor they any worker.
-    pub cut_from_workers: BTreeSet<usize>,
+    pub partitioned_from_workers: BTreeSet<usize>,
     /// A zone that is cut off with this controller in it: they reach each other and nobody else.
     pub(super) isolated_zone: Option<(String, usize)>,
     /// Of a hundred heartbeats so many come once more, up to so many milliseconds late.
@@ -34,7 +34,7 @@
     /// they were answered.
     pub duplicate_requests: (u64, u64),
     /// Zones that are cut off, whatever is rented there.
-    pub(super) cut_zones: BTreeSet<String>,
+    pub(super) partitioned_zones: BTreeSet<String>,
 }
 
 impl Faults {
@@ -55,15 +55,15 @@
     }
 
     /// Cuts a machine off: what it sends and what is sent to it waits until it is healed.
-    pub fn cut_machine(&mut self, machine: u64) {
+    pub fn partition_machine(&mut self, machine: u64) {
         if let Some(w) = self.workers.get_mut(&machine) {
-            w.is_cut = true;
+            w.is_partitioned = true;
         }
     }
 
     /// Cuts a machine off for so many milliseconds.
-    pub fn cut_machine_for(&mut self, machine: u64, ms: u64) {
-        self.cut_machine(machine);
+    pub fn partition_machine_for(&mut self, machine: u64, ms: u64) {
+        self.partition_machine(machine);
         self.schedule(ms, Event::HealMachine(machine));
     }
 
@@ -73,7 +73,7 @@
         self.faults.outbound_lost.remove(&machine);
         self.faults.commands_held.remove(&machine);
         if let Some(w) = self.workers.get_mut(&machine) {
-            w.is_cut = false;
+            w.is_partitioned = false;
         }
         for event in self.faults.held_events.remove(&machine).unwrap_or_default() {
             self.schedule(1, event);
@@ -112,22 +112,22 @@
 /// Zones and controllers.
 impl Simulation {
     /// Cuts a zone off, with all that is rented there later.
-    pub fn cut_zone(&mut self, zone: &str) {
-        self.faults.cut_zones.insert(zone.to_string());
-        self.workers.values_mut().filter(|w| w.zone == zone).for_each(|w| w.is_cut = true);
+    pub fn partition_zone(&mut self, zone: &str) {
+        self.faults.partitioned_zones.insert(zone.to_string());
+        self.workers.values_mut().filter(|w| w.zone == zone).for_each(|w| w.is_partitioned = true);
     }
 
     /// Ends a zone's cut.
     pub fn heal_zone(&mut self, zone: &str) {
-        self.faults.cut_zones.remove(zone);
+        self.faults.partitioned_zones.remove(zone);
         let within: Vec<u64> = self.workers.iter().filter(|(_, w)| w.zone == zone).map(|(id, _)| *id).collect();
         within.into_iter().for_each(|id| self.heal_machine(id));
     }
 
     /// Cuts a controller off from the state service and the other controllers; its workers and users reach it.
-    pub fn isolate(&mut self, node: usize) {
+    pub fn isolate_controller(&mut self, node: usize) {
         if self.faults.isolated.insert(node) {
-            self.store.refused_nodes.insert(node);
+            self.store.unavailable_to_nodes.insert(node);
             self.change_links(node, false, 5);
         }
     }
@@ -135,16 +135,16 @@
     /// Cuts a zone off, with this controller in it.
     pub fn isolate_zone(&mut self, zone: &str, node: usize) {
         if self.faults.isolated.is_empty() {
-            self.isolate(node);
+            self.isolate_controller(node);
             self.faults.isolated_zone = Some((zone.to_string(), node));
         }
     }
 
     /// Ends the isolation of all controllers and zones.
-    pub fn reconnect(&mut self) {
+    pub fn end_isolation(&mut self) {
         self.faults.isolated_zone = None;
         for node in std::mem::take(&mut self.faults.isolated) {
-            self.store.refused_nodes.remove(&node);
+            self.store.unavailable_to_nodes.remove(&node);
             self.change_links(node, true, 30);
         }
     }
@@ -155,7 +155,8 @@
             let in_zone = self.workers.get(&machine).is_some_and(|w| w.zone == *zone);
             in_zone == (*inside == node)
         };
-        !self.faults.cut_from_workers.contains(&node) && self.faults.isolated_zone.as_ref().is_none_or(same_side)
+        !self.faults.partitioned_from_workers.contains(&node)
+            && self.faults.isolated_zone.as_ref().is_none_or(same_side)
     }
 
     /// How much later a request is carried out once more, if it is.
@@ -167,24 +168,24 @@
     /// Ends every fault, whatever it is, and starts the controllers that are down.
     pub fn end_all_faults(&mut self) {
         self.store.down = false;
-        self.store.lost_answers = 0;
-        self.store.writes_left = None;
-        self.store.refused_nodes.clear();
+        self.store.lost_responses = 0;
+        self.store.transactions_until_outage = None;
+        self.store.unavailable_to_nodes.clear();
         self.cloud.unavailable = false;
         self.faults.outbound_lost.clear();
-        self.faults.unanswered_writes = (0, false);
+        self.faults.writes_without_response = (0, false);
         self.faults.store_delay_ms = 0;
-        self.faults.heartbeats_kept_percent = 0;
+        self.faults.replayed_heartbeats_percent = 0;
         self.faults.duplicate_heartbeats = (0, 0);
         self.faults.duplicate_requests = (0, 0);
-        self.faults.cut_from_workers.clear();
-        self.reconnect();
-        (0..self.site.nodes).for_each(|n| self.start(n));
+        self.faults.partitioned_from_workers.clear();
+        self.end_isolation();
+        (0..self.site.nodes).for_each(|n| self.start_controller(n));
         let machines: Vec<u64> = self.workers.keys().copied().collect();
         for machine in machines {
             self.heal_machine(machine);
             self.resume_machine(machine);
         }
-        self.rules.faults_ended_at = Some(self.now);
+        self.invariants.faults_ended_at = Some(self.now);
     }
 }
--- a/tests/support/gangs.rs
+++ b/tests/support/gangs.rs
@@ -117,7 +117,7 @@
         self.gangs.gathered.insert((job.clone(), attempt));
         let members = self.members(&job, attempt, TaskState::AwaitingGang);
         self.send_heartbeat_soon(machine);
-        if (members.len() as u64) < self.jobs[&job].pieces() {
+        if (members.len() as u64) < self.jobs[&job].task_count() {
             return;
         }
         let gang = self.gangs.attempts.entry((job.clone(), attempt)).or_default();
@@ -152,7 +152,7 @@
     /// The gang has run as long as it takes: all tasks are done if all ran to the end.
     pub(super) fn gang_done(&mut self, job: &str, attempt: u64) {
         let members = self.members(job, attempt, TaskState::Running);
-        let pieces = self.jobs[job].pieces();
+        let pieces = self.jobs[job].task_count();
         let gang = self.gangs.attempts.entry((job.to_string(), attempt)).or_default();
         if gang.over || gang.broken.is_some() || gang.first_kill.is_some() || (members.len() as u64) < pieces {
             return;
@@ -212,7 +212,7 @@
             return;
         }
         let (now, job) = (self.now, job_of(&key.1).to_string());
-        let pieces = self.jobs[&job].pieces();
+        let pieces = self.jobs[&job].task_count();
         let gang = self.gangs.attempts.entry((job.clone(), key.0)).or_default();
         if gang.broken.is_some() {
             return self.exit(machine, key, "peers", false);
@@ -240,7 +240,7 @@
         for (job, attempt) in attempts {
             let running = self.members(&job, attempt, TaskState::Running);
             let saving = self.members(&job, attempt, TaskState::Checkpointing);
-            let (pieces, delay) = (self.jobs[&job].pieces(), self.random_below(self.site.gang_peer_ms));
+            let (pieces, delay) = (self.jobs[&job].task_count(), self.random_below(self.site.gang_peer_ms));
             let (every, peer_ms) = (self.milliseconds(&job, "BookmarkS"), self.site.gang_peer_ms);
             let Some(gang) = self.gangs.attempts.get_mut(&(job.clone(), attempt)) else { continue };
             let missing = (running.len() + saving.len()) < pieces as usize;
--- a/tests/support/leader_harness.rs
+++ b/tests/support/leader_harness.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 /// Tasks on each machine.
-pub const TASKS: u64 = 16;
+pub const TASKS_PER_MACHINE: u64 = 16;
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
 fn settings() -> Settings {
@@ -27,8 +27,8 @@
     Settings::parse(text).expect("the sample is valid")
 }
 
-pub fn job(id: u64) -> Vec<u8> {
-    json!({"Ref": format!("job-{id:06}"), "Lane": "render", "Crew": "crew", "Shape": "batch", "Rank": "standard", "Pieces": TASKS,
+pub fn submission(id: u64) -> Vec<u8> {
+    json!({"Ref": format!("job-{id:06}"), "Lane": "render", "Crew": "crew", "Shape": "batch", "Rank": "standard", "Pieces": TASKS_PER_MACHINE,
         "Cores": 2.0, "Cards": 0.0, "MemoryGb": 6.0, "Reel": format!("img-{}", id % 10), "ImageGb": 1.0, "Together": false,
         "Spread": false, "Loaners": true, "RuntimeS": 40.0, "BookmarkS": 0.0, "StashS": 0.0})
     .to_string()
@@ -36,7 +36,7 @@
 }
 
 /// What an earlier leader left: machines, and jobs whose tasks run on them.
-pub fn log(machines: u64) -> Vec<Value> {
+pub fn log_entries(machines: u64) -> Vec<Value> {
     let record = |id| MachineRecord {
         id: MachineId(id),
         endpoint: "10.0.0.1:1".into(),
@@ -46,16 +46,17 @@
         provisioned_at: WallClock::default(),
     };
     let enrolled = (1..=machines).map(|id| LogRecord::MachineRegistered(record(id)));
-    let jobs = (1..=machines)
-        .map(|id| LogRecord::JobAccepted(parse_submission(&job(id), WallClock::default()).expect("a valid job")));
+    let jobs = (1..=machines).map(|id| {
+        LogRecord::JobAccepted(parse_submission(&submission(id), WallClock::default()).expect("a valid job"))
+    });
     let facts: Vec<Value> = enrolled.chain(jobs).map(|r| serde_json::to_value(r).expect("JSON")).collect();
     facts.chunks(40).map(|part| part.to_vec().into()).collect()
 }
 
 /// A worker with its machine full of one job's tasks.
-pub fn report(id: u64, seq: u64, token: u64) -> Heartbeat {
-    let tasks: Vec<Value> = (0..TASKS)
-        .map(|n| json!({"Piece": format!("job-{id:06}/{n}"), "Try": id * TASKS + n + 1, "Status": "running"}))
+pub fn heartbeat(id: u64, seq: u64, token: u64) -> Heartbeat {
+    let tasks: Vec<Value> = (0..TASKS_PER_MACHINE)
+        .map(|n| json!({"Piece": format!("job-{id:06}/{n}"), "Try": id * TASKS_PER_MACHINE + n + 1, "Status": "running"}))
         .collect();
     serde_json::from_value(json!({"Host": MachineId(id).to_string(), "Endpoint": "10.0.0.1:1", "Build": "big",
         "Yard": ZONES[(id % 4) as usize], "Loaners": true, "Shift": 1, "Tally": seq, "Baton": token, "Pieces": tasks}))
@@ -74,13 +75,13 @@
     }
 
     /// Time passes, then an input and all that comes of it.
-    pub fn later(&mut self, milliseconds: u64, input: Input) {
+    pub fn handle_after(&mut self, milliseconds: u64, input: Input) {
         self.now = self.now + Duration::from_millis(milliseconds);
-        self.feed(input);
+        self.handle(input);
     }
 
     /// Feeds an input and, at once, the answers to all that the node asks for.
-    pub fn feed(&mut self, input: Input) {
+    pub fn handle(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for effect in self.node.handle(self.now, WallClock::from_millis(self.now.as_millis()), input) {
@@ -115,7 +116,7 @@
                 Some(Input::CloudResponse(token, id, reply(200, body)))
             }
             Effect::SendCommands { token, machine, id, .. } => {
-                let body = serde_json::to_vec(&report(machine.0, 1, token)).expect("JSON");
+                let body = serde_json::to_vec(&heartbeat(machine.0, 1, token)).expect("JSON");
                 Some(Input::CommandResponse(token, machine, id, ServiceResponse { status: 200, body: body.into() }))
             }
             _ => None,
@@ -125,7 +126,7 @@
     /// From nothing to a leader that knows every machine.
     pub fn elect(&mut self) {
         while !self.node.leader().is_some_and(|r| r.is_loaded() && r.all_machines_fenced()) {
-            self.later(50, Input::Tick);
+            self.handle_after(50, Input::Tick);
         }
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -26,7 +26,7 @@
 #[allow(unused_imports)] // Each test uses some of them.
 pub use site::{Site, name, settings, zone_of};
 #[allow(unused_imports)]
-pub use store::{StoreStandIn, store_request};
+pub use store::{FakeStore, store_request};
 #[allow(unused_imports)]
 pub use users::UserJob;
 
@@ -39,13 +39,13 @@
 use caperstile::wire::{
     CommandBatch, CompareAndSwap, Heartbeat, HeartbeatResponse, StoreWrite, TaskState, TaskStatus, WorkerCommand,
 };
-use cloud::CloudStandIn;
+use cloud::FakeCloud;
 use controllers::Controllers;
 use events::{Event, EventQueue, SeededRandom};
 use faults::Faults;
 use gangs::GangHistory;
 use requests::{RequestTable, Requester};
-use rules::{RuleChecks, StartingTask};
+use rules::{InvariantChecks, StartingTask};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use users::Users;
@@ -72,8 +72,8 @@
     random: SeededRandom,
     pub site: Site,
     pub controllers: Controllers,
-    pub store: StoreStandIn,
-    pub cloud: CloudStandIn,
+    pub store: FakeStore,
+    pub cloud: FakeCloud,
     /// Rented machines with their workers.
     pub workers: BTreeMap<u64, Worker>,
     pub tasks: TaskHistory,
@@ -83,13 +83,13 @@
     pub users: Users,
     pub requests: RequestTable,
     pub faults: Faults,
-    pub rules: RuleChecks,
+    pub invariants: InvariantChecks,
     /// Rules that were broken, with the time.
-    pub broken_rules: Vec<String>,
+    pub violations: Vec<String>,
     /// What was stopped by command, and how much of it was out at once.
     pub disruption: drains::Disruption,
     /// What controllers decided by their admission tables.
-    pub decisions: admission::Decisions,
+    pub decisions: admission::AdmissionDecisions,
     /// What the controllers asked to have done, if it is to be compared with another version.
     pub effect_log: Option<effect_log::EffectLog>,
 }
@@ -97,18 +97,18 @@
 impl Simulation {
     /// A small deployment; the seed says how its random delays fall out.
     pub fn new(seed: u64) -> Simulation {
-        Simulation::at(Site::small(), seed)
+        Simulation::with_site(Site::small(), seed)
     }
 
     /// A deployment of this size, whose controllers start now.
-    pub fn at(site: Site, seed: u64) -> Simulation {
+    pub fn with_site(site: Site, seed: u64) -> Simulation {
         let mut sim = Simulation {
             now: 1000,
             events: EventQueue::default(),
             random: SeededRandom::new(seed),
             controllers: Controllers::down(site.nodes),
-            store: StoreStandIn::with_limits(site.page, (site.value_kb * 1024.0) as usize),
-            cloud: CloudStandIn::with_capacity(&site),
+            store: FakeStore::with_limits(site.page, (site.value_kb * 1024.0) as usize),
+            cloud: FakeCloud::with_capacity(&site),
             workers: BTreeMap::new(),
             tasks: TaskHistory::default(),
             gangs: GangHistory::default(),
@@ -116,15 +116,15 @@
             users: Users::default(),
             requests: RequestTable::default(),
             faults: Faults::default(),
-            rules: RuleChecks::default(),
-            broken_rules: Vec::new(),
+            invariants: InvariantChecks::default(),
+            violations: Vec::new(),
             disruption: drains::Disruption::default(),
-            decisions: admission::Decisions::default(),
+            decisions: admission::AdmissionDecisions::default(),
             effect_log: None,
             site,
         };
         for node in 0..sim.site.nodes {
-            sim.start(node);
+            sim.start_controller(node);
         }
         sim
     }
--- a/tests/support/old_node.rs
+++ b/tests/support/old_node.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a controller of the version in production (fab6b36), with its real formats: how it contends for the leader key, what
 //! it writes into the log, and what it does on something that it does not know. It answers no workers and no users.
 
-use super::StoreStandIn;
+use super::FakeStore;
 use caperstile::store::StoreRequest;
 use caperstile::types::{Duration, LeaseId};
 use caperstile::wire::{CompareAndSwap, KeyPage, RevisionCondition, StoreWrite};
@@ -74,7 +74,7 @@
 }
 
 /// What the version in production would misread or lose of a value of the log or a snapshot.
-pub fn misread(key: &str, value: &Value) -> Option<String> {
+pub fn incompatibility(key: &str, value: &Value) -> Option<String> {
     if !(key.starts_with("log/") || key.starts_with("snap/")) || key == "snap/manifest" {
         return None;
     }
@@ -103,9 +103,9 @@
     /// How often it was elected.
     pub elections: u32,
     /// What it could not read when it was elected.
-    pub misread: Vec<String>,
+    pub incompatible_entries: Vec<String>,
     /// Whether its last look at the key found something that it cannot read.
-    pub puzzled: bool,
+    pub leader_key_unreadable: bool,
 }
 
 impl OldNode {
@@ -120,12 +120,12 @@
             jobs: 0,
             accepted: Vec::new(),
             elections: 0,
-            misread: Vec::new(),
-            puzzled: false,
+            incompatible_entries: Vec::new(),
+            leader_key_unreadable: false,
         }
     }
 
-    pub fn tick(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
+    pub fn tick(&mut self, now: u64, node: usize, store: &mut FakeStore) {
         if now >= self.next {
             match self.token {
                 Some(_) => self.renew(now, node, store),
@@ -138,10 +138,10 @@
         }
     }
 
-    fn look(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
+    fn look(&mut self, now: u64, node: usize, store: &mut FakeStore) {
         self.next = now + LOOK_EVERY_MS;
         let (status, body) = store.handle(now, node, &StoreRequest::Get("leader".into()));
-        self.puzzled = status == 200 && serde_json::from_value::<OldHolder>(body["V"].clone()).is_err();
+        self.leader_key_unreadable = status == 200 && serde_json::from_value::<OldHolder>(body["V"].clone()).is_err();
         let replaces = match status {
             404 => 0,
             200 if body["V"]["node"] == self.name.as_str() => body["Stamp"].as_u64().expect("a revision"),
@@ -161,11 +161,12 @@
             self.elections += 1;
             self.next = now + RENEW_EVERY_MS;
             self.next_write = now + WRITE_EVERY_MS;
-            self.misread.extend(store.keys.iter().filter_map(|(key, value)| misread(key, &value.0)));
+            self.incompatible_entries
+                .extend(store.keys.iter().filter_map(|(key, value)| incompatibility(key, &value.0)));
         }
     }
 
-    fn renew(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
+    fn renew(&mut self, now: u64, node: usize, store: &mut FakeStore) {
         self.next = now + RENEW_EVERY_MS;
         let lease = LeaseId(self.lease.unwrap_or_default());
         let (status, _) = store.handle(now, node, &StoreRequest::RenewLease(lease));
@@ -175,7 +176,7 @@
     }
 
     /// Accepts a job, as a leader does: the next entry of the log, on condition that it leads.
-    fn accept(&mut self, now: u64, node: usize, store: &mut StoreStandIn) {
+    fn accept(&mut self, now: u64, node: usize, store: &mut FakeStore) {
         let Some(token) = self.token else { return };
         let page = store.handle(now, node, &StoreRequest::Scan { prefix: "log/".into(), after: None }).1;
         let Ok(_) = serde_json::from_value::<KeyPage>(page) else { return };
--- a/tests/support/process_harness.rs
+++ b/tests/support/process_harness.rs
@@ -1,7 +1,7 @@
 //! Real processes on loopback: controllers, and stand-ins for the state service, the cloud and the workers, which record from their
 //! side what was stopped by command and does not run again yet.
 
-use super::{StoreStandIn, store_request};
+use super::{FakeStore, store_request};
 use caperstile::wire::{CommandBatch, HeartbeatResponse, ScaleOutRequest, WorkerCommand};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,49 +52,49 @@
 
 /// What the stand-ins know and record.
 #[derive(Default)]
-pub struct StandIns {
-    store: StoreStandIn,
-    pub loads: BTreeMap<String, JobProfile>,
+pub struct FakeServices {
+    store: FakeStore,
+    pub jobs: BTreeMap<String, JobProfile>,
     machines: BTreeMap<u64, Machine>,
     rented: u64,
     /// Machines that the cloud has, if they are few.
-    pub most_machines: Option<usize>,
+    pub max_machines: Option<usize>,
     finished: BTreeSet<String>,
     out: BTreeMap<String, &'static str>,
     /// Most that was out at once, by class.
-    pub highest: BTreeMap<&'static str, usize>,
+    pub peak_unavailable: BTreeMap<&'static str, usize>,
     pub evictions: BTreeMap<&'static str, usize>,
     /// Tasks that ran on two machines at once, and other broken promises.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
-impl StandIns {
+impl FakeServices {
     fn runs(&self, task: &str) -> usize {
         let on = |m: &Machine| m.tasks.iter().filter(|((_, name), t)| name == task && t.state == "running").count();
         self.machines.values().map(on).sum()
     }
 
     /// Tasks of a job that run.
-    pub fn running(&self, job: &str) -> usize {
+    pub fn running_tasks(&self, job: &str) -> usize {
         let tasks = self.machines.values().flat_map(|m| &m.tasks);
         tasks.filter(|((_, name), t)| job_of(name) == job && t.state == "running").count()
     }
 
     fn machines_left(&self) -> usize {
-        self.most_machines.map_or(u32::MAX as usize, |most| most.saturating_sub(self.machines.len()))
+        self.max_machines.map_or(u32::MAX as usize, |most| most.saturating_sub(self.machines.len()))
     }
 
     /// Machines that are up.
-    pub fn machines(&self) -> Vec<u64> {
+    pub fn machine_ids(&self) -> Vec<u64> {
         self.machines.keys().copied().collect()
     }
 
     /// Cuts a machine off, or ends its cut.
-    pub fn cut(&mut self, machine: u64, cut: bool) {
+    pub fn set_partitioned(&mut self, machine: u64, cut: bool) {
         if let Some(m) = self.machines.get_mut(&machine) {
             m.cut = cut;
         }
@@ -109,16 +109,16 @@
     fn starts(&mut self, task: &str) {
         self.out.remove(task);
         if self.runs(task) > 1 {
-            self.broken.push(format!("{task} runs twice"));
+            self.violations.push(format!("{task} runs twice"));
         }
     }
 
     fn evicted(&mut self, task: &str) {
-        let Some(load) = self.loads.get(job_of(task)) else { return };
+        let Some(load) = self.jobs.get(job_of(task)) else { return };
         *self.evictions.entry(load.class).or_default() += 1;
         self.out.insert(task.to_string(), load.class);
         let out = self.out.values().filter(|class| **class == load.class).count();
-        let highest = self.highest.entry(load.class).or_default();
+        let highest = self.peak_unavailable.entry(load.class).or_default();
         *highest = (*highest).max(out);
     }
 
@@ -131,7 +131,7 @@
         }
         let due: Vec<(u64, String)> = m.tasks.keys().cloned().collect();
         for key in due {
-            let load = self.loads[job_of(&key.1)].clone();
+            let load = self.jobs[job_of(&key.1)].clone();
             let Some(task) = self.machines.get_mut(&id).and_then(|m| m.tasks.get_mut(&key)) else { continue };
             match task.state {
                 "fetching" if now >= task.since + FETCH_MS => {
@@ -222,7 +222,7 @@
 
 /// One running deployment.
 pub struct ProcessHarness {
-    pub stand_ins: Arc<Mutex<StandIns>>,
+    pub fake_services: Arc<Mutex<FakeServices>>,
     begin: Instant,
     api: Vec<SocketAddr>,
     children: Vec<Option<Child>>,
@@ -295,7 +295,7 @@
 impl ProcessHarness {
     /// Starts everything; `operators` is the operators' file.
     pub fn start(name: &str, operators: &str) -> ProcessHarness {
-        let stand_ins = Arc::new(Mutex::new(StandIns::default()));
+        let fake_services = Arc::new(Mutex::new(FakeServices::default()));
         let begin = Instant::now();
         let ((state_listener, state), (cloud_listener, cloud)) = (listen(), listen());
         // Addresses are taken together, so that none is handed out twice, and then released.
@@ -307,14 +307,14 @@
         std::fs::write(&operators_file, operators).expect("a file");
         let files = (0..CONTROLLERS).map(|n| dir.join(format!("{name}-{n}.toml"))).collect();
         let mut harness = ProcessHarness {
-            stand_ins,
+            fake_services,
             begin,
             api: addresses[..CONTROLLERS].to_vec(),
             children: (0..CONTROLLERS).map(|_| None).collect(),
             files,
             operators: operators_file,
         };
-        harness.stand_ins().store.value_bytes = 8 * 1024;
+        harness.fake_services().store.value_bytes = 8 * 1024;
         harness.serve_state(state_listener);
         harness.serve_cloud(cloud_listener);
         for node in 0..CONTROLLERS {
@@ -324,8 +324,8 @@
         harness
     }
 
-    pub fn stand_ins(&self) -> MutexGuard<'_, StandIns> {
-        self.stand_ins.lock().expect("no thread panics with it")
+    pub fn fake_services(&self) -> MutexGuard<'_, FakeServices> {
+        self.fake_services.lock().expect("no thread panics with it")
     }
 
     fn write_settings(&self, node: usize, addresses: &[SocketAddr], state: SocketAddr, cloud: SocketAddr) {
@@ -362,17 +362,17 @@
     }
 
     fn serve_state(&self, listener: TcpListener) {
-        let (stand_ins, begin) = (self.stand_ins.clone(), self.begin);
+        let (fake_services, begin) = (self.fake_services.clone(), self.begin);
         serve(listener, move |_, path, body| {
             let (path, query) = path.split_once('?').unwrap_or((path, ""));
             let now = begin.elapsed().as_millis() as u64;
-            let mut stand_ins = stand_ins.lock().ok()?;
-            Some(stand_ins.store.handle(now, 0, &store_request(path, query, body)))
+            let mut fake_services = fake_services.lock().ok()?;
+            Some(fake_services.store.handle(now, 0, &store_request(path, query, body)))
         });
     }
 
     fn serve_cloud(&self, listener: TcpListener) {
-        let (stand_ins, begin, api) = (self.stand_ins.clone(), self.begin, self.api.clone());
+        let (fake_services, begin, api) = (self.fake_services.clone(), self.begin, self.api.clone());
         serve(listener, move |method, path, body| {
             let now = begin.elapsed().as_millis() as u64;
             match (method, path.split('?').next().unwrap_or_default()) {
@@ -383,32 +383,32 @@
                 )),
                 ("POST", "/hosts") => {
                     let request: ScaleOutRequest = serde_json::from_slice(body).ok()?;
-                    let left = stand_ins.lock().ok()?.machines_left();
+                    let left = fake_services.lock().ok()?.machines_left();
                     if left == 0 {
                         return Some((503, json!({"error": "no capacity"})));
                     }
                     let ids: Vec<u64> = (0..request.count.min(left as u32))
-                        .map(|_| rent(&stand_ins, begin, &api, &request, now))
+                        .map(|_| rent(&fake_services, begin, &api, &request, now))
                         .collect();
                     let names: Vec<String> = ids.iter().map(|id| format!("m-{id:06}")).collect();
                     Some((200, json!({"Hosts": names})))
                 }
                 ("POST", _) => {
                     let names: Value = serde_json::from_slice(body).ok()?;
-                    let mut stand_ins = stand_ins.lock().ok()?;
+                    let mut fake_services = fake_services.lock().ok()?;
                     for name in names["Hosts"].as_array()?.iter().filter_map(Value::as_str) {
                         let id: u64 = name.strip_prefix("m-")?.parse().ok()?;
-                        let m = stand_ins.machines.remove(&id);
+                        let m = fake_services.machines.remove(&id);
                         let busy = m.iter().flat_map(|m| &m.tasks).any(|(_, t)| t.state == "running");
                         if busy {
-                            stand_ins.broken.push(format!("{name} was returned with tasks on it"));
+                            fake_services.violations.push(format!("{name} was returned with tasks on it"));
                         }
                     }
                     Some((200, json!({})))
                 }
                 _ => {
-                    let stand_ins = stand_ins.lock().ok()?;
-                    let hosts = stand_ins.machines.iter().map(|(id, m)| {
+                    let fake_services = fake_services.lock().ok()?;
+                    let hosts = fake_services.machines.iter().map(|(id, m)| {
                         json!({"Ref": format!("m-{id:06}"), "Build": "small", "Yard": m.zone, "Loaners": m.spot,
                             "Status": "running", "AgeS": 1.0})
                     });
@@ -420,14 +420,15 @@
 
     /// Submits a job until it is accepted.
     pub fn submit(&self, id: &str, load: JobProfile, cores: f64) {
-        self.until("an accepted job", || {
-            (0..CONTROLLERS).find(|node| self.offer(*node, id, load.clone(), cores).is_some_and(|status| status < 202))
+        self.wait_until("an accepted job", || {
+            (0..CONTROLLERS)
+                .find(|node| self.try_submit(*node, id, load.clone(), cores).is_some_and(|status| status < 202))
         });
     }
 
     /// Submits a job once, at this node; the status of the answer.
-    pub fn offer(&self, node: usize, id: &str, load: JobProfile, cores: f64) -> Option<u16> {
-        self.stand_ins().loads.insert(id.to_string(), load.clone());
+    pub fn try_submit(&self, node: usize, id: &str, load: JobProfile, cores: f64) -> Option<u16> {
+        self.fake_services().jobs.insert(id.to_string(), load.clone());
         let rank = if load.shape == "standing" { "prod" } else { "standard" };
         let run = if load.shape == "standing" { 0.0 } else { load.run_ms as f64 / 1000.0 };
         let saves = if load.shape == "group" { 1.0 } else { 0.0 };
@@ -438,7 +439,7 @@
     }
 
     /// Runs `caperstile drain` with these arguments; exit code and what it wrote.
-    pub fn drain(&self, arguments: &[&str]) -> (i32, Value) {
+    pub fn run_drain_command(&self, arguments: &[&str]) -> (i32, Value) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_caperstile"));
         command.arg("drain").args(arguments).arg("--json").arg("--config").arg(&self.files[0]).stdin(Stdio::null());
         let Output { status, stdout, .. } = command.output().expect("the program runs");
@@ -454,12 +455,12 @@
     }
 
     /// How a drain stands.
-    pub fn status(&self, name: &str) -> Value {
-        self.drain(&["status", name]).1["drains"][0]["status"].clone()
+    pub fn drain_status(&self, name: &str) -> Value {
+        self.run_drain_command(&["status", name]).1["drains"][0]["status"].clone()
     }
 
     /// Waits for something, with a generous limit.
-    pub fn until<T>(&self, what: &str, mut check: impl FnMut() -> Option<T>) -> T {
+    pub fn wait_until<T>(&self, what: &str, mut check: impl FnMut() -> Option<T>) -> T {
         let start = Instant::now();
         while start.elapsed() < Duration::from_secs(150) {
             if let Some(found) = check() {
@@ -479,7 +480,7 @@
 
 /// Rents a machine: its worker listens, and reports once it is up.
 fn rent(
-    stand_ins: &Arc<Mutex<StandIns>>,
+    fake_services: &Arc<Mutex<FakeServices>>,
     begin: Instant,
     api: &[SocketAddr],
     request: &ScaleOutRequest,
@@ -488,9 +489,9 @@
     const BOOT_MS: u64 = 1000;
     let (listener, endpoint) = listen();
     let id = {
-        let mut stand_ins = stand_ins.lock().expect("no thread panics with it");
-        stand_ins.rented += 1;
-        let id = stand_ins.rented;
+        let mut fake_services = fake_services.lock().expect("no thread panics with it");
+        fake_services.rented += 1;
+        let id = fake_services.rented;
         let machine = Machine {
             zone: request.zone.clone(),
             spot: request.spot,
@@ -503,49 +504,49 @@
             cut: false,
             tasks: BTreeMap::new(),
         };
-        stand_ins.machines.insert(id, machine);
+        fake_services.machines.insert(id, machine);
         id
     };
-    let commanded = stand_ins.clone();
+    let commanded = fake_services.clone();
     serve(listener, move |_, path, body| {
         let now = begin.elapsed().as_millis() as u64;
-        let mut stand_ins = commanded.lock().ok()?;
+        let mut fake_services = commanded.lock().ok()?;
         if path == "/commands" {
-            stand_ins.commanded(id, body, now)
+            fake_services.commanded(id, body, now)
         } else {
-            stand_ins.report(id).map(|report| (200, report))
+            fake_services.report(id).map(|report| (200, report))
         }
     });
-    let (stand_ins, api) = (stand_ins.clone(), api.to_vec());
-    std::thread::spawn(move || work(&stand_ins, begin, &api, id));
+    let (fake_services, api) = (fake_services.clone(), api.to_vec());
+    std::thread::spawn(move || work(&fake_services, begin, &api, id));
     id
 }
 
 /// A worker's life: time passes, it reports, and does what the answer says.
-fn work(stand_ins: &Mutex<StandIns>, begin: Instant, api: &[SocketAddr], id: u64) {
+fn work(fake_services: &Mutex<FakeServices>, begin: Instant, api: &[SocketAddr], id: u64) {
     let mut node = 0;
     loop {
         std::thread::sleep(REPORT_EVERY);
         let now = begin.elapsed().as_millis() as u64;
         let report = {
-            let mut stand_ins = stand_ins.lock().expect("no thread panics with it");
-            let Some(machine) = stand_ins.machines.get(&id) else { return };
+            let mut fake_services = fake_services.lock().expect("no thread panics with it");
+            let Some(machine) = fake_services.machines.get(&id) else { return };
             if now < machine.boots_at {
                 continue;
             }
             let cut = machine.cut;
-            stand_ins.advance(id, now);
-            if cut { None } else { stand_ins.report(id) }
+            fake_services.advance(id, now);
+            if cut { None } else { fake_services.report(id) }
         };
         let Some(report) = report else { continue };
         match ask(api[node], "POST", "/v1/report", &report.to_string()) {
             Some((200, body)) => {
                 let Ok(answer) = serde_json::from_str::<HeartbeatResponse>(&body) else { continue };
-                let mut stand_ins = stand_ins.lock().expect("no thread panics with it");
-                let Some(machine) = stand_ins.machines.get_mut(&id) else { return };
+                let mut fake_services = fake_services.lock().expect("no thread panics with it");
+                let Some(machine) = fake_services.machines.get_mut(&id) else { return };
                 if answer.fencing_token >= machine.token && !machine.cut && report["Shift"] == machine.epoch {
                     (machine.token, machine.renewed) = (answer.fencing_token, now);
-                    stand_ins.execute(id, &answer.commands, now);
+                    fake_services.execute(id, &answer.commands, now);
                 }
             }
             _ => node = (node + 1) % CONTROLLERS,
--- a/tests/support/rules.rs
+++ b/tests/support/rules.rs
@@ -11,7 +11,7 @@
 
 /// What the checks remember.
 #[derive(Debug, Default)]
-pub struct RuleChecks {
+pub struct InvariantChecks {
     checked_at: u64,
     /// Since when each job has had a task that waits while a machine that fits has room.
     passed_over_since: BTreeMap<String, u64>,
@@ -19,7 +19,7 @@
     /// Cancelled tasks that were found running too late: each is told once.
     ran_too_long: BTreeSet<String>,
     /// Whether a machine that was released must not be registered again.
-    pub check_registrations: bool,
+    pub check_reregistrations: bool,
     /// When the last fault was over, if it is.
     pub(super) faults_ended_at: Option<u64>,
 }
@@ -36,10 +36,10 @@
 impl Simulation {
     /// Checks the rules that hold at every moment, ten times a second.
     pub(super) fn check_rules(&mut self) {
-        if self.now < self.rules.checked_at + 100 {
+        if self.now < self.invariants.checked_at + 100 {
             return;
         }
-        self.rules.checked_at = self.now;
+        self.invariants.checked_at = self.now;
         self.check_waiting();
         self.check_gangs();
         self.check_cancelled();
@@ -56,8 +56,8 @@
             for t in w.tasks.values().filter(|t| on_machine(t.state)) {
                 let job = &self.jobs[job_of(&t.task)];
                 let too_late = job.cancelled_at.is_some_and(|at| now > at + cancel_ms);
-                if too_late && self.rules.ran_too_long.insert(t.task.clone()) {
-                    self.broken_rules.push(format!("{now} ran_cancelled: {}", t.task));
+                if too_late && self.invariants.ran_too_long.insert(t.task.clone()) {
+                    self.violations.push(format!("{now} ran_cancelled: {}", t.task));
                 }
             }
         }
@@ -66,33 +66,33 @@
     /// Faults over, no task may wait for 90 s while a machine that fits has room and its team is under its limit.
     /// Looked at from outside: by what is on the workers.
     fn check_waiting(&mut self) {
-        let Some(faults_ended_at) = self.rules.faults_ended_at else { return };
-        if self.now < self.rules.waiting_checked_at + 1000 {
+        let Some(faults_ended_at) = self.invariants.faults_ended_at else { return };
+        if self.now < self.invariants.waiting_checked_at + 1000 {
             return;
         }
-        self.rules.waiting_checked_at = self.now;
+        self.invariants.waiting_checked_at = self.now;
         let held: Vec<String> = self.workers.values().flat_map(Worker::unfinished_tasks).collect();
         let of_small_team = |task: &&String| self.jobs[job_of(task)].spec["Crew"] == "small";
         let small: f64 = held.iter().filter(of_small_team).map(|t| self.cores_of(t)).sum();
         let mut passed_over = BTreeMap::new();
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.accepted && !j.cancelling && j.over_at.is_none()) {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.accepted && !j.cancelling && j.ended_at.is_none()) {
             let waits = |i: &u64| {
                 let task = format!("{id}/{i}");
                 !self.tasks.finished.contains(&task) && !held.contains(&task)
             };
             let over_limit = job.spec["Crew"] == "small" && small + job.cores() > SMALL_TEAM_CORES;
-            if !(0..job.pieces()).any(|i| waits(&i)) || over_limit {
+            if !(0..job.task_count()).any(|i| waits(&i)) || over_limit {
                 continue;
             }
             if self.workers.values().any(|w| self.has_room_for(w, job)) {
-                let since = self.rules.passed_over_since.get(id).copied().unwrap_or(self.now).max(faults_ended_at);
+                let since = self.invariants.passed_over_since.get(id).copied().unwrap_or(self.now).max(faults_ended_at);
                 if self.now > since + MAX_WAIT_MS {
-                    self.broken_rules.push(format!("{} waits: {id} although a machine has room", self.now));
+                    self.violations.push(format!("{} waits: {id} although a machine has room", self.now));
                 }
                 passed_over.insert(id.clone(), since);
             }
         }
-        self.rules.passed_over_since = passed_over;
+        self.invariants.passed_over_since = passed_over;
     }
 
     fn cores_of(&self, task: &str) -> f64 {
@@ -114,9 +114,9 @@
     /// No job may go without any answer for 75 s once all faults have ended.
     pub(super) fn check_answered(&mut self, id: &str) {
         let job = &self.jobs[id];
-        let since = self.rules.faults_ended_at.map(|at| at.max(job.answered_at).max(job.accepted_at));
+        let since = self.invariants.faults_ended_at.map(|at| at.max(job.status_received_at).max(job.accepted_at));
         if job.accepted && since.is_some_and(|at| self.now > at + MAX_UNANSWERED_MS) {
-            self.broken_rules.push(format!("{} forgotten: no question about {id} is answered", self.now));
+            self.violations.push(format!("{} forgotten: no question about {id} is answered", self.now));
         }
     }
 
@@ -124,7 +124,7 @@
     /// its registrations may be older than the release, so a trace asks for this.)
     pub(super) fn check_registered(&mut self, request: &StoreRequest) {
         let StoreRequest::CompareAndSwap(transaction) = request else { return };
-        if !self.rules.check_registrations {
+        if !self.invariants.check_reregistrations {
             return;
         }
         for write in &transaction.writes {
@@ -132,7 +132,7 @@
             let records = value.as_array().filter(|_| key.starts_with("log/")).into_iter().flatten();
             for id in records.filter_map(|record| record["m"]["i"].as_u64()) {
                 if self.cloud.released_at.get(&id).is_some_and(|at| self.now > at + 3000) {
-                    self.broken_rules.push(format!("{} enrolled: m-{id:06} was returned long ago", self.now));
+                    self.violations.push(format!("{} enrolled: m-{id:06} was returned long ago", self.now));
                 }
             }
         }
@@ -147,7 +147,7 @@
         let job = &self.jobs[&starting.job];
         let active = self.tasks.active.get(&starting.job).into_iter().flatten();
         let in_zone = active.filter(|(other, _)| self.workers[other].zone == *zone).count() as u64;
-        if job.spec["Spread"] == true && in_zone + 1 > job.pieces().div_ceil(2) {
+        if job.spec["Spread"] == true && in_zone + 1 > job.task_count().div_ceil(2) {
             broken.push(format!("{now} wrong_place: {task} is one too many in zone {zone}"));
         }
         if starting.spot && job.spec["Loaners"] == false {
@@ -162,7 +162,7 @@
                 broken.push(format!("{now} ran_cancelled: {task} starts"));
             }
         }
-        self.broken_rules.extend(broken);
+        self.violations.extend(broken);
     }
 
     /// What other tasks of the job break with one that starts.
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The state service's keys and leases, and the faults that it has.
-pub struct StoreStandIn {
+pub struct FakeStore {
     /// Value, revision and lease of each key.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     /// Milliseconds for which each lease is granted, and when it ends.
@@ -20,11 +20,11 @@
     /// It answers nothing but 503.
     pub down: bool,
     /// Controllers that get nothing but 503.
-    pub refused_nodes: BTreeSet<usize>,
+    pub unavailable_to_nodes: BTreeSet<usize>,
     /// Answers still to be lost although the request is carried out.
-    pub lost_answers: u32,
+    pub lost_responses: u32,
     /// Requests after which only 503 comes: cuts a snapshot off at a step.
-    pub writes_left: Option<u32>,
+    pub transactions_until_outage: Option<u32>,
     /// Keys in one page of a scan.
     pub page: usize,
     /// The largest value that may be written.
@@ -33,16 +33,16 @@
     pub txn_ops: usize,
 }
 
-impl Default for StoreStandIn {
-    fn default() -> StoreStandIn {
-        StoreStandIn {
+impl Default for FakeStore {
+    fn default() -> FakeStore {
+        FakeStore {
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
             revision: 0,
             down: false,
-            refused_nodes: BTreeSet::new(),
-            lost_answers: 0,
-            writes_left: None,
+            unavailable_to_nodes: BTreeSet::new(),
+            lost_responses: 0,
+            transactions_until_outage: None,
             page: 5,
             value_bytes: 1024,
             txn_ops: 16,
@@ -70,10 +70,10 @@
     }
 }
 
-impl StoreStandIn {
+impl FakeStore {
     /// An empty one with these limits: keys in a page, bytes of a value.
-    pub fn with_limits(page: usize, value_bytes: usize) -> StoreStandIn {
-        StoreStandIn { page, value_bytes, ..StoreStandIn::default() }
+    pub fn with_limits(page: usize, value_bytes: usize) -> FakeStore {
+        FakeStore { page, value_bytes, ..FakeStore::default() }
     }
 
     /// Ends the leases that are over, and removes their keys.
@@ -91,7 +91,7 @@
 
     /// Whether this node gets nothing but 503.
     pub(super) fn refuses(&self, node: usize) -> bool {
-        self.down || self.refused_nodes.contains(&node)
+        self.down || self.unavailable_to_nodes.contains(&node)
     }
 
     fn get(&self, key: &str) -> (u16, Value) {
@@ -151,7 +151,7 @@
     }
 
     fn compare_and_swap(&mut self, txn: &CompareAndSwap) -> (u16, Value) {
-        if let Some(left) = &mut self.writes_left {
+        if let Some(left) = &mut self.transactions_until_outage {
             if *left == 0 {
                 return (503, json!({}));
             }
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -14,9 +14,9 @@
     /// Users ask at all controllers, and repeat what they sent, right after they were told something new.
     pub recheck_everywhere: bool,
     /// Cancellations and questions that were answered with 503 or 429.
-    pub refused: (u64, u64),
+    pub refused_requests: (u64, u64),
     /// Slowest answer to a user since this was set to 0.
-    pub slowest_answer_ms: u64,
+    pub slowest_response_ms: u64,
     /// What the controllers answered to the last health check.
     pub health_checks: BTreeMap<usize, bool>,
 }
@@ -28,7 +28,7 @@
     pub last_status: String,
     pub accepted: bool,
     /// When its user was first told that it has ended.
-    pub(super) over_at: Option<u64>,
+    pub(super) ended_at: Option<u64>,
     /// When its user was first told that it is cancelled.
     pub(super) cancelled_at: Option<u64>,
     /// Whether its user has asked to cancel it.
@@ -36,16 +36,16 @@
     pub cancel_status: u16,
     pub submit_status: u16,
     /// When a question about it was answered last.
-    pub answered_at: u64,
+    pub status_received_at: u64,
     /// When the first of its tasks started.
-    pub begun: Option<u64>,
+    pub first_task_started_at: Option<u64>,
     pub accepted_at: u64,
     pub submitted_at: u64,
     /// How often its submission was refused by an admission table, and whether its user has given up.
-    pub refused: u32,
+    pub rejections: u32,
     pub given_up: bool,
     /// When its user first asked to cancel it.
-    pub cancel_asked_at: Option<u64>,
+    pub cancel_requested_at: Option<u64>,
 }
 
 impl UserJob {
@@ -54,23 +54,23 @@
             spec,
             last_status: String::new(),
             accepted: false,
-            over_at: None,
+            ended_at: None,
             cancelled_at: None,
             cancelling: false,
             cancel_status: 0,
             submit_status: 0,
-            answered_at: 0,
-            begun: None,
+            status_received_at: 0,
+            first_task_started_at: None,
             accepted_at: 0,
             submitted_at: now,
-            refused: 0,
+            rejections: 0,
             given_up: false,
-            cancel_asked_at: None,
+            cancel_requested_at: None,
         }
     }
 
     /// How many tasks it has.
-    pub fn pieces(&self) -> u64 {
+    pub fn task_count(&self) -> u64 {
         self.spec["Pieces"].as_u64().expect("a count")
     }
 
@@ -140,7 +140,7 @@
     pub fn cancel(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelling = true;
-            job.cancel_asked_at.get_or_insert(self.now);
+            job.cancel_requested_at.get_or_insert(self.now);
         }
         self.note_cancelled(id);
         self.schedule(0, Event::UserRequest(id.to_string(), UserRequest::Cancel(id.to_string())));
@@ -155,22 +155,22 @@
         self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
         self.check_answered(id);
         if self.jobs[id].accepted {
-            self.ask_any_controller(id.to_string(), UserRequest::Get(id.to_string()));
+            self.send_user_request_to_any(id.to_string(), UserRequest::Get(id.to_string()));
         }
     }
 
     /// Asks a controller that is up, or again a second later if there is none.
-    pub(super) fn ask_any_controller(&mut self, job: String, call: UserRequest) {
+    pub(super) fn send_user_request_to_any(&mut self, job: String, call: UserRequest) {
         let up: Vec<usize> = (0..self.site.nodes).filter(|n| self.controllers.processes[*n].is_some()).collect();
         if up.is_empty() {
             return self.schedule(1000, Event::UserRequest(job, call));
         }
         let node = up[self.random_below(up.len() as u64) as usize];
-        self.ask_controller(node, job, call);
+        self.send_user_request(node, job, call);
     }
 
     /// Asks this controller.
-    pub fn ask_controller(&mut self, node: usize, job: String, call: UserRequest) {
+    pub fn send_user_request(&mut self, node: usize, job: String, call: UserRequest) {
         let id = self.next_request(node as u64);
         let asked = self.now;
         self.requests.pending.insert(id, Requester::User { job, call: call.clone(), asked });
@@ -188,7 +188,7 @@
             let soon = 1 + self.random_below(30);
             self.schedule(soon, Event::UserRequestAt(node, id.to_string(), submission.clone()));
         }
-        if self.jobs[id].over_at.is_none() && self.random_below(4) == 0 {
+        if self.jobs[id].ended_at.is_none() && self.random_below(4) == 0 {
             self.cancel(id);
         }
     }
@@ -203,10 +203,10 @@
 impl Simulation {
     pub(super) fn user_answered(&mut self, id: &str, call: UserRequest, asked: u64, answer: &ApiResponse) {
         let now = self.now;
-        self.users.slowest_answer_ms = self.users.slowest_answer_ms.max(now - asked);
+        self.users.slowest_response_ms = self.users.slowest_response_ms.max(now - asked);
         let Some(job) = self.jobs.get_mut(id) else { return };
         if matches!(call, UserRequest::Get(_)) && matches!(answer.status, 200 | 404) {
-            job.answered_at = now;
+            job.status_received_at = now;
         }
         match call {
             UserRequest::Submit(_) => job.submit_status = answer.status,
@@ -223,8 +223,8 @@
 
     /// A request was refused for now: it is repeated, unless it was a question, which comes again anyhow.
     fn refused(&mut self, id: &str, call: UserRequest, answer: &ApiResponse) {
-        self.users.refused.0 += u64::from(matches!(call, UserRequest::Cancel(_)));
-        self.users.refused.1 += u64::from(matches!(call, UserRequest::Get(_)));
+        self.users.refused_requests.0 += u64::from(matches!(call, UserRequest::Cancel(_)));
+        self.users.refused_requests.1 += u64::from(matches!(call, UserRequest::Get(_)));
         if answer.status == 429 {
             return self.refused_by_table(id, call, answer.retry_after);
         }
@@ -239,7 +239,7 @@
         if job.accepted && asked <= job.accepted_at {
             // It was under way when another controller accepted the job.
         } else if job.accepted {
-            self.broken_rules.push(format!("{} forgotten: {id}", self.now));
+            self.violations.push(format!("{} forgotten: {id}", self.now));
         } else {
             job.last_status = "404".into();
         }
@@ -249,7 +249,7 @@
     fn told_invalid(&mut self, id: &str, status: u16) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.accepted {
-            self.broken_rules.push(format!("{} forgotten: {id} is answered {status} on a repeat", self.now));
+            self.violations.push(format!("{} forgotten: {id} is answered {status} on a repeat", self.now));
         }
         job.last_status = status.to_string();
     }
@@ -266,25 +266,25 @@
         let body: Value = serde_json::from_str(&answer.body).expect("an answer is JSON");
         let status = body["Status"].as_str().expect("a status").to_string();
         // An answer that was under way when the user was told the final state is no step back.
-        if job.over_at.is_some_and(|at| asked <= at) {
+        if job.ended_at.is_some_and(|at| asked <= at) {
             return;
         }
         let over = matches!(job.last_status.as_str(), "done" | "aborted");
         if over && status != job.last_status {
-            self.broken_rules.push(format!("{now} went_back: {id} {} then {status}", job.last_status));
+            self.violations.push(format!("{now} went_back: {id} {} then {status}", job.last_status));
         }
         if status == "aborted" {
             if !job.cancelling {
-                self.broken_rules.push(format!("{now} went_back: {id} was never cancelled"));
+                self.violations.push(format!("{now} went_back: {id} was never cancelled"));
             }
             job.cancelled_at.get_or_insert(now);
         }
         if status == "done" && !finished {
-            self.broken_rules.push(format!("{now} not_done: {id}"));
+            self.violations.push(format!("{now} not_done: {id}"));
         }
         if matches!(status.as_str(), "done" | "aborted") {
-            news |= job.over_at.is_none();
-            job.over_at.get_or_insert(now);
+            news |= job.ended_at.is_none();
+            job.ended_at.get_or_insert(now);
         }
         job.last_status = status;
         if news && self.users.recheck_everywhere {
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -48,7 +48,7 @@
     pub(super) reclaim_at: Option<u64>,
     /// Every task fails on it.
     pub tasks_fail: bool,
-    pub(super) is_cut: bool,
+    pub(super) is_partitioned: bool,
     /// Hangs: it executes nothing, and what comes waits, until it goes on.
     pub(super) is_hung: bool,
     pub(super) is_alive: bool,
@@ -57,7 +57,7 @@
 
 impl Worker {
     /// The worker of a machine that was just rented and boots.
-    pub(super) fn booting(zone: &str, spot: bool, is_cut: bool) -> Worker {
+    pub(super) fn booting(zone: &str, spot: bool, is_partitioned: bool) -> Worker {
         Worker {
             zone: zone.to_string(),
             spot,
@@ -74,7 +74,7 @@
             last_gap_at: 0,
             reclaim_at: None,
             tasks_fail: false,
-            is_cut,
+            is_partitioned,
             is_hung: false,
             is_alive: true,
             is_booted: false,
@@ -127,14 +127,14 @@
     }
 
     /// How many tasks of a job are running.
-    pub fn running(&self, id: &str) -> usize {
+    pub fn running_tasks(&self, id: &str) -> usize {
         let prefix = format!("{id}/");
         let tasks = self.workers.values().flat_map(|w| w.tasks.values());
         tasks.filter(|t| t.state == TaskState::Running && t.task.starts_with(&prefix)).count()
     }
 
     /// The machine that runs a task.
-    pub fn machine_of(&self, task: &str) -> Option<u64> {
+    pub fn machine_running(&self, task: &str) -> Option<u64> {
         let runs = |w: &Worker| w.tasks.values().any(|t| t.task == task && t.state == TaskState::Running);
         self.workers.iter().find(|(_, w)| runs(w)).map(|(id, _)| *id)
     }
@@ -212,17 +212,17 @@
         if let Some(w) = self.workers.get_mut(&machine) {
             w.pending_heartbeat = Some(number);
         }
-        self.keep_or_duplicate_heartbeat(machine, &heartbeat);
+        self.duplicate_or_replay_heartbeat(machine, &heartbeat);
         self.requests.pending.insert(number, Requester::Worker { machine, number, session, sent: now });
         self.schedule(2, Event::Heartbeat(machine, number, heartbeat));
         self.schedule(HEARTBEAT_TIMEOUT_MS, Event::HeartbeatDue(machine));
     }
 
     /// Some heartbeats come again, as the faults in force say: to the next leader, or at any controller and late.
-    fn keep_or_duplicate_heartbeat(&mut self, machine: u64, heartbeat: &Heartbeat) {
-        let kept_percent = self.faults.heartbeats_kept_percent;
+    fn duplicate_or_replay_heartbeat(&mut self, machine: u64, heartbeat: &Heartbeat) {
+        let kept_percent = self.faults.replayed_heartbeats_percent;
         if kept_percent > 0 && self.random_below(100) < kept_percent {
-            self.faults.kept_heartbeats.push((machine, Box::new(heartbeat.clone())));
+            self.faults.heartbeats_to_replay.push((machine, Box::new(heartbeat.clone())));
         }
         let (percent, latest) = self.faults.duplicate_heartbeats;
         if percent > 0 && self.random_below(100) < percent {
@@ -239,7 +239,7 @@
 
     /// A heartbeat has reached its controller, unless a fault is in its way.
     pub(super) fn heartbeat_arrives(&mut self, machine: u64, number: u64, heartbeat: Box<Heartbeat>) {
-        if self.workers.get(&machine).is_some_and(|w| w.is_cut) {
+        if self.workers.get(&machine).is_some_and(|w| w.is_partitioned) {
             let event = Event::Heartbeat(machine, number, heartbeat);
             return self.faults.held_events.entry(machine).or_default().push(event);
         }
@@ -276,7 +276,7 @@
     ) {
         let controllers = self.site.nodes;
         let Some(w) = self.workers.get_mut(&machine) else { return };
-        if w.pending_heartbeat != Some(number) || w.is_cut || self.faults.inbound_lost.contains(&machine) {
+        if w.pending_heartbeat != Some(number) || w.is_partitioned || self.faults.inbound_lost.contains(&machine) {
             return;
         }
         if self.now > sent + HEARTBEAT_TIMEOUT_MS {
@@ -359,7 +359,7 @@
     ) {
         let Some(w) = self.workers.get(&machine) else { return };
         let faults = &mut self.faults;
-        if w.is_cut || faults.commands_held.contains(&machine) || faults.inbound_lost.contains(&machine) {
+        if w.is_partitioned || faults.commands_held.contains(&machine) || faults.inbound_lost.contains(&machine) {
             let event = Event::Command { node, epoch, token, machine, id, body };
             return faults.held_events.entry(machine).or_default().push(event);
         }
@@ -471,7 +471,7 @@
         let now = self.now;
         let waits_for_gang = self.is_gang(&id) && !was_finished;
         let job = self.jobs.get_mut(&id).expect("it is known");
-        job.begun.get_or_insert(now);
+        job.first_task_started_at.get_or_insert(now);
         let (image, run_ms, service) = (job.image().to_string(), job.run_ms(), job.spec["Shape"] == "standing");
         self.tasks.active.entry(id).or_default().push((machine, key.clone()));
         self.note_return(&task);
