--- a/crates/disruption/src/allowance.rs
+++ b/crates/disruption/src/allowance.rs
@@ -34,7 +34,7 @@
 /// Why an eviction is not allowed at present. The message is shown to operators in the status of the drain.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EvictionBlocked {
-    /// The budget allows no unavailable tasks at this time.
+    /// The limit of the budget is 0 at this time, so no task may be unavailable.
     #[error("the budget of {scope} is 0")]
     ZeroBudget {
         /// Scope of the budget.
--- a/crates/disruption/src/budget.rs
+++ b/crates/disruption/src/budget.rs
@@ -109,7 +109,7 @@
 pub struct Budget {
     /// Maximum number of tasks that may be unavailable at once.
     pub max_unavailable: Option<Limit>,
-    /// Limits that apply during windows, in addition to `max_unavailable`.
+    /// Limits that apply during windows, in addition to `max_unavailable`. The strictest one counts.
     pub windows: Vec<WindowLimit>,
     /// Minimum interval between two evictions; `None`: evictions are not spaced.
     pub min_interval: Option<Duration>,
--- a/crates/disruption/src/coordinator.rs
+++ b/crates/disruption/src/coordinator.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether a running drain includes this machine.
-    pub fn is_member(&self, machine: MachineId) -> bool {
+    pub fn is_in_running_drain(&self, machine: MachineId) -> bool {
         self.drains.values().any(|drain| drain.is_running() && drain.members.contains_key(&machine))
     }
 
--- a/crates/disruption/src/coordinator/context.rs
+++ b/crates/disruption/src/coordinator/context.rs
@@ -13,7 +13,7 @@
     pub(super) fleet: &'a dyn Fleet,
     /// Number of desired and unavailable tasks of each class when the reconciliation began.
     pub(super) availability: BTreeMap<TaskClass, ClassAvailability>,
-    /// Why evictions of each drain are not possible at present, by name of the drain.
+    /// Conditions that each drain is waiting for, by name of the drain.
     pub(super) wait_reasons: BTreeMap<String, Vec<String>>,
     pub(super) effects: Vec<Effect>,
 }
--- a/crates/disruption/src/drain.rs
+++ b/crates/disruption/src/drain.rs
@@ -82,7 +82,8 @@
     /// Returns the machines as records of at most `max_value_bytes` each, unless a single machine exceeds that size.
     /// Each record holds machines of one pool.
     pub fn member_records(&self, max_value_bytes: usize) -> Vec<MemberRecord> {
-        let max_machines = (max_value_bytes.saturating_sub(MAX_MEMBER_RECORD_OVERHEAD_BYTES) / MAX_MEMBER_BYTES).max(1);
+        let max_machines_per_record =
+            (max_value_bytes.saturating_sub(MAX_MEMBER_RECORD_OVERHEAD_BYTES) / MAX_MEMBER_BYTES).max(1);
         let mut by_pool: BTreeMap<&InstancePool, Vec<MemberMachine>> = BTreeMap::new();
         for (id, member) in &self.members {
             by_pool
@@ -92,7 +93,7 @@
         }
         let mut records = Vec::new();
         for (pool, machines) in by_pool {
-            let parts = machines.chunks(max_machines).map(<[_]>::to_vec);
+            let parts = machines.chunks(max_machines_per_record).map(<[_]>::to_vec);
             records.extend(parts.map(|machines| MemberRecord { pool: pool.clone(), machines }));
         }
         records
--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -118,7 +118,7 @@
     /// Number of machines that are being drained.
     #[serde(rename = "emptying")]
     pub draining: u32,
-    /// The reasons why evictions are not possible at present, in the order in which the reconciliation found them.
+    /// Conditions that the drain is waiting for, such as budget that is used up, most important first.
     #[serde(rename = "waits_for", default, skip_serializing_if = "Vec::is_empty")]
     pub wait_reasons: Vec<String>,
 }
--- a/crates/disruption/src/window.rs
+++ b/crates/disruption/src/window.rs
@@ -7,7 +7,7 @@
 const MINUTES_PER_DAY: u32 = 24 * 60;
 const DAYS_PER_WEEK: usize = 7;
 
-/// A time of day in minutes since midnight, from 00:00 to 24:00 inclusive.
+/// A time of day in minutes since midnight, from 0 (00:00) to 1440 (24:00) inclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MinuteOfDay(u32);
 
--- a/crates/disruption/tests/policy.rs
+++ b/crates/disruption/tests/policy.rs
@@ -20,7 +20,7 @@
     Scope::Class(TaskClass { team: team.into(), class: class.into() })
 }
 
-/// Converts a UTC time such as `2026-12-02 10:00`.
+/// Converts a UTC time such as `2026-12-02 10:00` to milliseconds since 1970.
 fn utc(text: &str) -> WallClock {
     let time = chrono::NaiveDateTime::parse_from_str(text, "%Y-%m-%d %H:%M").expect("a time");
     WallClock::from_millis(time.and_utc().timestamp_millis() as u64)
--- a/crates/disruption/tests/support/mod.rs
+++ b/crates/disruption/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Time of day at the start of a test, in milliseconds since the Unix epoch.
+/// Time of day at the start of a test, in milliseconds since 1970.
 pub const START_MS: u64 = 1_700_000_000_000;
 
 /// An in-memory state service with revisions.
--- a/src/leader/drains/spare_capacity.rs
+++ b/src/leader/drains/spare_capacity.rs
@@ -78,7 +78,7 @@
     /// Orders the machines by free CPUs, the fullest machine first, so that large free capacity on other machines is
     /// preserved. Members of running drains come last, since they will be emptied themselves.
     fn sort(&mut self) {
-        let is_member = |id: MachineId| self.leader.drains().is_some_and(|drains| drains.is_member(id));
+        let is_member = |id: MachineId| self.leader.drains().is_some_and(|drains| drains.is_in_running_drain(id));
         self.machines.sort_by_cached_key(|machine| (is_member(machine.id), machine.free.cpus));
     }
 
--- a/src/leader/scheduling/machine_view.rs
+++ b/src/leader/scheduling/machine_view.rs
@@ -93,7 +93,8 @@
         }
         let RunningTasks { releases, preemptible } = RunningTasks::of(machine, now);
         let free = machine.free_resources();
-        let is_drain_member = self.drain_state.coordinator.as_ref().is_some_and(|drains| drains.is_member(id));
+        let is_drain_member =
+            self.drain_state.coordinator.as_ref().is_some_and(|drains| drains.is_in_running_drain(id));
         let bias = match is_drain_member {
             true => PlacementBias::LEAST_PREFERRED,
             false => placement_bias(machine_type, machine.record.spot, &free),
