--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -12,7 +12,7 @@
 use caperstile::upgrade::Format;
 use caperstile::wire::Heartbeat;
 use caperstile::write_ahead_log::{LogEvent, LogRecord, WriteAheadLog};
-use leader_harness::{LeaderHarness, log, report};
+use leader_harness::{LeaderHarness, heartbeat, log_entries};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -54,7 +54,7 @@
 #[test]
 fn frequent_inputs_allocate_little() {
     const MACHINES: u64 = 300;
-    let mut harness = LeaderHarness::new(&log(MACHINES));
+    let mut harness = LeaderHarness::new(&log_entries(MACHINES));
     harness.elect();
     let token = harness.node.leader().expect("a leader").token().0;
     let encoded: Vec<Vec<u8>> =
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -18,7 +18,7 @@
     sim.submit(SERVICE, &[&service[..], &[("Cores", json!(4.0))]].concat());
     sim.submit(BATCH, &[("Pieces", json!(3)), ("RuntimeS", json!(400.0)), ("Cores", json!(4.0))]);
     sim.run_until(20_000);
-    assert_eq!((sim.running(SERVICE), sim.running(BATCH)), (2, 3), "seed {seed}");
+    assert_eq!((sim.running_tasks(SERVICE), sim.running_tasks(BATCH)), (2, 3), "seed {seed}");
     sim
 }
 
@@ -32,7 +32,7 @@
 }
 
 fn assert_no_rule_broken(sim: &Simulation, case: &str) {
-    assert!(sim.broken_rules.is_empty(), "{case}: {:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
 /// Checks that every job except those in `except` has ended and that its user's last response says so.
@@ -90,7 +90,7 @@
             sim.store.down = true;
             sim.run_until(sim.now + sim.site.cancel_ms + 20_000);
             assert_no_rule_broken(&sim, &case);
-            assert_eq!(sim.running(job), 0, "{case}");
+            assert_eq!(sim.running_tasks(job), 0, "{case}");
             sim.end_all_faults();
             sim.run_until(sim.now + 100_000);
             assert_no_rule_broken(&sim, &case);
@@ -104,7 +104,7 @@
 #[test]
 fn new_leaders_one_after_the_other_do_not_renew_what_is_cancelled() {
     let mut sim = service_and_batch(11);
-    let machine = sim.machine_of("job-000001/0").expect("it runs");
+    let machine = sim.machine_running("job-000001/0").expect("it runs");
     sim.faults.commands_held.insert(machine);
     sim.faults.outbound_lost.insert(machine);
     sim.cloud.unavailable = true;
@@ -285,7 +285,7 @@
     assert_no_rule_broken(&sim, &case);
     assert_eq!(sim.jobs[SERVICE].last_status, "aborted", "{case}");
     assert_eq!(sim.jobs[limited].last_status, "aborted", "{case}");
-    assert_eq!(sim.running(SERVICE) + sim.running(limited), 0, "{case}");
+    assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(limited), 0, "{case}");
     assert_all_ended(&sim, &[BATCH], &case);
     let (cancels, queries) = sim.users.refused;
     println!(
@@ -346,7 +346,7 @@
             assert!(until_cancelled(&mut sim, BATCH, 5000), "{case}: the cancellation was not confirmed in time");
             sim.run_until(sim.now + sim.site.cancel_ms);
             assert_no_rule_broken(&sim, &case);
-            assert_eq!(sim.running(SERVICE) + sim.running(BATCH), 0, "{case}");
+            assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(BATCH), 0, "{case}");
         }
     }
 }
@@ -367,11 +367,11 @@
             }
             sim.run_until(sim.now + 3500 + offset);
             sim.users.recheck_everywhere = true;
-            sim.faults.unanswered_writes = (lost, true);
+            sim.faults.writes_without_response = (lost, true);
             sim.cancel("job-000009");
             sim.resubmit("job-000009");
             sim.run_until(sim.now + 1500);
-            sim.faults.unanswered_writes = (0, false);
+            sim.faults.writes_without_response = (0, false);
             sim.run_until(sim.now + 8000);
             assert_no_rule_broken(&sim, &case);
             assert!(matches!(sim.jobs["job-000009"].last_status.as_str(), "done" | "aborted"), "{case}");
@@ -450,14 +450,14 @@
     for seed in 0..6u64 {
         let mut sim = service_and_batch(seed);
         sim.users.recheck_everywhere = true;
-        sim.faults.unanswered_writes = (if seed % 2 == 0 { 0 } else { 20 }, seed % 4 == 1);
+        sim.faults.writes_without_response = (if seed % 2 == 0 { 0 } else { 20 }, seed % 4 == 1);
         for n in 0..10u64 {
             let leader = sim.leader().unwrap_or(0);
             match (seed + n) % 4 {
-                0 => sim.restart(leader, 400),
-                1 => sim.restart(leader, 7000),
-                2 => drop(sim.store.refused_nodes.insert(leader)),
-                _ => sim.isolate(leader),
+                0 => sim.restart_controller(leader, 400),
+                1 => sim.restart_controller(leader, 7000),
+                2 => drop(sim.store.unavailable_to_nodes.insert(leader)),
+                _ => sim.isolate_controller(leader),
             }
             let id = format!("job-{:06}", 10 + n);
             sim.submit(&id, &[("RuntimeS", json!(4.0)), ("Cores", json!(1.0))]);
@@ -467,19 +467,19 @@
                 sim.cancel(&id);
             }
             sim.run_until(sim.now + 7000);
-            sim.store.refused_nodes.clear();
-            sim.reconnect();
+            sim.store.unavailable_to_nodes.clear();
+            sim.end_isolation();
             if n == 5 && seed > 3 {
-                (0..3).for_each(|n| sim.crash(n));
+                (0..3).for_each(|n| sim.crash_controller(n));
                 sim.run_until(sim.now + sim.site.lease_ms + 3000);
-                (0..3).for_each(|n| sim.start(n));
+                (0..3).for_each(|n| sim.start_controller(n));
             }
         }
         sim.end_all_faults();
         sim.run_until(sim.now + 120_000);
         assert_no_rule_broken(&sim, &format!("seed {seed}"));
         assert_all_ended(&sim, &[SERVICE, BATCH], &format!("seed {seed}"));
-        assert_eq!(sim.running(SERVICE), 2, "seed {seed}");
+        assert_eq!(sim.running_tasks(SERVICE), 2, "seed {seed}");
     }
 }
 
@@ -489,9 +489,9 @@
 #[test]
 fn new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends() {
     for offset in (0..6000).step_by(400) {
-        let mut sim = Simulation::at(support::Site { boot_ms: 1500, ..support::Site::small() }, offset);
+        let mut sim = Simulation::with_site(support::Site { boot_ms: 1500, ..support::Site::small() }, offset);
         sim.run_until(3000);
-        sim.faults.unanswered_writes = (40, offset % 800 == 0);
+        sim.faults.writes_without_response = (40, offset % 800 == 0);
         for n in 0..4 {
             let id = format!("job-{n:06}");
             sim.submit(&id, &[("Cores", json!(4.0)), ("RuntimeS", json!(20.0)), ("Pieces", json!(3))]);
@@ -518,7 +518,7 @@
 /// truncated.
 #[test]
 fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
-    let mut sim = Simulation::at(support::Site::many_small_machines(), 5);
+    let mut sim = Simulation::with_site(support::Site::many_small_machines(), 5);
     sim.users.recheck_everywhere = true;
     sim.run_until(3000);
     for n in 0..480u64 {
@@ -552,8 +552,8 @@
         sim.run_until(20_000);
         for at in [0, 4000, 4500, 9000] {
             sim.run_until(20_000 + at);
-            if let Some(machine) = (0..4).find_map(|i| sim.machine_of(&format!("job-{:06}/{i}", at % 2))) {
-                if seed % 2 == 0 { sim.kill_machine(machine) } else { sim.cut_machine(machine) }
+            if let Some(machine) = (0..4).find_map(|i| sim.machine_running(&format!("job-{:06}/{i}", at % 2))) {
+                if seed % 2 == 0 { sim.kill_machine(machine) } else { sim.partition_machine(machine) }
             }
             if at == 4500 {
                 let leader = sim.leader().expect("a leader");
@@ -638,15 +638,15 @@
     let nth = |sim: &Simulation, n: usize| *sim.workers.keys().nth(n % sim.workers.len()).expect("a machine");
     sim.submit("job-000001", &three_spread_replicas());
     sim.run_until(8000);
-    sim.restart(0, 50);
+    sim.restart_controller(0, 50);
     sim.submit("job-000000", &short);
     sim.run_until(10_186);
-    (0..3).for_each(|node| sim.crash(node));
+    (0..3).for_each(|node| sim.crash_controller(node));
     sim.run_until(11_979);
     let machine = nth(&sim, 0);
     sim.send_reclaim_notice(machine, 8);
     sim.run_until(12_134);
-    sim.restart(0, 78);
+    sim.restart_controller(0, 78);
     sim.run_until(15_414);
     let machine = nth(&sim, 1);
     sim.faults.inbound_lost.insert(machine);
@@ -655,7 +655,7 @@
     sim.send_reclaim_notice(machine, 8);
     sim.run_until(22_916);
     let machine = nth(&sim, 4);
-    sim.cut_machine(machine);
+    sim.partition_machine(machine);
     sim.run_until(24_458);
     sim.submit("job-000006", &short);
     sim.run_until(24_665);
@@ -667,6 +667,6 @@
     sim.run_until(30_512);
     sim.end_all_faults();
     sim.run_until(120_000);
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
-    assert_eq!(sim.running("job-000001"), 3, "replicas");
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    assert_eq!(sim.running_tasks("job-000001"), 3, "replicas");
 }
--- a/tests/drain_processes.rs
+++ b/tests/drain_processes.rs
@@ -35,12 +35,14 @@
 fn wait_until_all_run(harness: &ProcessHarness, services: u32) {
     let jobs = (0..services).map(|n| (format!("job-{n:06}"), 3));
     let jobs: Vec<(String, usize)> = jobs.chain([("job-000100".into(), 2), ("job-000101".into(), 3)]).collect();
-    harness.until("all tasks", || jobs.iter().all(|(id, n)| harness.stand_ins().running(id) == *n).then_some(()));
+    harness.wait_until("all tasks", || {
+        jobs.iter().all(|(id, n)| harness.fake_services().running_tasks(id) == *n).then_some(())
+    });
 }
 
 /// Replaces all machines while the leader is killed and a machine is unreachable. Returns how many seconds that took.
 fn replace_all(harness: &mut ProcessHarness, services: u32) -> f64 {
-    let before = harness.stand_ins().machines();
+    let before = harness.fake_services().machine_ids();
     let begin = Instant::now();
     let (code, output) = harness.drain(&["start", "all", "--all", "--replace"]);
     assert_eq!(code, 0, "{output}");
@@ -48,12 +50,12 @@
     harness.until("an eviction", || harness.stand_ins().evictions.contains_key("live").then_some(()));
     let leader = harness.stand_ins().leader().expect("a leader");
     harness.kill_node(leader);
-    let cut = *harness.stand_ins().machines().last().expect("a machine");
-    harness.stand_ins().cut(cut, true);
-    harness.until("another leader", || harness.stand_ins().leader().filter(|node| *node != leader));
+    let cut = *harness.fake_services().machine_ids().last().expect("a machine");
+    harness.fake_services().set_partitioned(cut, true);
+    harness.wait_until("another leader", || harness.fake_services().leader().filter(|node| *node != leader));
     harness.start_node(leader);
-    harness.stand_ins().cut(cut, false);
-    harness.until("the end of the drain", || (harness.status("all")["phase"] == "done").then_some(()));
+    harness.fake_services().set_partitioned(cut, false);
+    harness.wait_until("the end of the drain", || (harness.drain_status("all")["phase"] == "done").then_some(()));
     let took = begin.elapsed().as_secs_f64();
     wait_until_all_run(harness, services);
     let left: Vec<u64> = harness.stand_ins().machines().into_iter().filter(|id| before.contains(id)).collect();
@@ -74,7 +76,7 @@
     assert!(output["reason"].as_str().is_some_and(|reason| reason.contains("no machine matches")), "{output}");
 
     replace_all(&mut harness, 4);
-    let highest = harness.stand_ins().highest.clone();
+    let highest = harness.fake_services().peak_unavailable.clone();
     assert!(highest["live"] <= 2, "{highest:?}");
     assert!(
         highest.get("sync").copied().unwrap_or(0) <= 3 && highest.get("render").copied().unwrap_or(0) <= 2,
@@ -85,7 +87,7 @@
     assert_eq!(harness.drain(&["start", "all", "--zone", "a"]).0, 3);
     assert_eq!(harness.drain(&["cancel", "all"]).0, 3, "the drain is done");
 
-    let phase = |arguments: &[&str]| harness.drain(arguments).1["drains"][0]["status"]["phase"].clone();
+    let phase = |arguments: &[&str]| harness.run_drain_command(arguments).1["drains"][0]["status"]["phase"].clone();
     assert_eq!(phase(&["start", "again", "--all", "--replace"]), "running");
     assert_eq!(phase(&["pause", "again"]), "paused");
     assert_eq!(phase(&["resume", "again"]), "running");
@@ -106,7 +108,7 @@
             let mut harness = start_with_jobs(&format!("rolling-{name}"), operators, services);
             let machines = harness.stand_ins().machines().len();
             let took = replace_all(&mut harness, services);
-            let stand_ins = harness.stand_ins();
+            let fake_services = harness.fake_services();
             println!(
                 "{machines} machines, {name} budgets: {took:.1} s, most unavailable at a time {:?}, evictions {:?}",
                 stand_ins.highest, stand_ins.evictions
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -39,7 +39,7 @@
 fn assert_all_services_run(sim: &Simulation) {
     assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
     for n in 0..4 {
-        assert_eq!(sim.running(&format!("job-{n:06}")), 3, "replicas of job {n}");
+        assert_eq!(sim.running_tasks(&format!("job-{n:06}")), 3, "replicas of job {n}");
     }
 }
 
@@ -60,7 +60,7 @@
 /// Machines that run replicas of the services at this moment.
 fn machines_with_replicas(sim: &Simulation) -> Vec<u64> {
     let replicas = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
-    let mut machines: Vec<u64> = replicas.filter_map(|task| sim.machine_of(&task)).collect();
+    let mut machines: Vec<u64> = replicas.filter_map(|task| sim.machine_running(&task)).collect();
     machines.sort_unstable();
     machines.dedup();
     machines
@@ -88,9 +88,9 @@
         for round in 0..4 {
             sim.run_until(sim.now + 7000 + offset + round * 40);
             let leader = sim.leader();
-            leader.into_iter().for_each(|node| sim.restart(node, 300));
+            leader.into_iter().for_each(|node| sim.restart_controller(node, 300));
         }
-        assert!(sim.run_until_drain("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
+        assert!(sim.run_until_drain_phase("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         assert_all_services_run(&sim);
     }
@@ -106,10 +106,10 @@
         sim.store.down = true;
         sim.run_until(sim.now + 4000);
         let leader = sim.leader();
-        leader.into_iter().for_each(|node| sim.restart(node, 500));
+        leader.into_iter().for_each(|node| sim.restart_controller(node, 500));
         sim.run_until(sim.now + 20_000);
         sim.store.down = false;
-        assert!(sim.run_until_drain("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
+        assert!(sim.run_until_drain_phase("all", "done", 400_000), "offset {offset}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         assert_all_services_run(&sim);
     }
@@ -126,10 +126,10 @@
         for _ in 0..5 {
             sim.run_until(sim.now + 11_000);
             let leader = sim.leader();
-            leader.into_iter().for_each(|node| sim.restart(node, 400));
+            leader.into_iter().for_each(|node| sim.restart_controller(node, 400));
         }
-        sim.faults.unanswered_writes = (0, false);
-        assert!(sim.run_until_drain("all", "done", 500_000), "seed {seed}: {:?}", sim.drain_status("all"));
+        sim.faults.writes_without_response = (0, false);
+        assert!(sim.run_until_drain_phase("all", "done", 500_000), "seed {seed}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 15_000);
         assert_all_services_run(&sim);
     }
@@ -162,8 +162,8 @@
         sim.run_until(sim.now + 50);
     }
     sim.heal_machine(silent);
-    sim.start(leader);
-    assert!(sim.run_until_drain("all", "done", 400_000), "{:?}", sim.drain_status("all"));
+    sim.start_controller(leader);
+    assert!(sim.run_until_drain_phase("all", "done", 400_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     assert_all_services_run(&sim);
 }
@@ -186,10 +186,10 @@
     sim.run_until(sim.now + 30_000);
     assert_eq!(sim.disruption.evictions["web"], before, "evicted although the budget is 0");
     assert!(waits_for(&sim, "all").contains("the budget of crew/web is 0"), "{}", waits_for(&sim, "all"));
-    sim.set_operators(ONE);
+    sim.set_disruption_policy(ONE);
     sim.run_until(sim.now + 1000);
     sim.disruption.limits.insert("web".into(), 1);
-    assert!(sim.run_until_drain("all", "done", 400_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 400_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 10_000);
     assert_all_services_run(&sim);
 }
@@ -205,7 +205,7 @@
     sim.run_until(sim.now + 20_000);
     let batch_machines: Vec<u64> = (0..2).filter_map(|n| sim.machine_of(&format!("job-000050/{n}"))).collect();
     let before: Vec<u64> = sim.workers.keys().copied().collect();
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let begun = sim.now;
     sim.run_until(begun + 80_000);
     let left: Vec<&u64> = before.iter().filter(|id| sim.workers.contains_key(id)).collect();
@@ -216,7 +216,7 @@
     );
     let reasons = waits_for(&sim, "all");
     assert!(reasons.contains("of crew/render on m-") && reasons.contains("ends within"), "{reasons}");
-    assert!(sim.run_until_drain("all", "done", begun + 240_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", begun + 240_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 20_000);
     assert_eq!(sim.running("job-000050"), 2, "the evicted batch tasks do not run elsewhere");
     assert_all_services_run(&sim);
@@ -236,9 +236,9 @@
         machines_with_replicas(&sim).into_iter().filter(|machine| *machine != slow).take(2).collect();
     sim.drain_machines("slow", &[slow]);
     sim.run_until(sim.now + 20_000);
-    assert_eq!(sim.machines_being_emptied(), [slow]);
-    sim.drain_machines("others", &others);
-    assert!(sim.run_until_drain("others", "done", sim.now + 90_000), "{:?}", sim.drain_status("others"));
+    assert_eq!(sim.draining_machines(), [slow]);
+    sim.start_drain_of_machines("others", &others);
+    assert!(sim.run_until_drain_phase("others", "done", sim.now + 90_000), "{:?}", sim.drain_status("others"));
     assert_eq!(sim.drain_phase("slow"), "running");
     assert!(waits_for(&sim, "slow").contains("job-000050/0 of crew/render"), "{}", waits_for(&sim, "slow"));
     sim.run_until(sim.now + 15_000);
@@ -249,11 +249,11 @@
 #[test]
 fn batch_tasks_are_not_evicted_if_evict_batch_is_never() {
     const NEVER: &str = "[drains]\nenabled = yes\n[budget crew/render]\nbatch_wait_s = 5\nevict_batch = never\n";
-    let mut sim = Simulation::at(Site { operators: NEVER, ..Site::small() }, 7);
+    let mut sim = Simulation::with_site(Site { operators: NEVER, ..Site::small() }, 7);
     sim.submit("job-000050", &batch(4, 120.0));
     sim.run_until(20_000);
-    sim.drain("all", json!({}), "remove");
-    assert!(sim.run_until_drain("all", "done", 300_000), "{:?}", sim.drain_status("all"));
+    sim.start_drain("all", json!({}), "remove");
+    assert!(sim.run_until_drain_phase("all", "done", 300_000), "{:?}", sim.drain_status("all"));
     assert_eq!(sim.jobs["job-000050"].last_status, "done");
     let starts: usize = (0..4).map(|n| sim.tasks.starts[&format!("job-000050/{n}")].len()).sum();
     assert_eq!(starts, 4, "a task was started twice");
@@ -268,11 +268,11 @@
         let mut sim = simulation_with_services(8, TWO);
         let before: Vec<u64> = sim.workers.keys().copied().collect();
         let filter = |name: &str| name.strip_prefix("zone-").map_or(json!({}), |zone| json!({"zone": zone}));
-        sim.drain(first, filter(first), "replace");
+        sim.start_drain(first, filter(first), "replace");
         sim.run_until(sim.now + 14_000);
-        sim.drain(second, filter(second), "replace");
+        sim.start_drain(second, filter(second), "replace");
         for name in [first, second] {
-            assert!(sim.run_until_drain(name, "done", 500_000), "{first} {second}: {:?}", sim.drain_status(name));
+            assert!(sim.run_until_drain_phase(name, "done", 500_000), "{first} {second}: {:?}", sim.drain_status(name));
         }
         let both = [first, second].contains(&"all") || first != second;
         assert!(both && before.iter().all(|id| !sim.workers.contains_key(id)), "{first}, {second}: machines are left");
@@ -290,7 +290,7 @@
         sim.run_until(sim.now + 50);
     }
     sim.change_drain("all", "pause");
-    assert!(sim.run_until_drain("all", "paused", sim.now + 10_000));
+    assert!(sim.run_until_drain_phase("all", "paused", sim.now + 10_000));
     sim.run_until(sim.now + 5000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 20_000);
@@ -300,7 +300,7 @@
         sim.run_until(sim.now + 50);
     }
     sim.change_drain("all", "cancel");
-    assert!(sim.run_until_drain("all", "cancelled", sim.now + 10_000));
+    assert!(sim.run_until_drain_phase("all", "cancelled", sim.now + 10_000));
     sim.run_until(sim.now + 20_000);
     let (moved, left) = (sim.disruption.evictions["web"], machines_with_replicas(&sim));
     assert!(sim.machines_being_emptied().is_empty(), "{:?}", sim.machines_being_emptied());
@@ -393,9 +393,9 @@
         );
     }
     sim.run_until(sim.now + 40_000);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 9000);
-    sim.cut_zone("b");
+    sim.partition_zone("b");
     sim.run_until(sim.now + 8000);
     let before = sim.disruption.evictions.get("web").copied().unwrap_or(0);
     sim.run_until(sim.now + 6000);
@@ -405,7 +405,7 @@
         "evicted while a zone is unreachable"
     );
     sim.heal_zone("b");
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 20_000);
     assert_all_services_run(&sim);
 }
@@ -441,7 +441,7 @@
 fn nothing_is_evicted_while_the_cloud_has_no_replacements() {
     let mut sim = simulation_with_services(15, TWO);
     sim.cloud.capacity.clear();
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 40_000);
     assert_eq!(sim.disruption.evictions.get("web"), None, "evicted without a replacement");
     assert!(waits_for(&sim, "all").contains("the cloud has no small in zone"), "{}", waits_for(&sim, "all"));
@@ -449,7 +449,7 @@
         sim.cloud.capacity.insert((zone.into(), false), 8);
         sim.cloud.capacity.insert((zone.into(), true), 8);
     }
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     assert_all_services_run(&sim);
 }
@@ -470,11 +470,11 @@
         sim.run_until(sim.now + 1000);
         sim.workers.values_mut().for_each(|worker| worker.tasks_fail = true);
     }
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     let evicted = sim.disruption.evictions["web"];
     assert!(evicted <= 6, "{evicted} replicas were evicted although none of them runs again");
     sim.workers.values_mut().for_each(|worker| worker.tasks_fail = false);
-    assert!(sim.run_until_drain("all", "done", 600_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 600_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 70_000);
     assert_all_services_run(&sim);
 }
@@ -498,35 +498,35 @@
 /// next new leader.
 #[test]
 fn an_old_version_leads_for_a_while() {
-    let mut sim = Simulation::at(Site { operators: TWO, ..Site::small() }, 18);
+    let mut sim = Simulation::with_site(Site { operators: TWO, ..Site::small() }, 18);
     sim.disruption.limits.insert("web".into(), 2);
     sim.run_until(5000);
     if let Some(2) = sim.leader() {
-        sim.restart(2, 60_000);
+        sim.restart_controller(2, 60_000);
     }
-    sim.crash(2);
+    sim.crash_controller(2);
     sim.run_until(8000);
     sim.start_production_version(2);
     for n in 0..4 {
         sim.submit(&format!("job-{n:06}"), &service(3));
     }
     sim.run_until(40_000);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) == 0 {
         sim.run_until(sim.now + 100);
         assert!(sim.now < 80_000, "{:?}", sim.drain_status("all"));
     }
     let before = sim.disruption.evictions["web"];
     for node in [0, 1] {
-        sim.crash(node);
+        sim.crash_controller(node);
     }
     sim.run_until(sim.now + 8000);
     assert_eq!(sim.disruption.evictions["web"], before, "evicted under the old version");
     sim.upgrade_controller(2, 500);
     for node in [0, 1] {
-        sim.start(node);
+        sim.start_controller(node);
     }
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     assert_all_services_run(&sim);
 }
@@ -537,7 +537,7 @@
 fn gangs_count_whole() {
     const GANGS: &str = "[drains]\nenabled = yes\nmax_machines = 100%\n[budget crew/sync]\nmax_unavailable = 4\nbatch_wait_s = 10\n\
         evict_batch = checkpointed\n";
-    let mut sim = Simulation::at(Site { operators: GANGS, ..Site::small() }, 19);
+    let mut sim = Simulation::with_site(Site { operators: GANGS, ..Site::small() }, 19);
     let gang = |tasks: u64| {
         vec![
             ("Lane", json!("sync")),
@@ -554,9 +554,9 @@
         sim.submit(&format!("job-{:06}", 80 + n), &gang(3));
     }
     sim.run_until(40_000);
-    let running = |sim: &Simulation| (80..83).map(|n| sim.running(&format!("job-{n:06}"))).collect::<Vec<_>>();
+    let running = |sim: &Simulation| (80..83).map(|n| sim.running_tasks(&format!("job-{n:06}"))).collect::<Vec<_>>();
     assert_eq!(running(&sim), [3, 3, 3]);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let begun = sim.now;
     let mut fewest = 9;
     while sim.drain_phase("all") != "done" && sim.now < begun + 900_000 {
@@ -577,7 +577,7 @@
 fn consolidation_stays_within_the_budget() {
     const NONE: &str = "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0\n";
     let evictions = |operators: &'static str| {
-        let mut sim = Simulation::at(Site { operators, ..Site::small() }, 20);
+        let mut sim = Simulation::with_site(Site { operators, ..Site::small() }, 20);
         sim.disruption.limits.insert("web".into(), 2);
         for n in 0..12 {
             sim.submit(&format!("job-{n:06}"), &service(2));
@@ -587,7 +587,7 @@
             sim.cancel(&format!("job-{n:06}"));
         }
         sim.run_until(400_000);
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         sim.disruption.evictions.get("web").copied().unwrap_or(0)
     };
     assert!(evictions(TWO) > 0, "nothing is consolidated within the budget");
@@ -602,12 +602,12 @@
     sim.drain("all", json!({}), "replace");
     let replicas = |sim: &Simulation, machine: u64| {
         let tasks = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
-        tasks.filter(|task| sim.machine_of(task) == Some(machine)).count()
+        tasks.filter(|task| sim.machine_running(task) == Some(machine)).count()
     };
     let emptying = loop {
         sim.run_until(sim.now + 20);
         assert!(sim.now < 90_000, "no machine with replicas is being emptied");
-        if let Some(machine) = sim.machines_being_emptied().into_iter().find(|machine| replicas(&sim, *machine) > 0) {
+        if let Some(machine) = sim.draining_machines().into_iter().find(|machine| replicas(&sim, *machine) > 0) {
             break machine;
         }
     };
@@ -624,8 +624,8 @@
     sim.run_until(sim.now + 1500);
     assert!(sim.workers.contains_key(&emptying), "released with replicas on it");
     sim.heal_machine(emptying);
-    sim.start(leader);
-    assert!(sim.run_until_drain("all", "done", 500_000), "{:?}", sim.drain_status("all"));
+    sim.start_controller(leader);
+    assert!(sim.run_until_drain_phase("all", "done", 500_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 15_000);
     assert_all_services_run(&sim);
 }
@@ -665,6 +665,6 @@
     assert!(sim.run_until_drain("sick", "done", 300_000), "{:?}", sim.drain_status("sick"));
     assert!(!sim.workers.contains_key(&failing_machine));
     sim.run_until(sim.now + 15_000);
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
-    (0..3).for_each(|n| assert_eq!(sim.running(&format!("job-{n:06}")), 3, "replicas of job {n}"));
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
+    (0..3).for_each(|n| assert_eq!(sim.running_tasks(&format!("job-{n:06}")), 3, "replicas of job {n}"));
 }
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -370,7 +370,7 @@
             sim.run_until(sim.now + 2500);
             let machine = sim.machine_holding(GANG).expect("a running task of the gang");
             sim.faults.commands_held.insert(machine);
-            sim.cut_machine_for(machine, 18_000);
+            sim.partition_machine_for(machine, 18_000);
             sim.run_until(sim.now + 9000);
         }
         sim.end_all_faults();
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -12,7 +12,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{StoreStandIn, store_request};
+use support::{FakeStore, store_request};
 use warp::Filter;
 use warp::http::{Method, Response, StatusCode};
 
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -28,7 +28,7 @@
 
 impl Flood {
     fn at(site: Site, seed: u64, per_second: u64) -> Flood {
-        Flood { sim: Simulation::at(site, seed), per_second, flood_jobs: 0, quiet_jobs: 0, second: 0 }
+        Flood { sim: Simulation::with_site(site, seed), per_second, flood_jobs: 0, quiet_jobs: 0, second: 0 }
     }
 
     /// Overloaded controllers, with enough machines for all jobs that they admit.
@@ -83,7 +83,7 @@
     fn cancel_one(&mut self) {
         let open = |id: &&String| {
             let job = &self.sim.jobs[*id];
-            job.accepted && job.cancel_asked_at.is_none() && !matches!(job.last_status.as_str(), "done" | "aborted")
+            job.accepted && job.cancel_requested_at.is_none() && !matches!(job.last_status.as_str(), "done" | "aborted")
         };
         let newest = self.sim.jobs.keys().rev().filter(|id| id.as_str() < "job-900000").find(open).cloned();
         newest.into_iter().for_each(|id| self.sim.cancel(&id));
@@ -99,7 +99,7 @@
         self.sim.controllers.overloaded = false;
         self.sim.run_until(self.sim.now + 120_000);
         let sim = &self.sim;
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
         let refused = self.count(|job| job.refused > 0);
         assert!(refused > 30, "only {refused} of {} jobs were refused", self.flood_jobs);
@@ -162,9 +162,9 @@
         let mut flood = Flood::at(Site { machines: 4, value_kb: 8.0, operators, ..Site::small() }, 5, 3);
         flood.run(240, |_, _| {});
         flood.sim.run_until(flood.sim.now + 60_000);
-        let begun = |job: &support::UserJob| job.accepted && job.begun.is_some();
-        let accepted = flood.count(|job| job.accepted && job.cancel_asked_at.is_none());
-        (flood.count(|job| begun(job) && job.cancel_asked_at.is_none()) as f64) / accepted as f64
+        let begun = |job: &support::UserJob| job.accepted && job.first_task_started_at.is_some();
+        let accepted = flood.count(|job| job.accepted && job.cancel_requested_at.is_none());
+        (flood.count(|job| begun(job) && job.cancel_requested_at.is_none()) as f64) / accepted as f64
     };
     let (bounded, unbounded) = (begun_share(ALWAYS), begun_share("[admission]\nbound_backlog = never\n"));
     assert!(
@@ -179,7 +179,7 @@
         flood.run(150, |sim, second| {
             if second == 60 || second == 100 {
                 let node = leader(sim);
-                sim.restart(node, 5_000);
+                sim.restart_controller(node, 5_000);
             }
         });
         flood.check(10_000);
@@ -191,7 +191,7 @@
     for mut flood in [Flood::overloading_controllers(3), Flood::overloading_machines(3)] {
         flood.run(150, |sim, second| {
             if second == 60 {
-                (0..3).for_each(|node| sim.restart(node, 3_000));
+                (0..3).for_each(|node| sim.restart_controller(node, 3_000));
             }
         });
         flood.check(15_000);
@@ -203,7 +203,7 @@
     let mut flood = Flood::overloading_controllers(4);
     flood.run(150, |sim, second| {
         if second % 20 == 15 {
-            sim.restart((second / 20 % 3) as usize, 300);
+            sim.restart_controller((second / 20 % 3) as usize, 300);
         }
     });
     flood.check(20_000);
@@ -215,9 +215,9 @@
         flood.run(150, |sim, second| match second {
             60 => {
                 let node = leader(sim);
-                sim.isolate(node);
+                sim.isolate_controller(node);
             }
-            85 => sim.reconnect(),
+            85 => sim.end_isolation(),
             _ => {}
         });
         flood.check(30_000);
@@ -230,9 +230,9 @@
     flood.run(150, |sim, second| match second {
         50 => {
             let node = leader(sim);
-            sim.store.refused_nodes.insert(node);
+            sim.store.unavailable_to_nodes.insert(node);
         }
-        65 => sim.store.refused_nodes.clear(),
+        65 => sim.store.unavailable_to_nodes.clear(),
         90 => sim.store.down = true,
         100 => sim.store.down = false,
         _ => {}
@@ -247,13 +247,13 @@
     flood.run(150, |sim, second| match second {
         60 => {
             let follower = (0..3).find(|node| *node != leader(sim)).expect("a follower");
-            sim.isolate(follower);
+            sim.isolate_controller(follower);
         }
         62 => {
             let node = leader(sim);
-            sim.restart(node, 2_000);
+            sim.restart_controller(node, 2_000);
         }
-        66 => sim.reconnect(),
+        66 => sim.end_isolation(),
         _ => {}
     });
     flood.check(20_000);
@@ -268,7 +268,7 @@
     flood.run(150, |sim, second| match second {
         // The old version joins as a follower, and leads while the others are down.
         20 => sim.start_production_version(2),
-        50 => (0..2).for_each(|node| sim.restart(node, 6_000)),
+        50 => (0..2).for_each(|node| sim.restart_controller(node, 6_000)),
         80 => sim.upgrade_controller(2, 1_000),
         _ => {}
     });
@@ -338,7 +338,7 @@
     flood.run(120, |sim, second| {
         if second == 70 {
             let node = leader(sim);
-            sim.restart(node, 5_000);
+            sim.restart_controller(node, 5_000);
         }
     });
     let accepted = |from: u64, until: u64| flood.count(|job| (from * 1000..until * 1000).contains(&job.accepted_at));
--- a/tests/overload_processes.rs
+++ b/tests/overload_processes.rs
@@ -112,8 +112,8 @@
 /// Submits the flood for this many seconds; the leader is killed in the middle and restarted three seconds later.
 fn flood(name: &str, seconds: u64) -> (ProcessHarness, Users) {
     let mut harness = ProcessHarness::start(name, ALWAYS);
-    harness.stand_ins().most_machines = Some(2);
-    harness.until("a leader", || harness.stand_ins().leader());
+    harness.fake_services().max_machines = Some(2);
+    harness.wait_until("a leader", || harness.fake_services().leader());
     let mut users = Users::new();
     let mut killed = None;
     let step = Duration::from_millis(1000 / FLOOD_PER_S);
@@ -123,7 +123,7 @@
             users.add(&DESK);
         }
         if n == seconds * FLOOD_PER_S / 2 {
-            killed = harness.stand_ins().leader();
+            killed = harness.fake_services().leader();
             killed.into_iter().for_each(|node| harness.kill_node(node));
         }
         if n == seconds * FLOOD_PER_S / 2 + 3 * FLOOD_PER_S {
@@ -158,7 +158,7 @@
 #[ignore = "takes minutes"]
 fn results_of_a_five_minute_flood() {
     let (harness, mut users) = flood("overload-long", 300);
-    assert!(harness.stand_ins().broken.is_empty(), "{:?}", harness.stand_ins().broken);
+    assert!(harness.fake_services().violations.is_empty(), "{:?}", harness.fake_services().violations);
     for (class, outcome) in &mut users.outcomes {
         let (median, slow) = outcome.median_and_99th_ms();
         println!(
--- a/tests/production_compatibility.rs
+++ b/tests/production_compatibility.rs
@@ -101,7 +101,7 @@
         // The nodes restart with settings that announce the lower limits.
         sim.site = Site { next: Some((1.0, 4, 15.0)), ..before };
         for node in 0..3 {
-            sim.restart(node, 300);
+            sim.restart_controller(node, 300);
             sim.run_until(sim.now + 4000);
         }
         submit(&mut sim, 100, 5);
@@ -111,7 +111,7 @@
         submit(&mut sim, 200, 150);
         sim.end_all_faults();
         sim.run_until(sim.now + 60_000);
-        assert!(sim.broken_rules.is_empty(), "seed {seed}: {:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:?}", sim.violations);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "seed {seed}: {id}");
         }
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -130,10 +130,10 @@
         Fault::Start(n) => sim.start(*n),
         Fault::StoreDown(down) => sim.store.down = *down,
         Fault::RefuseNode(n, true) => {
-            sim.store.refused_nodes.insert(*n);
+            sim.store.unavailable_to_nodes.insert(*n);
         }
         Fault::RefuseNode(n, false) => {
-            sim.store.refused_nodes.remove(n);
+            sim.store.unavailable_to_nodes.remove(n);
         }
         Fault::LoseResponses(n) => sim.store.lost_answers = *n,
         Fault::CutMachine(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.cut_machine(m)),
@@ -162,7 +162,7 @@
         Fault::RestartNode(n, ms) => sim.restart(*n, *ms),
         Fault::CutMachineBriefly(n, ms) => {
             if let Some(m) = nth_machine(sim, *n) {
-                sim.cut_machine_for(m, *ms);
+                sim.partition_machine_for(m, *ms);
             }
         }
         Fault::LoseOutbound(n) => sim.faults.outbound_lost.extend(nth_machine(sim, *n)),
@@ -172,7 +172,7 @@
         Fault::RecheckEverywhere(on) => sim.users.recheck_everywhere = *on,
         Fault::CloudDown(down) => sim.cloud.unavailable = *down,
         Fault::RefuseOneThenAll(ms) => {
-            sim.store.refused_nodes.extend(sim.leader());
+            sim.store.unavailable_to_nodes.extend(sim.leader());
             let until = sim.now + ms;
             sim.run_until(until);
             sim.store.down = true;
@@ -217,7 +217,7 @@
             let before = sim.store.keys.get(&format!("drain/request/{name}")).cloned();
             if let Some((mut request, revision, _)) = before.filter(|(request, ..)| request["wanted"] != "cancel") {
                 request["wanted"] = json!(wanted);
-                sim.write_request(&name, &request, revision);
+                sim.write_drain_request(&name, &request, revision);
             }
         }
         Fault::SubmitBurst(jobs) => {
@@ -248,7 +248,7 @@
         at = at.max(sim.now) + gap;
         sim.run_until(at);
         inject(sim, fault);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     }
     Ok(at)
 }
@@ -281,7 +281,7 @@
         // All faults end, so that every accepted job has to end.
         sim.end_all_faults();
         sim.run_until(at + 300_000);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         check_all_ended(&sim)?;
     }
 
@@ -292,7 +292,7 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![4 => fault(), 1 => operator_action()]), 15..50),
     ) {
-        let mut sim = Simulation::at(Site { operators: ONE, ..Site::small() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: ONE, ..Site::small() }, seed);
         sim.disruption.limits.insert("render".into(), 1);
         for id in ["job-000001", "job-000007"] {
             sim.submit(id, &three_spread_replicas());
@@ -305,7 +305,7 @@
             inject(&mut sim, &Fault::ChangeDrain(n, 0));
         }
         sim.run_until(at + 500_000);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         check_all_ended(&sim)?;
         for name in (0..4).map(|n| format!("drain-{n}")).filter(|name| sim.store.keys.contains_key(&format!("drain/request/{name}"))) {
             let ended = matches!(sim.drain_phase(&name).as_str(), "done" | "cancelled" | "refused");
@@ -329,18 +329,18 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![2 => fault(), 1 => overload()]), 15..45),
     ) {
-        let mut sim = Simulation::at(Site { operators: "[admission]\nbound_backlog = always\n", ..Site::small() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: "[admission]\nbound_backlog = always\n", ..Site::small() }, seed);
         sim.submit("job-000001", &three_spread_replicas());
         sim.controllers.overloaded = true;
         let at = inject_in_turn(&mut sim, 8000, &faults)?;
         sim.end_all_faults();
         sim.controllers.overloaded = false;
         sim.run_until(at + 300_000);
-        prop_assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        prop_assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         prop_assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
         check_all_ended(&sim)?;
         for (id, job) in &sim.jobs {
-            prop_assert!(job.accepted || job.given_up || job.cancel_asked_at.is_some(), "{id} was lost: {}", job.last_status);
+            prop_assert!(job.accepted || job.given_up || job.cancel_requested_at.is_some(), "{id} was lost: {}", job.last_status);
         }
     }
 }
--- a/tests/scale_measurements.rs
+++ b/tests/scale_measurements.rs
@@ -36,7 +36,7 @@
 #[test]
 #[ignore = "takes minutes"]
 fn four_thousand_machines_lose_their_leader_and_the_state_service() {
-    let mut sim = Simulation::at(Site::four_thousand_machines(), 41);
+    let mut sim = Simulation::with_site(Site::four_thousand_machines(), 41);
     fill_nine_tenths(&mut sim);
     sim.run_until(140_000);
     println!("machines after 140 s: {}, replicas running and desired {:?}", sim.workers.len(), replicas(&sim));
@@ -77,7 +77,7 @@
 #[test]
 #[ignore = "takes minutes"]
 fn services_for_nine_tenths_of_the_room_find_a_place() {
-    let mut sim = Simulation::at(Site::four_thousand_machines(), 41);
+    let mut sim = Simulation::with_site(Site::four_thousand_machines(), 41);
     fill_nine_tenths(&mut sim);
     sim.run_until(140_000);
     let (running, desired) = replicas(&sim);
@@ -88,15 +88,15 @@
 /// emptied machines and that of all machines.
 fn drain_cost(site: Site, seed: u64) -> (Duration, Duration, u64, usize) {
     let run = |drain: bool| {
-        let mut sim = Simulation::at(Site { operators: BUDGETS, ..site.clone() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: BUDGETS, ..site.clone() }, seed);
         fill_nine_tenths(&mut sim);
         sim.run_until(110_000);
         sim.controllers.processing_time = Default::default();
         if drain {
-            sim.drain("all", json!({"zone": "a"}), "remove");
+            sim.start_drain("all", json!({"zone": "a"}), "remove");
         }
         sim.run_until(150_000);
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         let emptied = sim.drain_status("all").map_or(0, |status| status["emptied"].as_u64().unwrap_or(0));
         (sim.controllers.processing_time.0, emptied, sim.workers.len())
     };
--- a/tests/scenario_replay.rs
+++ b/tests/scenario_replay.rs
@@ -58,23 +58,23 @@
                 sim.crash(leader);
                 names.insert("crashed".into(), leader as u64);
             }
-            ("crash", ["all"]) => (0..3).for_each(|n| sim.crash(n)),
-            ("crash", [n]) => sim.crash(node(n)),
-            ("start", ["all"]) => (0..3).for_each(|n| sim.start(n)),
-            ("start", ["crashed"]) => sim.start(names["crashed"] as usize),
-            ("start", [n]) => sim.start(node(n)),
+            ("crash", ["all"]) => (0..3).for_each(|n| sim.crash_controller(n)),
+            ("crash", [n]) => sim.crash_controller(node(n)),
+            ("start", ["all"]) => (0..3).for_each(|n| sim.start_controller(n)),
+            ("start", ["crashed"]) => sim.start_controller(names["crashed"] as usize),
+            ("start", [n]) => sim.start_controller(node(n)),
             ("state", ["down"]) => sim.store.down = true,
             ("state", ["up"]) => sim.store.down = false,
             ("state", ["refuses", "leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 sim.store.refused_nodes.insert(leader);
             }
-            ("state", ["serves", "all"]) => sim.store.refused_nodes.clear(),
-            ("state", ["loses", n]) => sim.store.lost_answers = n.parse().expect("a count"),
-            ("state", ["writes", n]) => sim.store.writes_left = n.parse().ok(),
+            ("state", ["serves", "all"]) => sim.store.unavailable_to_nodes.clear(),
+            ("state", ["loses", n]) => sim.store.lost_responses = n.parse().expect("a count"),
+            ("state", ["writes", n]) => sim.store.transactions_until_outage = n.parse().ok(),
             ("cut", [m]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.cut_machine(m);
+                sim.partition_machine(m);
             }
             ("heal", [m]) => {
                 let m = machine(&sim, &mut names, m);
@@ -86,7 +86,7 @@
             }
             ("copies", [percent, seconds]) => {
                 let late: u64 = seconds.parse().expect("seconds");
-                sim.rules.check_registrations = true;
+                sim.invariants.check_reregistrations = true;
                 sim.faults.duplicate_heartbeats = (percent.parse().expect("a share"), late * 1000);
             }
             ("repeats", [percent, seconds]) => {
@@ -106,7 +106,7 @@
             }
             ("isolate", ["follower"]) => {
                 let follower = (0..3).find(|n| Some(*n) != sim.leader()).expect("three nodes");
-                sim.isolate(follower);
+                sim.isolate_controller(follower);
                 names.insert("isolated".into(), follower as u64);
             }
             ("cut-off-zone", ["leader"]) => {
@@ -116,21 +116,19 @@
                 names.insert("isolated".into(), leader as u64);
                 names.insert("crashed".into(), leader as u64);
             }
-            ("reconnect", []) => sim.reconnect(),
+            ("reconnect", []) => sim.end_isolation(),
             ("bounce", ["leader", ms]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 sim.restart(leader, ms.parse().expect("milliseconds"));
             }
-            ("bounce", [n, ms]) if n.starts_with('n') => sim.restart(node(n), ms.parse().expect("milliseconds")),
-            ("bounce", ["all", ms]) => (0..3).for_each(|n| sim.restart(n, ms.parse().expect("milliseconds"))),
             ("blink", [m, ms]) => {
                 let m = machine(&sim, &mut names, m);
-                sim.cut_machine_for(m, ms.parse().expect("milliseconds"));
+                sim.partition_machine_for(m, ms.parse().expect("milliseconds"));
             }
             ("probe", ["isolated"]) => sim.check_health(names["isolated"] as usize),
             ("ask", ["isolated", id]) => {
-                sim.users.slowest_answer_ms = 0;
-                sim.ask_controller(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
+                sim.users.slowest_response_ms = 0;
+                sim.send_user_request(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
             }
             ("mend", []) => sim.end_all_faults(),
             ("hold-commands", [m]) => {
@@ -272,13 +270,13 @@
             sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(2.0))]);
         }
         sim.run_until(12_000 + writes * 150);
-        sim.store.writes_left = Some(writes as u32);
+        sim.store.transactions_until_outage = Some(writes as u32);
         sim.run_until(22_000);
-        (0..3).for_each(|n| sim.crash(n));
-        sim.store.writes_left = None;
-        (0..3).for_each(|n| sim.start(n));
+        (0..3).for_each(|n| sim.crash_controller(n));
+        sim.store.transactions_until_outage = None;
+        (0..3).for_each(|n| sim.start_controller(n));
         sim.run_until(100_000);
-        assert!(sim.broken_rules.is_empty(), "after {writes} writes: {:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "after {writes} writes: {:?}", sim.violations);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "{id} after {writes} writes");
         }
@@ -299,9 +297,9 @@
             sim.submit(&format!("job-{n:06}"), &[("Pieces", json!(1)), ("RuntimeS", json!(2.0))]);
         }
         sim.run_until(42_000 + seed * 500);
-        (0..3).for_each(|n| sim.restart(n, 300));
+        (0..3).for_each(|n| sim.restart_controller(n, 300));
         sim.run_until(90_000);
-        assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "{id}");
         }
@@ -316,7 +314,7 @@
     sim.cloud.capacity.values_mut().for_each(|machines| *machines = 0);
     sim.submit("job-000001", &[]);
     sim.run_until(60_000);
-    (0..3).for_each(|n| sim.restart(n, 500));
+    (0..3).for_each(|n| sim.restart_controller(n, 500));
     sim.run_until(66_000);
     let leader = sim.leader().expect("a leader");
     let jobs = sim.controllers.processes[leader].as_ref().and_then(|c| c.leader()).expect("a term").jobs();
