--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -58,7 +58,7 @@
     harness.elect();
     let token = harness.node.leader().expect("a leader").token().0;
     let encoded: Vec<Vec<u8>> =
-        (0..1200).map(|n| serde_json::to_vec(&report(1 + n % MACHINES, 10 + n, token)).expect("JSON")).collect();
+        (0..1200).map(|n| serde_json::to_vec(&heartbeat(1 + n % MACHINES, 10 + n, token)).expect("JSON")).collect();
 
     let decoding = mean_allocations(encoded.len(), |n| drop(serde_json::from_slice::<Heartbeat>(&encoded[n as usize])));
     let heartbeats: Vec<Box<Heartbeat>> =
@@ -66,10 +66,10 @@
     let mut heartbeats = heartbeats.into_iter();
     // Time advances by three milliseconds per heartbeat, with ticks in between, so that planning rounds are included.
     let handling = mean_allocations(encoded.len(), |n| {
-        harness.later(3, Input::Heartbeat(RequestOrigin::Http(n), heartbeats.next().expect("one each")))
+        harness.handle_after(3, Input::Heartbeat(RequestOrigin::Http(n), heartbeats.next().expect("one each")))
     });
     let polling = mean_allocations(500, |n| {
-        harness.feed(Input::User(RequestOrigin::Http(n), UserRequest::Get("job-000012".into())))
+        harness.handle(Input::User(RequestOrigin::Http(n), UserRequest::Get("job-000012".into())))
     });
     let delayed_snapshot = allocations_per_tick_of_a_waiting_snapshot();
     println!("allocations: {delayed_snapshot} per tick while a snapshot waits");
--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -67,11 +67,11 @@
             let case = format!("{job} {fault:?}");
             let mut sim = service_and_batch(seed as u64);
             let old = sim.leader().expect("a leader");
-            sim.faults.unanswered_writes = (100, true);
+            sim.faults.writes_without_response = (100, true);
             sim.cancel(job);
             sim.run_until(sim.now + 300);
-            sim.faults.unanswered_writes = (0, false);
-            sim.isolate(old);
+            sim.faults.writes_without_response = (0, false);
+            sim.isolate_controller(old);
             // Direct commands of the successor are delayed, so that it fences no machine.
             let machines: Vec<u64> = sim.workers.keys().copied().collect();
             sim.faults.commands_held.extend(machines);
@@ -80,10 +80,10 @@
             assert_ne!(next, old, "{case}");
             match fault {
                 ConfirmerFault::NoFault => {}
-                ConfirmerFault::Crash => sim.crash(next),
-                ConfirmerFault::Isolated => sim.isolate(next),
+                ConfirmerFault::Crash => sim.crash_controller(next),
+                ConfirmerFault::Isolated => sim.isolate_controller(next),
                 ConfirmerFault::Succeeded => {
-                    sim.crash(next);
+                    sim.crash_controller(next);
                     sim.run_until(sim.now + 4000);
                 }
             }
@@ -115,7 +115,7 @@
     );
     for _ in 0..5 {
         let leader = sim.leader().expect("a leader");
-        sim.restart(leader, 3000);
+        sim.restart_controller(leader, 3000);
         sim.run_until(sim.now + 9000);
         // One heartbeat and its response get through.
         sim.faults.outbound_lost.remove(&machine);
@@ -129,7 +129,7 @@
     sim.run_until(sim.now + 5000);
     assert_no_rule_broken(&sim, "chain of new leaders");
     assert!(sim.now > 20_000 + sim.site.cancel_ms, "the chain of leaders is shorter than `cancel_s`");
-    assert_eq!(sim.running(SERVICE), 0);
+    assert_eq!(sim.running_tasks(SERVICE), 0);
 }
 
 /// A fault that begins at one moment; `Simulation::end_all_faults` ends all of them together.
@@ -140,7 +140,7 @@
     /// The leader is isolated from the state service and the other controllers, but not from workers and users.
     LeaderIsolated,
     /// A network partition separates the leader from all workers.
-    LeaderCutFromWorkers,
+    LeaderPartitionedFromWorkers,
     /// The leader is isolated together with its zone, in which workers still send it heartbeats.
     LeaderZoneIsolated,
     /// The leader crashes and restarts after 300 ms.
@@ -182,7 +182,7 @@
 const FAULTS: [Fault; 21] = [
     Fault::LeaderRefusedByStore,
     Fault::LeaderIsolated,
-    Fault::LeaderCutFromWorkers,
+    Fault::LeaderPartitionedFromWorkers,
     Fault::LeaderZoneIsolated,
     Fault::LeaderRestartsAtOnce,
     Fault::LeaderRestartsLate,
@@ -211,24 +211,24 @@
     /// Begins the fault; a fault of machines affects the machines of this job.
     fn begin_for(self, sim: &mut Simulation, job: &str) {
         let leader = sim.leader().unwrap_or(0);
-        let machines: Vec<u64> = (0..2).filter_map(|i| sim.machine_of(&format!("{job}/{i}"))).collect();
+        let machines: Vec<u64> = (0..2).filter_map(|i| sim.machine_running(&format!("{job}/{i}"))).collect();
         match self {
-            Fault::LeaderRefusedByStore => drop(sim.store.refused_nodes.insert(leader)),
-            Fault::LeaderIsolated => sim.isolate(leader),
-            Fault::LeaderCutFromWorkers => drop(sim.faults.cut_from_workers.insert(leader)),
+            Fault::LeaderRefusedByStore => drop(sim.store.unavailable_to_nodes.insert(leader)),
+            Fault::LeaderIsolated => sim.isolate_controller(leader),
+            Fault::LeaderPartitionedFromWorkers => drop(sim.faults.partitioned_from_workers.insert(leader)),
             Fault::LeaderZoneIsolated => sim.isolate_zone(support::zone_of(&sim.site.clone(), leader), leader),
-            Fault::LeaderRestartsAtOnce => sim.restart(leader, 300),
-            Fault::LeaderRestartsLate => sim.restart(leader, 6000),
+            Fault::LeaderRestartsAtOnce => sim.restart_controller(leader, 300),
+            Fault::LeaderRestartsLate => sim.restart_controller(leader, 6000),
             Fault::AllCrashOneRestarts => {
-                (0..3).for_each(|n| sim.crash(n));
-                sim.start_after(leader, 800);
+                (0..3).for_each(|n| sim.crash_controller(n));
+                sim.start_controller_after(leader, 800);
             }
-            Fault::AllDownBeyondLeases => (0..3).for_each(|n| sim.restart(n, 20_000)),
+            Fault::AllDownBeyondLeases => (0..3).for_each(|n| sim.restart_controller(n, 20_000)),
             Fault::StoreOutage => sim.store.down = true,
             Fault::StoreSlow => sim.faults.store_delay_ms = 300,
-            Fault::ResponsesLost => sim.faults.unanswered_writes = (100, true),
-            Fault::LateWrites => sim.faults.unanswered_writes = (50, false),
-            Fault::MachinesUnreachable => machines.into_iter().for_each(|m| sim.cut_machine(m)),
+            Fault::ResponsesLost => sim.faults.writes_without_response = (100, true),
+            Fault::LateWrites => sim.faults.writes_without_response = (50, false),
+            Fault::MachinesUnreachable => machines.into_iter().for_each(|m| sim.partition_machine(m)),
             Fault::InboundLost => sim.faults.inbound_lost.extend(machines),
             Fault::OutboundLost => sim.faults.outbound_lost.extend(machines),
             Fault::MachinesHang => machines.into_iter().for_each(|m| sim.hang_machine(m, 9000)),
@@ -239,7 +239,7 @@
             Fault::Duplicates => {
                 (sim.faults.duplicate_heartbeats, sim.faults.duplicate_requests) = ((60, 30_000), (60, 30_000))
             }
-            Fault::HeartbeatsDelayedToSuccessor => sim.faults.heartbeats_kept_percent = 100,
+            Fault::HeartbeatsDelayedToSuccessor => sim.faults.replayed_heartbeats_percent = 100,
             Fault::CloudUnavailable => sim.cloud.unavailable = true,
         }
     }
@@ -287,7 +287,7 @@
     assert_eq!(sim.jobs[limited].last_status, "aborted", "{case}");
     assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(limited), 0, "{case}");
     assert_all_ended(&sim, &[BATCH], &case);
-    let (cancels, queries) = sim.users.refused;
+    let (cancels, queries) = sim.users.refused_requests;
     println!(
         "{case}: {cancels} cancellations and {queries} queries refused, {} starts after a cancellation",
         sim.tasks.starts_after_cancellation
@@ -332,7 +332,7 @@
         Fault::LeaderRestartsLate,
         Fault::LeaderRefusedByStore,
         Fault::LeaderIsolated,
-        Fault::LeaderCutFromWorkers,
+        Fault::LeaderPartitionedFromWorkers,
     ] {
         for (n, offset) in (0..3600).step_by(300).enumerate() {
             let case = format!("{fault:?}, cancelled after {offset} ms");
@@ -360,7 +360,7 @@
             let case = format!("{offset} ms around the end, {lost} % of the responses lost");
             let mut sim = service_and_batch(offset);
             sim.submit("job-000009", &[("Pieces", json!(2)), ("RuntimeS", json!(4.0)), ("Cores", json!(1.0))]);
-            let all_running = |sim: &Simulation| sim.running("job-000009") == 2;
+            let all_running = |sim: &Simulation| sim.running_tasks("job-000009") == 2;
             while !all_running(&sim) {
                 assert!(sim.now < 60_000, "{case}: the job does not run");
                 sim.run_until(sim.now + 10);
@@ -417,7 +417,7 @@
                     assert!(sim.now < 60_000, "{case}: the filler job has not ended, so that no machine is idle");
                     sim.run_until(sim.now + 100);
                 }
-                assert_eq!(sim.running(first), 2, "{case}");
+                assert_eq!(sim.running_tasks(first), 2, "{case}");
                 fault.begin_for(&mut sim, first);
                 let begin = sim.now;
                 let mut steps = [(cancelled, 0), (changed, 1), (submitted, 2)];
@@ -529,7 +529,7 @@
         }
         if n == 200 || n == 320 {
             let leader = sim.leader().expect("a leader");
-            sim.restart(leader, 300);
+            sim.restart_controller(leader, 300);
         }
     }
     sim.end_all_faults();
@@ -557,7 +557,7 @@
             }
             if at == 4500 {
                 let leader = sim.leader().expect("a leader");
-                sim.restart(leader, 300);
+                sim.restart_controller(leader, 300);
             }
         }
         sim.run_until(80_000);
@@ -600,7 +600,7 @@
         sim.resubmit(SERVICE);
         sim.cancel("job-000020");
         let leader = sim.leader().expect("a leader");
-        sim.restart(leader, 300);
+        sim.restart_controller(leader, 300);
         sim.run_until(sim.now + 8000);
         assert_eq!(sim.jobs[SERVICE].submit_status, 200);
         assert_eq!((sim.jobs["job-000020"].cancel_status, sim.jobs["job-000020"].last_status.as_str()), (200, "done"));
@@ -616,7 +616,7 @@
         let mut sim = service_and_batch(slow);
         sim.faults.store_delay_ms = slow;
         let leader = sim.leader().expect("a leader");
-        sim.crash(leader);
+        sim.crash_controller(leader);
         sim.cancel(SERVICE);
         assert!(
             until_cancelled(&mut sim, SERVICE, 25_000),
--- a/tests/drain_processes.rs
+++ b/tests/drain_processes.rs
@@ -44,23 +44,23 @@
 fn replace_all(harness: &mut ProcessHarness, services: u32) -> f64 {
     let before = harness.fake_services().machine_ids();
     let begin = Instant::now();
-    let (code, output) = harness.drain(&["start", "all", "--all", "--replace"]);
+    let (code, output) = harness.run_drain_command(&["start", "all", "--all", "--replace"]);
     assert_eq!(code, 0, "{output}");
     assert_eq!(output["drains"][0]["status"]["phase"], "running", "{output}");
-    harness.until("an eviction", || harness.stand_ins().evictions.contains_key("live").then_some(()));
-    let leader = harness.stand_ins().leader().expect("a leader");
+    harness.wait_until("an eviction", || harness.fake_services().evictions.contains_key("live").then_some(()));
+    let leader = harness.fake_services().leader().expect("a leader");
     harness.kill_node(leader);
-    let cut = *harness.fake_services().machine_ids().last().expect("a machine");
-    harness.fake_services().set_partitioned(cut, true);
+    let unreachable = *harness.fake_services().machine_ids().last().expect("a machine");
+    harness.fake_services().set_partitioned(unreachable, true);
     harness.wait_until("another leader", || harness.fake_services().leader().filter(|node| *node != leader));
     harness.start_node(leader);
-    harness.fake_services().set_partitioned(cut, false);
+    harness.fake_services().set_partitioned(unreachable, false);
     harness.wait_until("the end of the drain", || (harness.drain_status("all")["phase"] == "done").then_some(()));
     let took = begin.elapsed().as_secs_f64();
     wait_until_all_run(harness, services);
-    let left: Vec<u64> = harness.stand_ins().machines().into_iter().filter(|id| before.contains(id)).collect();
+    let left: Vec<u64> = harness.fake_services().machine_ids().into_iter().filter(|id| before.contains(id)).collect();
     assert!(left.is_empty(), "machines from before the drain are left: {left:?}");
-    assert!(harness.stand_ins().broken.is_empty(), "{:?}", harness.stand_ins().broken);
+    assert!(harness.fake_services().violations.is_empty(), "{:?}", harness.fake_services().violations);
     took
 }
 
@@ -68,10 +68,10 @@
 fn an_operator_replaces_the_fleet_across_a_change_of_leader() {
     let mut harness = start_with_jobs("drains", BUDGETS, 4);
     // Exit codes distinguish the usual mistakes.
-    assert_eq!(harness.drain(&["status", "all"]).0, 3, "there is no drain yet");
-    assert_eq!(harness.drain(&["start", "Bad", "--all"]).0, 3, "a bad name");
-    assert_eq!(harness.drain(&["start", "nothing"]).0, 2, "no machines selected");
-    let (code, output) = harness.drain(&["start", "nowhere", "--zone", "nowhere"]);
+    assert_eq!(harness.run_drain_command(&["status", "all"]).0, 3, "there is no drain yet");
+    assert_eq!(harness.run_drain_command(&["start", "Bad", "--all"]).0, 3, "a bad name");
+    assert_eq!(harness.run_drain_command(&["start", "nothing"]).0, 2, "no machines selected");
+    let (code, output) = harness.run_drain_command(&["start", "nowhere", "--zone", "nowhere"]);
     assert_eq!((code, &output["error"]), (3, &json!("refused")), "{output}");
     assert!(output["reason"].as_str().is_some_and(|reason| reason.contains("no machine matches")), "{output}");
 
@@ -83,19 +83,19 @@
         "{highest:?}"
     );
     // An identical request under the same name is idempotent; a different one is refused.
-    assert_eq!(harness.drain(&["start", "all", "--all", "--replace"]).0, 0);
-    assert_eq!(harness.drain(&["start", "all", "--zone", "a"]).0, 3);
-    assert_eq!(harness.drain(&["cancel", "all"]).0, 3, "the drain is done");
+    assert_eq!(harness.run_drain_command(&["start", "all", "--all", "--replace"]).0, 0);
+    assert_eq!(harness.run_drain_command(&["start", "all", "--zone", "a"]).0, 3);
+    assert_eq!(harness.run_drain_command(&["cancel", "all"]).0, 3, "the drain is done");
 
     let phase = |arguments: &[&str]| harness.run_drain_command(arguments).1["drains"][0]["status"]["phase"].clone();
     assert_eq!(phase(&["start", "again", "--all", "--replace"]), "running");
     assert_eq!(phase(&["pause", "again"]), "paused");
     assert_eq!(phase(&["resume", "again"]), "running");
     assert_eq!(phase(&["cancel", "again"]), "cancelled");
-    assert_eq!(harness.drain(&["resume", "again"]).0, 3, "the drain was cancelled");
+    assert_eq!(harness.run_drain_command(&["resume", "again"]).0, 3, "the drain was cancelled");
     let gone = format!("m-{:06}", 999_999);
-    assert_eq!(harness.drain(&["start", "gone", "--machine", &gone]).0, 3);
-    assert!(harness.stand_ins().highest["live"] <= 2);
+    assert_eq!(harness.run_drain_command(&["start", "gone", "--machine", &gone]).0, 3);
+    assert!(harness.fake_services().peak_unavailable["live"] <= 2);
     wait_until_all_run(&harness, 4);
 }
 
@@ -106,12 +106,12 @@
     for services in [6, 16] {
         for (name, operators) in [("with", BUDGETS), ("without", NO_BUDGETS)] {
             let mut harness = start_with_jobs(&format!("rolling-{name}"), operators, services);
-            let machines = harness.stand_ins().machines().len();
+            let machines = harness.fake_services().machine_ids().len();
             let took = replace_all(&mut harness, services);
             let fake_services = harness.fake_services();
             println!(
                 "{machines} machines, {name} budgets: {took:.1} s, most unavailable at a time {:?}, evictions {:?}",
-                stand_ins.highest, stand_ins.evictions
+                fake_services.peak_unavailable, fake_services.evictions
             );
         }
     }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -37,7 +37,7 @@
 }
 
 fn assert_all_services_run(sim: &Simulation) {
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     for n in 0..4 {
         assert_eq!(sim.running_tasks(&format!("job-{n:06}")), 3, "replicas of job {n}");
     }
@@ -48,11 +48,11 @@
 fn a_fleet_is_replaced_within_the_budget() {
     let mut sim = simulation_with_services(1, TWO);
     let before: Vec<u64> = sim.workers.keys().copied().collect();
-    sim.drain("all", json!({}), "replace");
-    assert!(sim.run_until_drain("all", "done", 300_000), "{:?}", sim.drain_status("all"));
+    sim.start_drain("all", json!({}), "replace");
+    assert!(sim.run_until_drain_phase("all", "done", 300_000), "{:?}", sim.drain_status("all"));
     assert!(before.iter().all(|id| !sim.workers.contains_key(id)), "machines from before the drain are left");
     assert!(sim.disruption.evictions["web"] >= 12);
-    assert_eq!(sim.disruption.highest["web"], 2, "the drain does not use the whole budget");
+    assert_eq!(sim.disruption.peak_unavailable["web"], 2, "the drain does not use the whole budget");
     sim.run_until(sim.now + 10_000);
     assert_all_services_run(&sim);
 }
@@ -82,7 +82,7 @@
 fn leaders_end_at_each_step() {
     for offset in (0..6000).step_by(150) {
         let mut sim = simulation_with_services(2, TWO);
-        sim.drain("all", json!({}), "replace");
+        sim.start_drain("all", json!({}), "replace");
         // The first replacement machines have booted some eight seconds later; from then on charges and commands
         // alternate.
         for round in 0..4 {
@@ -101,7 +101,7 @@
 fn the_state_service_is_away_in_mid_drain() {
     for offset in (0..5000).step_by(500) {
         let mut sim = simulation_with_services(3, TWO);
-        sim.drain("all", json!({}), "replace");
+        sim.start_drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000 + offset);
         sim.store.down = true;
         sim.run_until(sim.now + 4000);
@@ -121,8 +121,8 @@
 fn transactions_are_carried_out_late_and_answers_are_lost() {
     for (seed, committed_at_once) in (10..22).zip([false, true].into_iter().cycle()) {
         let mut sim = simulation_with_services(seed, TWO);
-        sim.faults.unanswered_writes = (30, committed_at_once);
-        sim.drain("all", json!({}), "replace");
+        sim.faults.writes_without_response = (30, committed_at_once);
+        sim.start_drain("all", json!({}), "replace");
         for _ in 0..5 {
             sim.run_until(sim.now + 11_000);
             let leader = sim.leader();
@@ -141,12 +141,12 @@
 fn a_new_leader_that_misses_a_machine_evicts_nothing() {
     let mut sim = simulation_with_services(4, TWO);
     let occupied = machines_with_replicas(&sim);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 9000);
     let silent = *occupied.last().expect("a machine");
-    sim.cut_machine(silent);
+    sim.partition_machine(silent);
     let leader = sim.leader().expect("a leader");
-    sim.crash(leader);
+    sim.crash_controller(leader);
     while sim.leader().is_none() {
         sim.run_until(sim.now + 50);
     }
@@ -175,11 +175,11 @@
     const NONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 0\n";
     const ONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 1\n";
     let mut sim = simulation_with_services(5, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 2 {
         sim.run_until(sim.now + 20);
     }
-    sim.set_operators(NONE);
+    sim.set_disruption_policy(NONE);
     // Commands that are already in flight are executed.
     sim.run_until(sim.now + 4000);
     let before = sim.disruption.evictions["web"];
@@ -203,7 +203,7 @@
     let mut sim = simulation_with_services(6, WAIT);
     sim.submit("job-000050", &batch(2, 900.0));
     sim.run_until(sim.now + 20_000);
-    let batch_machines: Vec<u64> = (0..2).filter_map(|n| sim.machine_of(&format!("job-000050/{n}"))).collect();
+    let batch_machines: Vec<u64> = (0..2).filter_map(|n| sim.machine_running(&format!("job-000050/{n}"))).collect();
     let before: Vec<u64> = sim.workers.keys().copied().collect();
     sim.start_drain("all", json!({}), "replace");
     let begun = sim.now;
@@ -218,7 +218,7 @@
     assert!(reasons.contains("of crew/render on m-") && reasons.contains("ends within"), "{reasons}");
     assert!(sim.run_until_drain_phase("all", "done", begun + 240_000), "{:?}", sim.drain_status("all"));
     sim.run_until(sim.now + 20_000);
-    assert_eq!(sim.running("job-000050"), 2, "the evicted batch tasks do not run elsewhere");
+    assert_eq!(sim.running_tasks("job-000050"), 2, "the evicted batch tasks do not run elsewhere");
     assert_all_services_run(&sim);
 }
 
@@ -231,10 +231,10 @@
     let mut sim = simulation_with_services(24, ONE_MACHINE);
     sim.submit("job-000050", &batch(1, 900.0));
     sim.run_until(sim.now + 20_000);
-    let slow = sim.machine_of("job-000050/0").expect("the batch task does not run");
+    let slow = sim.machine_running("job-000050/0").expect("the batch task does not run");
     let others: Vec<u64> =
         machines_with_replicas(&sim).into_iter().filter(|machine| *machine != slow).take(2).collect();
-    sim.drain_machines("slow", &[slow]);
+    sim.start_drain_of_machines("slow", &[slow]);
     sim.run_until(sim.now + 20_000);
     assert_eq!(sim.draining_machines(), [slow]);
     sim.start_drain_of_machines("others", &others);
@@ -257,7 +257,7 @@
     assert_eq!(sim.jobs["job-000050"].last_status, "done");
     let starts: usize = (0..4).map(|n| sim.tasks.starts[&format!("job-000050/{n}")].len()).sum();
     assert_eq!(starts, 4, "a task was started twice");
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// Two drains, overlapping or not, in either order, share one budget: neither starves, and both replace all of their
@@ -285,7 +285,7 @@
 #[test]
 fn a_drain_is_paused_resumed_and_cancelled() {
     let mut sim = simulation_with_services(9, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
     }
@@ -303,12 +303,12 @@
     assert!(sim.run_until_drain_phase("all", "cancelled", sim.now + 10_000));
     sim.run_until(sim.now + 20_000);
     let (moved, left) = (sim.disruption.evictions["web"], machines_with_replicas(&sim));
-    assert!(sim.machines_being_emptied().is_empty(), "{:?}", sim.machines_being_emptied());
+    assert!(sim.draining_machines().is_empty(), "{:?}", sim.draining_machines());
     assert_all_services_run(&sim);
     // The machines accept tasks again: no machine is provisioned for a service that fits on them.
     sim.submit("job-000060", &[service(2), vec![("Lane", json!("other"))]].concat());
     sim.run_until(sim.now + 30_000);
-    assert_eq!(sim.running("job-000060"), 2);
+    assert_eq!(sim.running_tasks("job-000060"), 2);
     assert_eq!(
         (sim.disruption.evictions["web"], machines_with_replicas(&sim)),
         (moved, left),
@@ -320,7 +320,7 @@
 #[test]
 fn deleting_the_request_key_cancels_the_drain() {
     let mut sim = simulation_with_services(23, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
     }
@@ -328,11 +328,11 @@
     sim.run_until(sim.now + 8000);
     assert_eq!(sim.drain_phase("all"), "cancelled");
     let leader = sim.leader().expect("a leader");
-    sim.restart(leader, 300);
+    sim.restart_controller(leader, 300);
     sim.run_until(sim.now + 10_000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 20_000);
-    assert_eq!((sim.disruption.evictions["web"], sim.machines_being_emptied()), (before, Vec::new()));
+    assert_eq!((sim.disruption.evictions["web"], sim.draining_machines()), (before, Vec::new()));
     assert!(sim.drain_status("all").is_none(), "the status is stored although the request was deleted");
     assert_all_services_run(&sim);
 }
@@ -343,10 +343,10 @@
     const NONE: &str = "[drains]\nenabled = yes\n[budget crew/web]\nmax_unavailable = 5%\n";
     let mut sim = simulation_with_services(11, NONE);
     let existing = *sim.workers.keys().next().expect("a machine");
-    sim.drain("none", json!({}), "remove");
-    sim.drain("nowhere", json!({"zone": "nowhere"}), "remove");
-    sim.drain_machines("gone", &[999_999]);
-    assert_eq!(sim.write_request("Bad Name".replace(' ', "_").as_str(), &json!({"mode": 1}), 0), 200);
+    sim.start_drain("none", json!({}), "remove");
+    sim.start_drain("nowhere", json!({"zone": "nowhere"}), "remove");
+    sim.start_drain_of_machines("gone", &[999_999]);
+    assert_eq!(sim.write_drain_request("Bad Name".replace(' ', "_").as_str(), &json!({"mode": 1}), 0), 200);
     sim.run_until(sim.now + 8000);
     assert!(refusal(&sim, "none").contains("crew/web, whose budget of 5% is none of 12"), "{}", refusal(&sim, "none"));
     assert_eq!(refusal(&sim, "nowhere"), "no machine matches");
@@ -354,11 +354,11 @@
     assert!(refusal(&sim, "Bad_Name").contains("cannot be read"));
     // A second request under the same name fails, and the status of one for a machine in another drain notes that.
     let again = json!({"selector": {"machines": [existing]}, "mode": "remove", "wanted": "run"});
-    assert_eq!(sim.write_request("none", &again, 0), 409);
-    sim.set_operators(TWO);
-    sim.drain("first", json!({}), "remove");
+    assert_eq!(sim.write_drain_request("none", &again, 0), 409);
+    sim.set_disruption_policy(TWO);
+    sim.start_drain("first", json!({}), "remove");
     sim.run_until(sim.now + 4000);
-    sim.drain_machines("second", &[existing, 999_999]);
+    sim.start_drain_of_machines("second", &[existing, 999_999]);
     sim.run_until(sim.now + 5000);
     let notes = sim.drain_status("second").expect("a status")["notes"].to_string();
     assert!(notes.contains("gone already: m-999999") && notes.contains("in drain first already"), "{notes}");
@@ -370,8 +370,8 @@
 fn machines_are_provisioned_for_replicas_that_fit_nowhere_else() {
     let mut sim = simulation_with_services(12, TWO);
     let drained = machines_with_replicas(&sim);
-    sim.drain_machines("some", &drained);
-    assert!(sim.run_until_drain("some", "done", 300_000), "{:?}", sim.drain_status("some"));
+    sim.start_drain_of_machines("some", &drained);
+    assert!(sim.run_until_drain_phase("some", "done", 300_000), "{:?}", sim.drain_status("some"));
     assert!(drained.iter().all(|id| !sim.workers.contains_key(id)));
     sim.run_until(sim.now + 15_000);
     assert_all_services_run(&sim);
@@ -416,9 +416,9 @@
 fn machines_in_trouble_in_mid_drain() {
     for fault in 0..5 {
         let mut sim = simulation_with_services(14, TWO);
-        sim.drain("all", json!({}), "replace");
+        sim.start_drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000);
-        let emptying = sim.machines_being_emptied();
+        let emptying = sim.draining_machines();
         let machine = *emptying.first().or(machines_with_replicas(&sim).first()).expect("a machine");
         match fault {
             0 => drop(sim.faults.inbound_lost.insert(machine)),
@@ -430,7 +430,7 @@
         sim.run_until(sim.now + 40_000);
         sim.faults.duplicate_heartbeats = (0, 0);
         sim.heal_machine(machine);
-        assert!(sim.run_until_drain("all", "done", 500_000), "fault {fault}: {:?}", sim.drain_status("all"));
+        assert!(sim.run_until_drain_phase("all", "done", 500_000), "fault {fault}: {:?}", sim.drain_status("all"));
         sim.run_until(sim.now + 20_000);
         assert_all_services_run(&sim);
     }
@@ -458,7 +458,7 @@
 #[test]
 fn evictions_stop_at_the_budget_if_replacement_replicas_fail() {
     let mut sim = simulation_with_services(16, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let machines: Vec<u64> = sim.workers.keys().copied().collect();
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 1 {
         sim.run_until(sim.now + 20);
@@ -485,10 +485,10 @@
     const SPACED: &str =
         "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 3\nmin_interval_s = 6\n";
     let mut sim = simulation_with_services(17, SPACED);
-    sim.drain("all", json!({}), "replace");
-    assert!(sim.run_until_drain("all", "done", 600_000), "{:?}", sim.drain_status("all"));
+    sim.start_drain("all", json!({}), "replace");
+    assert!(sim.run_until_drain_phase("all", "done", 600_000), "{:?}", sim.drain_status("all"));
     // Commands reach workers up to one heartbeat interval apart, so that the gap may be shorter by that.
-    let gap = sim.disruption.least_gap["web"];
+    let gap = sim.disruption.min_eviction_interval_ms["web"];
     assert!(gap >= 4000, "two evictions are only {gap} ms apart");
     sim.run_until(sim.now + 15_000);
     assert_all_services_run(&sim);
@@ -569,7 +569,7 @@
     }
     assert_eq!(sim.drain_phase("all"), "done", "{:?}", sim.drain_status("all"));
     assert!(fewest < 9, "no gang was stopped");
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
 /// Consolidation is a voluntary disruption and is subject to the same budgets as drains.
@@ -599,7 +599,7 @@
 #[test]
 fn a_machine_that_has_not_answered_the_new_leader_is_not_returned_as_empty() {
     let mut sim = simulation_with_services(21, TWO);
-    sim.drain("all", json!({}), "replace");
+    sim.start_drain("all", json!({}), "replace");
     let replicas = |sim: &Simulation, machine: u64| {
         let tasks = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
         tasks.filter(|task| sim.machine_running(task) == Some(machine)).count()
@@ -611,9 +611,9 @@
             break machine;
         }
     };
-    sim.cut_machine(emptying);
+    sim.partition_machine(emptying);
     let leader = sim.leader().expect("a leader");
-    sim.crash(leader);
+    sim.crash_controller(leader);
     let loaded = |sim: &Simulation| {
         let term = |node: usize| sim.controllers.processes[node].as_ref().and_then(|node| node.leader());
         sim.leader().and_then(term).is_some_and(|term| term.is_loaded())
@@ -661,8 +661,8 @@
     sim.workers.values_mut().for_each(|worker| worker.tasks_fail = false);
     sim.run_until(sim.now + 60_000);
     assert!(sim.workers.contains_key(&failing_machine), "a quarantined machine was released with services on it");
-    sim.drain_machines("sick", &[failing_machine]);
-    assert!(sim.run_until_drain("sick", "done", 300_000), "{:?}", sim.drain_status("sick"));
+    sim.start_drain_of_machines("sick", &[failing_machine]);
+    assert!(sim.run_until_drain_phase("sick", "done", 300_000), "{:?}", sim.drain_status("sick"));
     assert!(!sim.workers.contains_key(&failing_machine));
     sim.run_until(sim.now + 15_000);
     assert!(sim.violations.is_empty(), "{:?}", sim.violations);
--- a/tests/effects_digest.rs
+++ b/tests/effects_digest.rs
@@ -207,10 +207,10 @@
     sim.submit(&job(11), &with(batch(3, 2.0, 25.0), &[("Loaners", json!(true))]));
     run_seconds(&mut sim, 0..240, |sim, second| match second {
         12 => sim.submit(&job(12), &gang(3)),
-        30 => sim.drain("all", json!({}), "replace"),
+        30 => sim.start_drain("all", json!({}), "replace"),
         42 => restart_leader(sim, 300),
         55 => sim.change_drain("all", "pause"),
-        60 => sim.set_operators(ONE_UNAVAILABLE),
+        60 => sim.set_disruption_policy(ONE_UNAVAILABLE),
         65 => sim.change_drain("all", "run"),
         72 => sim.start_drain("zone", json!({"zone": "a"}), "remove"),
         80 => sim.store.down = true,
@@ -221,8 +221,8 @@
             let leader = sim.leader().unwrap_or(0);
             sim.isolate_controller(leader);
         }
-        118 => sim.reconnect(),
-        130 => sim.set_operators(TWO_UNAVAILABLE),
+        118 => sim.end_isolation(),
+        130 => sim.set_disruption_policy(TWO_UNAVAILABLE),
         140 => sim.change_drain("zone", "cancel"),
         150 => {
             let machines = [nth_machine(sim, 0), nth_machine(sim, 2), 999_999];
@@ -262,8 +262,8 @@
         match second {
             33 | 73 => sim.cancel(&job(jobs_per_second * (second - 20))),
             45 => restart_leader(sim, 3000),
-            60 => sim.set_admission(BACKLOG_NEVER),
-            70 => sim.set_admission(BACKLOG_ALWAYS),
+            60 => sim.set_admission_policy(BACKLOG_NEVER),
+            70 => sim.set_admission_policy(BACKLOG_ALWAYS),
             80 => {
                 let leader = sim.leader().unwrap_or(0);
                 sim.isolate_controller(leader);
@@ -371,12 +371,12 @@
         16 => sim.store.down = false,
         25 => {
             let leader = sim.leader().unwrap_or(0);
-            sim.isolate(leader);
+            sim.isolate_controller(leader);
             request_many(sim, 1);
         }
         33 => sim.end_isolation(),
         40 => {
-            sim.faults.unanswered_writes = (100, true);
+            sim.faults.writes_without_response = (100, true);
             request_many(sim, 2);
         }
         44 => sim.end_all_faults(),
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -58,15 +58,15 @@
 }
 
 fn is_gathering(sim: &Simulation) -> bool {
-    !sim.machines_awaiting_gang(GANG).is_empty() && sim.running(GANG) == 0
+    !sim.machines_awaiting_gang(GANG).is_empty() && sim.running_tasks(GANG) == 0
 }
 
 fn all_run(sim: &Simulation) -> bool {
-    sim.running(GANG) == 3
+    sim.running_tasks(GANG) == 3
 }
 
 fn assert_no_rule_broken(sim: &Simulation, case: &str) {
-    assert!(sim.broken_rules.is_empty(), "{case}: {:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
 /// State of the gang when a fault or cancellation occurs.
@@ -97,7 +97,7 @@
         GangState::Checkpointing => {
             assert!(run_until_condition(&mut sim, 60_000, all_run), "seed {seed}: the gang does not run");
             sim.run_until(sim.now + 3000);
-            let machine = sim.machine_of("job-000001/0").expect("a running task of the gang");
+            let machine = sim.machine_running("job-000001/0").expect("a running task of the gang");
             sim.send_reclaim_notice(machine, 4);
             run_until_condition(&mut sim, 8000, |s| s.checkpointing_tasks(GANG) > 0)
         }
@@ -114,7 +114,7 @@
     let mut reported_running = false;
     while sim.now < 80_000 && sim.jobs[GANG].last_status != "done" {
         sim.run_until(sim.now + 20);
-        assert!(matches!(sim.running(GANG), 0 | 3), "only some of the tasks run");
+        assert!(matches!(sim.running_tasks(GANG), 0 | 3), "only some of the tasks run");
         reported_running |= sim.jobs[GANG].last_status == "running";
     }
     assert_no_rule_broken(&sim, "without faults");
@@ -148,7 +148,7 @@
             if let Some(ms) = crash_after_ms {
                 sim.run_until(sim.now + ms);
                 let leader = sim.leader().expect("a leader");
-                sim.restart(leader, 3000);
+                sim.restart_controller(leader, 3000);
             }
             sim.run_until(sim.now + 60_000);
             assert_no_rule_broken(&sim, &case);
@@ -196,13 +196,13 @@
                 Hangs => sim.hang_machine(machine, 11_000),
                 InboundLost => drop(sim.faults.inbound_lost.insert(machine)),
                 OutboundLost => drop(sim.faults.outbound_lost.insert(machine)),
-                Unreachable => sim.cut_machine(machine),
-                BrieflyUnreachable => sim.cut_machine_for(machine, 400),
+                Unreachable => sim.partition_machine(machine),
+                BrieflyUnreachable => sim.partition_machine_for(machine, 400),
                 LeaderCrashes => {
                     let leader = sim.leader().expect("a leader");
-                    sim.restart(leader, 5000);
+                    sim.restart_controller(leader, 5000);
                 }
-                AllControllersCrash => (0..3).for_each(|node| sim.restart(node, 4000)),
+                AllControllersCrash => (0..3).for_each(|node| sim.restart_controller(node, 4000)),
             }
             sim.run_until(sim.now + 30_000);
             sim.end_all_faults();
@@ -258,7 +258,7 @@
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("Loaners", json!(true)), ("RuntimeS", json!(40.0))]));
         assert!(run_until_condition(&mut sim, 60_000, all_run), "seed {seed}");
         sim.run_until(sim.now + 7100);
-        let machine = sim.machine_of("job-000001/1").expect("a running task of the gang");
+        let machine = sim.machine_running("job-000001/1").expect("a running task of the gang");
         sim.send_reclaim_notice(machine, 6);
         sim.run_until(sim.now + 8000);
         let saved = sim.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
@@ -277,7 +277,7 @@
     for seed in 0..5 {
         let (mut sim, _) = simulation_in_state(seed, GangState::Checkpointing);
         let leader = sim.leader().expect("a leader");
-        sim.restart(leader, 4000);
+        sim.restart_controller(leader, 4000);
         sim.run_until(sim.now + 100_000);
         assert_no_rule_broken(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
@@ -295,13 +295,13 @@
         sim.submit(GANG, &gang(&[&long_running[..], &rare_slow_checkpoints[..]].concat()));
         assert!(run_until_condition(&mut sim, 60_000, all_run), "seed {seed}");
         sim.run_until(sim.now + 8000);
-        let noticed = sim.machine_of("job-000001/0").expect("a running task of the gang");
-        let inbound_lost = sim.machine_of("job-000001/2").expect("a running task of the gang");
+        let noticed = sim.machine_running("job-000001/0").expect("a running task of the gang");
+        let inbound_lost = sim.machine_running("job-000001/2").expect("a running task of the gang");
         sim.faults.inbound_lost.insert(inbound_lost);
         sim.send_reclaim_notice(noticed, 14);
         assert!(run_until_condition(&mut sim, 14_000, |s| s.checkpointing_tasks(GANG) == 2), "seed {seed}");
         let leader = sim.leader().expect("a leader");
-        sim.restart(leader, 6000);
+        sim.restart_controller(leader, 6000);
         sim.faults.inbound_lost.remove(&inbound_lost);
         sim.run_until(sim.now + 9000);
         let saved = sim.gangs.saved_progress_ms.get(GANG).copied().unwrap_or(0);
@@ -322,9 +322,9 @@
         sim.submit(GANG, &gang(&[("Cores", json!(4.0)), ("RuntimeS", json!(30.0))]));
         assert!(run_until_condition(&mut sim, 60_000, all_run), "seed {seed}");
         let leader = sim.leader().expect("a leader");
-        sim.restart(leader, 8000);
-        let machine = sim.machine_of("job-000001/1").expect("a running task of the gang");
-        sim.cut_machine_for(machine, 4200);
+        sim.restart_controller(leader, 8000);
+        let machine = sim.machine_running("job-000001/1").expect("a running task of the gang");
+        sim.partition_machine_for(machine, 4200);
         sim.run_until(sim.now + 60_000);
         assert_no_rule_broken(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gang_attempts(GANG)), ("done", 1), "seed {seed}");
@@ -390,7 +390,7 @@
             [("Crew", json!("small")), ("Cores", json!(1.0)), ("Pieces", json!(4)), ("RuntimeS", json!(60.0))];
         sim.submit(GANG, &gang(&limited));
         sim.submit("job-000002", &[("Crew", json!("small")), ("Cores", json!(1.0)), ("RuntimeS", json!(3.0))]);
-        assert!(run_until_condition(&mut sim, 60_000, |s| s.running(GANG) == 4), "seed {seed}");
+        assert!(run_until_condition(&mut sim, 60_000, |s| s.running_tasks(GANG) == 4), "seed {seed}");
         let zone = sim.zone_of_machine(sim.machine_holding(GANG).expect("a running task of the gang"));
         let leader = sim.leader().expect("a leader");
         sim.isolate_zone(&zone, leader);
@@ -430,7 +430,7 @@
         assert_eq!(job.last_status, "done", "{id}");
     }
     for id in [GANG, "job-000002"] {
-        let waited = sim.jobs[id].begun.expect("the gang has not begun") - sim.jobs[id].accepted_at;
+        let waited = sim.jobs[id].first_task_started_at.expect("the gang has not begun") - sim.jobs[id].accepted_at;
         assert!(waited < 150_000, "{id} waited {waited} ms");
         assert_eq!(sim.gang_attempts(id), 1, "{id} was started before there was capacity for all of its tasks");
     }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -49,7 +49,7 @@
 
 #[derive(Default)]
 struct Fakes {
-    store: StoreStandIn,
+    store: FakeStore,
     /// Tasks of the only worker: attempt number, and the task's name and state.
     tasks: BTreeMap<u64, (String, &'static str)>,
     token: u64,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -101,7 +101,7 @@
         let sim = &self.sim;
         assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         assert!(sim.decisions.disagreements.is_empty(), "{:?}", sim.decisions.disagreements);
-        let refused = self.count(|job| job.refused > 0);
+        let refused = self.count(|job| job.rejections > 0);
         assert!(refused > 30, "only {refused} of {} jobs were refused", self.flood_jobs);
         for n in 0..self.quiet_jobs {
             let id = format!("job-{:06}", FIRST_QUIET_JOB + n);
@@ -112,7 +112,7 @@
             assert_eq!(job.last_status, "done", "{id} of the quiet team");
         }
         for (id, job) in &sim.jobs {
-            if let Some(asked) = job.cancel_asked_at {
+            if let Some(asked) = job.cancel_requested_at {
                 assert_eq!(job.cancel_status, 200, "{id}: response to the cancellation requested at {asked}");
             }
             assert!(
@@ -264,7 +264,7 @@
 #[test]
 fn an_old_version_beside_new_ones_in_a_flood() {
     let mut flood = Flood::overloading_controllers(8);
-    flood.sim.crash(2);
+    flood.sim.crash_controller(2);
     flood.run(150, |sim, second| match second {
         // The old version joins as a follower, and leads while the others are down.
         20 => sim.start_production_version(2),
--- a/tests/overload_processes.rs
+++ b/tests/overload_processes.rs
@@ -78,7 +78,7 @@
                 continue;
             }
             let sent_at = Instant::now();
-            let status = harness.offer(pending.node, &pending.id, pending.profile.clone(), 1.0);
+            let status = harness.try_submit(pending.node, &pending.id, pending.profile.clone(), 1.0);
             let outcome = self.outcomes.get_mut(pending.profile.class).expect("a known class");
             outcome.attempts += 1;
             outcome.response_times_ms.push(sent_at.elapsed().as_millis() as u64);
@@ -139,7 +139,7 @@
 #[test]
 fn all_controllers_refuse_a_flood_and_admit_the_quiet_class_although_the_leader_is_killed() {
     let (harness, users) = flood("overload", 32);
-    assert!(harness.stand_ins().broken.is_empty(), "{:?}", harness.stand_ins().broken);
+    assert!(harness.fake_services().violations.is_empty(), "{:?}", harness.fake_services().violations);
     let (code, output) = harness.admission_status();
     assert_eq!((code, &output["refusing"]), (0, &json!(true)), "{output}");
     let pairs = output["status"]["refused"].as_array().expect("pairs");
--- a/tests/production_compatibility.rs
+++ b/tests/production_compatibility.rs
@@ -107,7 +107,7 @@
         submit(&mut sim, 100, 5);
         (sim.store.value_bytes, sim.store.txn_ops) = (1024, 4);
         let leader = sim.leader().expect("a leader");
-        sim.restart(leader, 300);
+        sim.restart_controller(leader, 300);
         submit(&mut sim, 200, 150);
         sim.end_all_faults();
         sim.run_until(sim.now + 60_000);
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -15,7 +15,7 @@
     StoreDown(bool),
     RefuseNode(usize, bool),
     LoseResponses(u32),
-    CutMachine(u64),
+    PartitionMachine(u64),
     HealMachine(u64),
     DelayCommands(u64),
     CrashMachine(u64),
@@ -25,12 +25,12 @@
     DuplicateHeartbeats(u64, u64),
     DuplicateRequests(u64, u64),
     Isolate(usize),
-    CutFromWorkers(usize),
+    PartitionFromWorkers(usize),
     IsolateZone(usize),
-    ReconnectToWorkers,
+    EndWorkerPartition,
     Reconnect,
     RestartNode(usize, u64),
-    CutMachineBriefly(u64, u64),
+    PartitionMachineBriefly(u64, u64),
     LoseOutbound(u64),
     HangMachine(u64, u64),
     LateWrites(u64, bool),
@@ -88,7 +88,7 @@
         1 => any::<bool>().prop_map(Fault::StoreDown),
         1 => (node.clone(), any::<bool>()).prop_map(|(n, d)| Fault::RefuseNode(n, d)),
         1 => (1u32..4).prop_map(Fault::LoseResponses),
-        2 => machine.clone().prop_map(Fault::CutMachine),
+        2 => machine.clone().prop_map(Fault::PartitionMachine),
         3 => machine.clone().prop_map(Fault::HealMachine),
         2 => machine.clone().prop_map(Fault::DelayCommands),
         1 => machine.clone().prop_map(Fault::CrashMachine),
@@ -99,11 +99,11 @@
         1 => (0u64..60, 500u64..40_000).prop_map(|(n, late)| Fault::DuplicateRequests(n, late)),
         1 => node.clone().prop_map(Fault::Isolate),
         1 => Just(Fault::Reconnect),
-        1 => node.clone().prop_map(Fault::CutFromWorkers),
-        1 => Just(Fault::ReconnectToWorkers),
+        1 => node.clone().prop_map(Fault::PartitionFromWorkers),
+        1 => Just(Fault::EndWorkerPartition),
         2 => node.clone().prop_map(Fault::IsolateZone),
         2 => (node.clone(), 50u64..900).prop_map(|(n, ms)| Fault::RestartNode(n, ms)),
-        1 => (machine.clone(), 50u64..900).prop_map(|(m, ms)| Fault::CutMachineBriefly(m, ms)),
+        1 => (machine.clone(), 50u64..900).prop_map(|(m, ms)| Fault::PartitionMachineBriefly(m, ms)),
         1 => machine.clone().prop_map(Fault::LoseOutbound),
         2 => (machine, 1000u64..30_000).prop_map(|(m, ms)| Fault::HangMachine(m, ms)),
         1 => (0u64..90, any::<bool>()).prop_map(|(share, at_once)| Fault::LateWrites(share, at_once)),
@@ -125,9 +125,9 @@
 fn inject(sim: &mut Simulation, fault: &Fault) {
     let name = |n: u8| format!("job-{:06}", n % 12);
     match fault {
-        Fault::Crash(n) => sim.crash(*n),
-        Fault::CrashAll => (0..3).for_each(|n| sim.crash(n)),
-        Fault::Start(n) => sim.start(*n),
+        Fault::Crash(n) => sim.crash_controller(*n),
+        Fault::CrashAll => (0..3).for_each(|n| sim.crash_controller(n)),
+        Fault::Start(n) => sim.start_controller(*n),
         Fault::StoreDown(down) => sim.store.down = *down,
         Fault::RefuseNode(n, true) => {
             sim.store.unavailable_to_nodes.insert(*n);
@@ -135,8 +135,8 @@
         Fault::RefuseNode(n, false) => {
             sim.store.unavailable_to_nodes.remove(n);
         }
-        Fault::LoseResponses(n) => sim.store.lost_answers = *n,
-        Fault::CutMachine(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.cut_machine(m)),
+        Fault::LoseResponses(n) => sim.store.lost_responses = *n,
+        Fault::PartitionMachine(n) => nth_machine(sim, *n).into_iter().for_each(|m| sim.partition_machine(m)),
         Fault::HealMachine(n) => {
             if let Some(m) = nth_machine(sim, *n) {
                 sim.heal_machine(m);
@@ -154,21 +154,21 @@
         Fault::LoseInbound(n) => sim.faults.inbound_lost.extend(nth_machine(sim, *n)),
         Fault::DuplicateHeartbeats(share, late) => sim.faults.duplicate_heartbeats = (*share, *late),
         Fault::DuplicateRequests(share, late) => sim.faults.duplicate_requests = (*share, *late),
-        Fault::CutFromWorkers(n) => drop(sim.faults.cut_from_workers.insert(*n)),
+        Fault::PartitionFromWorkers(n) => drop(sim.faults.partitioned_from_workers.insert(*n)),
         Fault::IsolateZone(n) => sim.isolate_zone(support::zone_of(&sim.site.clone(), *n), *n),
-        Fault::ReconnectToWorkers => sim.faults.cut_from_workers.clear(),
-        Fault::Isolate(n) => sim.isolate(*n),
-        Fault::Reconnect => sim.reconnect(),
-        Fault::RestartNode(n, ms) => sim.restart(*n, *ms),
-        Fault::CutMachineBriefly(n, ms) => {
+        Fault::EndWorkerPartition => sim.faults.partitioned_from_workers.clear(),
+        Fault::Isolate(n) => sim.isolate_controller(*n),
+        Fault::Reconnect => sim.end_isolation(),
+        Fault::RestartNode(n, ms) => sim.restart_controller(*n, *ms),
+        Fault::PartitionMachineBriefly(n, ms) => {
             if let Some(m) = nth_machine(sim, *n) {
                 sim.partition_machine_for(m, *ms);
             }
         }
         Fault::LoseOutbound(n) => sim.faults.outbound_lost.extend(nth_machine(sim, *n)),
         Fault::HangMachine(n, ms) => nth_machine(sim, *n).into_iter().for_each(|m| sim.hang_machine(m, *ms)),
-        Fault::LateWrites(share, at_once) => sim.faults.unanswered_writes = (*share, *at_once),
-        Fault::DelayHeartbeatsToSuccessor(share) => sim.faults.heartbeats_kept_percent = *share,
+        Fault::LateWrites(share, at_once) => sim.faults.writes_without_response = (*share, *at_once),
+        Fault::DelayHeartbeatsToSuccessor(share) => sim.faults.replayed_heartbeats_percent = *share,
         Fault::RecheckEverywhere(on) => sim.users.recheck_everywhere = *on,
         Fault::CloudDown(down) => sim.cloud.unavailable = *down,
         Fault::RefuseOneThenAll(ms) => {
@@ -209,7 +209,7 @@
             let mode = if what & 4 == 0 { "replace" } else { "remove" };
             let request = json!({"selector": {"matching": filter[(what % 4) as usize]}, "mode": mode, "wanted": "run"});
             // The write fails if there is a drain of this name, or while the state service is down.
-            sim.write_request(&format!("drain-{n}"), &request, 0);
+            sim.write_drain_request(&format!("drain-{n}"), &request, 0);
         }
         Fault::ChangeDrain(n, what) => {
             let name = format!("drain-{n}");
@@ -231,7 +231,7 @@
             }
         }
         Fault::SetOverload(on) => sim.controllers.overloaded = *on,
-        Fault::ChangeBudgets(first) => sim.set_operators(if *first { ONE } else { HALF }),
+        Fault::ChangeBudgets(first) => sim.set_disruption_policy(if *first { ONE } else { HALF }),
         Fault::Cancel(n) => {
             if sim.jobs.contains_key(&name(*n)) {
                 sim.cancel(&name(*n));
@@ -257,7 +257,12 @@
 fn check_all_ended(sim: &Simulation) -> Result<(), TestCaseError> {
     for (id, job) in sim.jobs.iter().filter(|(_, j)| j.accepted) {
         let ended = matches!(job.last_status.as_str(), "done" | "aborted");
-        prop_assert!(ended || sim.running(id) == 3, "{id} is {} with {} running", job.last_status, sim.running(id));
+        prop_assert!(
+            ended || sim.running_tasks(id) == 3,
+            "{id} is {} with {} running",
+            job.last_status,
+            sim.running_tasks(id)
+        );
     }
     Ok(())
 }
--- a/tests/rolling_upgrade.rs
+++ b/tests/rolling_upgrade.rs
@@ -117,11 +117,11 @@
 fn the_switch_meets_each_trouble_of_the_state_service() {
     type Fault = (&'static str, fn(&mut Simulation));
     let faults: [Fault; 7] = [
-        ("responses lost", |sim| sim.faults.unanswered_writes = (100, true)),
-        ("late writes", |sim| sim.faults.unanswered_writes = (60, false)),
+        ("responses lost", |sim| sim.faults.writes_without_response = (100, true)),
+        ("late writes", |sim| sim.faults.writes_without_response = (60, false)),
         ("duplicates", |sim| sim.faults.duplicate_requests = (100, 20_000)),
         ("slow state service", |sim| sim.faults.store_delay_ms = 300),
-        ("leader refused", |sim| sim.store.refused_nodes.extend(sim.leader())),
+        ("leader refused", |sim| sim.store.unavailable_to_nodes.extend(sim.leader())),
         ("outage", |sim| sim.store.down = true),
         ("leader crash", |sim| {
             let leader = sim.leader().unwrap_or(0);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -42,7 +42,7 @@
     assert!((150..220).contains(&sim.on_demand_machines()), "{} on-demand machines", sim.on_demand_machines());
     sim.run_until(60_000);
     let leader = sim.leader().expect("a leader");
-    sim.crash(leader);
+    sim.crash_controller(leader);
     sim.run_until(66_000);
     sim.start_controller(leader);
     sim.end_all_faults();
@@ -92,12 +92,12 @@
     let dead = *sim.workers.keys().nth(machines / 2).expect("a machine");
     sim.kill_machine(dead);
     let leader = sim.leader().expect("a leader");
-    sim.restart(leader, 5000);
+    sim.restart_controller(leader, 5000);
     sim.run_until(66_500);
     assert!(sim.all_machines_fenced(), "not all machines are fenced, so that older jobs are not started");
     sim.run_until(80_000);
     let within = sim.machines_in_zone("c");
-    sim.cut_zone("c");
+    sim.partition_zone("c");
     // The zone's tasks run until their leases expire, and its machines are kept.
     sim.run_until(118_000);
     assert!(sim.machines_in_zone("c") > within / 2, "{} of {within} machines are left", sim.machines_in_zone("c"));
@@ -127,7 +127,7 @@
     // After the lease of 16 s, the margin for its certain expiry and the start, nearly all replicas run; the last one
     // waits for a boot.
     sim.run_until(60_000);
-    let running: usize = sim.jobs.keys().map(|id| sim.running(id)).sum();
+    let running: usize = sim.jobs.keys().map(|id| sim.running_tasks(id)).sum();
     assert!(running >= 46, "{running} of 48 replicas run");
     sim.run_until(70_000);
     assert_all_served(&sim);
@@ -176,7 +176,7 @@
     sim.partition_zone("c");
     sim.run_until(41_000);
     let leader = sim.leader().expect("a leader");
-    sim.restart(leader, 400);
+    sim.restart_controller(leader, 400);
     for at in (60..160).step_by(5) {
         sim.run_until(at * 1000);
         assert!(sim.machines_in_zone("c") <= 1, "{} machines in the lost zone after {at} s", sim.machines_in_zone("c"));
--- a/tests/scale_measurements.rs
+++ b/tests/scale_measurements.rs
@@ -30,7 +30,9 @@
 /// Numbers of running and of desired replicas.
 fn replicas(sim: &Simulation) -> (usize, usize) {
     let services = sim.jobs.iter().filter(|(id, _)| id.as_str() < "job-100000");
-    services.fold((0, 0), |(running, desired), (id, job)| (running + sim.running(id), desired + job.pieces() as usize))
+    services.fold((0, 0), |(running, desired), (id, job)| {
+        (running + sim.running_tasks(id), desired + job.task_count() as usize)
+    })
 }
 
 #[test]
@@ -42,7 +44,7 @@
     println!("machines after 140 s: {}, replicas running and desired {:?}", sim.workers.len(), replicas(&sim));
     assert!(sim.workers.len() >= 4000, "{} machines", sim.workers.len());
     let leader = sim.leader().expect("a leader");
-    sim.restart(leader, 5000);
+    sim.restart_controller(leader, 5000);
     let lost_at = sim.now;
     while sim.all_machines_fenced() || sim.now < lost_at + 500 {
         sim.run_until(sim.now + 50);
@@ -67,7 +69,7 @@
     sim.run_until(sim.now + 40_000);
     let (running, desired) = replicas(&sim);
     println!("after the outage: replicas running and desired {:?}", (running, desired));
-    assert!(sim.broken_rules.is_empty(), "{:?}", sim.broken_rules);
+    assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     assert!(running >= before, "{running} of {desired} replicas run, {before} before the outage");
     println!("longest input of a node: {:?}", sim.controllers.processing_time.1);
 }
--- a/tests/scenario_replay.rs
+++ b/tests/scenario_replay.rs
@@ -30,10 +30,10 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         let time: f64 = words[0].parse().unwrap_or_else(|_| panic!("{location}: no time"));
         sim.run_until(1000 + (time * 1000.0) as u64);
-        assert!(sim.broken_rules.is_empty(), "{location}: {:?}", sim.broken_rules);
+        assert!(sim.violations.is_empty(), "{location}: {:?}", sim.violations);
         let machine = |sim: &Simulation, names: &mut HashMap<String, u64>, word: &str| -> u64 {
             if let Some(task) = word.strip_prefix("of:") {
-                let id = sim.machine_of(task).unwrap_or_else(|| panic!("{location}: {task} runs on no machine"));
+                let id = sim.machine_running(task).unwrap_or_else(|| panic!("{location}: {task} runs on no machine"));
                 names.insert("it".into(), id);
                 return id;
             }
@@ -55,7 +55,7 @@
             ("cancel", [id]) => sim.cancel(id),
             ("crash", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
-                sim.crash(leader);
+                sim.crash_controller(leader);
                 names.insert("crashed".into(), leader as u64);
             }
             ("crash", ["all"]) => (0..3).for_each(|n| sim.crash_controller(n)),
@@ -67,7 +67,7 @@
             ("state", ["up"]) => sim.store.down = false,
             ("state", ["refuses", "leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
-                sim.store.refused_nodes.insert(leader);
+                sim.store.unavailable_to_nodes.insert(leader);
             }
             ("state", ["serves", "all"]) => sim.store.unavailable_to_nodes.clear(),
             ("state", ["loses", n]) => sim.store.lost_responses = n.parse().expect("a count"),
@@ -95,12 +95,12 @@
             }
             ("lose-workers", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
-                sim.faults.cut_from_workers.insert(leader);
+                sim.faults.partitioned_from_workers.insert(leader);
                 names.insert("crashed".into(), leader as u64);
             }
             ("isolate", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
-                sim.isolate(leader);
+                sim.isolate_controller(leader);
                 names.insert("crashed".into(), leader as u64);
                 names.insert("isolated".into(), leader as u64);
             }
@@ -119,7 +119,7 @@
             ("reconnect", []) => sim.end_isolation(),
             ("bounce", ["leader", ms]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
-                sim.restart(leader, ms.parse().expect("milliseconds"));
+                sim.restart_controller(leader, ms.parse().expect("milliseconds"));
             }
             ("blink", [m, ms]) => {
                 let m = machine(&sim, &mut names, m);
@@ -179,7 +179,7 @@
             assert_eq!(leaders.to_string(), **n, "{location}");
         }
         ["told", id, status] => assert_eq!(sim.jobs[*id].last_status, *status, "{location}"),
-        ["running", id, n] => assert_eq!(sim.running(id).to_string(), **n, "{location}"),
+        ["running", id, n] => assert_eq!(sim.running_tasks(id).to_string(), **n, "{location}"),
         ["submit", id, status] => assert_eq!(sim.jobs[*id].submit_status.to_string(), **status, "{location}"),
         ["cancel", id, status] => assert_eq!(sim.jobs[*id].cancel_status.to_string(), **status, "{location}"),
         ["starts", task, n] => {
@@ -188,16 +188,16 @@
         ["machines", n] => assert_eq!(sim.workers.len().to_string(), **n, "{location}"),
         ["gone", m] => assert!(!sim.workers.contains_key(&names[*m]), "{location}: {m} has not been released"),
         ["kept", m] => assert!(sim.workers.contains_key(&names[*m]), "{location}: {m} was released"),
-        ["moved", task] => assert_ne!(sim.machine_of(task), names.get("it").copied(), "{location}"),
+        ["moved", task] => assert_ne!(sim.machine_running(task), names.get("it").copied(), "{location}"),
         ["answers", "within", ms] => {
             assert!(
-                sim.users.slowest_answer_ms <= ms.parse().expect("milliseconds"),
+                sim.users.slowest_response_ms <= ms.parse().expect("milliseconds"),
                 "{location}: the slowest response took {} ms",
-                sim.users.slowest_answer_ms
+                sim.users.slowest_response_ms
             );
         }
         ["answered", id, "within", ms] => {
-            let ago = sim.now - sim.jobs[*id].answered_at;
+            let ago = sim.now - sim.jobs[*id].status_received_at;
             assert!(
                 ago <= ms.parse().expect("milliseconds"),
                 "{location}: the last response about {id} is {ago} ms old"
