--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -26,7 +26,7 @@
 
 /// A simulation with services of twelve replicas in all, each of which runs.
 fn simulation_with_services(seed: u64, operators: &'static str) -> Simulation {
-    let mut sim = Simulation::at(Site { operators, ..Site::small() }, seed);
+    let mut sim = Simulation::with_site(Site { operators, ..Site::small() }, seed);
     sim.disruption.limits.insert("web".into(), 2);
     for n in 0..4 {
         sim.submit(&format!("job-{n:06}"), &service(3));
--- a/tests/production_compatibility.rs
+++ b/tests/production_compatibility.rs
@@ -84,7 +84,7 @@
 fn the_state_service_lowers_its_limits() {
     for seed in 0..4 {
         let before = Site { value_kb: 8.0, page: 1000, snapshot_every: 30, ..Site::small() };
-        let mut sim = Simulation::at(before.clone(), seed);
+        let mut sim = Simulation::with_site(before.clone(), seed);
         // Submissions during the relocation of the leader key are rejected and retried one by one, so that no large
         // value would be written.
         sim.run_until(6000);
--- a/tests/rolling_upgrade.rs
+++ b/tests/rolling_upgrade.rs
@@ -55,7 +55,7 @@
         }
         sim.run_until(sim.now + 5000);
         assert_eq!(sim.controllers.production_version[&2].elections, 1, "{case}: elections won by the old node");
-        assert_eq!(sim.controllers.production_version[&2].misread, Vec::<String>::new(), "{case}");
+        assert_eq!(sim.controllers.production_version[&2].incompatible_entries, Vec::<String>::new(), "{case}");
         assert_readable_by_production(&sim, &case);
         sim.run_until(sim.now + 4000);
         assert!(!leader_key_moved(&sim), "{case}");
--- a/tests/scenario_replay.rs
+++ b/tests/scenario_replay.rs
@@ -121,6 +121,12 @@
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 sim.restart_controller(leader, ms.parse().expect("milliseconds"));
             }
+            ("bounce", [n, ms]) if n.starts_with('n') => {
+                sim.restart_controller(node(n), ms.parse().expect("milliseconds"))
+            }
+            ("bounce", ["all", ms]) => {
+                (0..3).for_each(|n| sim.restart_controller(n, ms.parse().expect("milliseconds")))
+            }
             ("blink", [m, ms]) => {
                 let m = machine(&sim, &mut names, m);
                 sim.partition_machine_for(m, ms.parse().expect("milliseconds"));
