--- a/benches/leader.rs
+++ b/benches/leader.rs
@@ -1,5 +1,5 @@
-//! What a leader of 2,080 machines costs, half as many again as the largest deployment: an election until every
-//! machine is fenced, a report, a poll, a submission. It has a third of a core.
+//! Benchmarks of a leader of 2,080 machines, 1.5 times the size of the largest deployment: an election until all
+//! machines are fenced, a heartbeat, a status query and a submission. The CPU budget of a leader is a third of a core.
 
 #[path = "../tests/support/leader_harness.rs"]
 mod leader_harness;
@@ -11,24 +11,24 @@
 
 const MACHINES: u64 = 2080;
 
-fn leader(c: &mut Criterion) {
+fn bench_leader(c: &mut Criterion) {
     let log = log_entries(MACHINES);
     let mut group = c.benchmark_group("a leader of 2,080 machines");
     group.sample_size(10);
     group.bench_function("an election until all are fenced", |b| b.iter(|| LeaderHarness::new(&log).elect()));
     let mut harness = LeaderHarness::new(&log);
     harness.elect();
-    let token = harness.node.leader().expect("it leads").token().0;
-    let mut seq = 1;
+    let token = harness.node.leader().expect("the node is the leader").token().0;
+    let mut sequence = 1;
     group.sample_size(100);
-    group.bench_function("a report of 16 running tasks", |b| {
+    group.bench_function("a heartbeat with 16 running tasks", |b| {
         b.iter(|| {
-            seq += 1;
-            let (id, origin) = (1 + seq % MACHINES, RequestOrigin::Http(seq));
-            harness.handle_after(3, Input::Heartbeat(origin, Box::new(heartbeat(id, seq, token))));
+            sequence += 1;
+            let (id, origin) = (1 + sequence % MACHINES, RequestOrigin::Http(sequence));
+            harness.handle_after(3, Input::Heartbeat(origin, Box::new(heartbeat(id, sequence, token))));
         });
     });
-    group.bench_function("a poll of a running job", |b| {
+    group.bench_function("a status query for a running job", |b| {
         let name = "job-000412".to_string();
         b.iter(|| harness.handle(Input::User(RequestOrigin::Http(1), UserRequest::Get(name.clone()))));
     });
@@ -43,6 +43,6 @@
 
 fn main() {
     let mut criterion = Criterion::default().configure_from_args();
-    leader(&mut criterion);
+    bench_leader(&mut criterion);
     criterion.final_summary();
 }
