--- a/benches/node.rs
+++ b/benches/node.rs
@@ -5,7 +5,7 @@
 //! only services; and a leader whose machines run batch tasks while users submit jobs and query them. The environment
 //! variables `MACHINES` (default 246) and `REPORT_S` (the heartbeat interval, default 2 s) set the load. It runs on
 //! Linux only, because CPU time and memory are read from `/proc`. `cargo bench --bench node` prints a line for each
-//! phase and compares with no limit.
+//! phase and asserts no limits.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -133,7 +133,7 @@
 }
 
 /// Runs a worker: executes the leader's commands and sends a heartbeat at the interval with a jitter of 25%, or as soon
-/// as 0.5 s after the last one when a task has changed. After a failed heartbeat it switches to the other node.
+/// as 0.5 s after the last one when a task has changed. After a failed heartbeat it tries the other node, 1 s later.
 async fn run_worker(shared: Arc<Mutex<Shared>>, name: String, nodes: Vec<SocketAddr>, heartbeat_interval_s: f64) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let worker = Arc::new(Mutex::new(Worker {
--- a/tests/characterization/responses.rs
+++ b/tests/characterization/responses.rs
@@ -99,14 +99,14 @@
     fn follower() -> Node {
         let mut node = Node::new(SETTINGS);
         node.state_service_responds = false;
-        node.feed(Input::PeerLinkChanged("n1".into(), true));
-        node.feed(Input::LeaderAnnounced("n1".into(), FencingToken(41)));
+        node.handle(Input::PeerLinkChanged("n1".into(), true));
+        node.handle(Input::LeaderAnnounced("n1".into(), FencingToken(41)));
         node
     }
 
-    /// Feeds an input to the controller, then the responses to all requests that it makes in turn, without advancing
+    /// Passes an input to the controller, then the responses to all requests that it makes in turn, without advancing
     /// the clock.
-    fn feed(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for effect in self.controller.handle(self.now, WallClock::from_millis(1_700_000_000_123), input) {
@@ -133,7 +133,7 @@
     fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 50 {
             self.now = self.now + Duration::from_millis(50);
-            self.feed(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
@@ -152,7 +152,7 @@
     fn response_to(&mut self, input: impl FnOnce(RequestOrigin) -> Input) -> String {
         self.requests += 1;
         let origin = RequestOrigin::Http(self.requests);
-        self.feed(input(origin));
+        self.handle(input(origin));
         self.run_until(|node| node.responses.iter().any(|(to, _)| *to == origin));
         let (_, response) = self.responses.iter().find(|(to, _)| *to == origin).expect("a response");
         format!("{} retry-after={} {}", response.status, response.retry_after, response.body)
@@ -346,7 +346,7 @@
     let entry = TableEntry { pair: TeamClassPair::new("vision", "train"), ratio: Ratio::from_share(0.0) };
     let number = TableNumber { token: FencingToken(41), sequence: 1 };
     let table = AdmissionTable::new(number, 3, [entry], [412].into_iter().collect());
-    node.feed(Input::AdmissionTableReceived(Box::new(table)));
+    node.handle(Input::AdmissionTableReceived(Box::new(table)));
     for id in [413, 414, 415] {
         let refused = node.submit(&submission(&[("Ref", json!(JobId(id).to_string()))]));
         responses.push(example(format!("submit:refused-{id}"), refused));
--- a/tests/documentation/page.rs
+++ b/tests/documentation/page.rs
@@ -7,7 +7,8 @@
     pub text: String,
 }
 
-/// Returns the texts between backticks. A span may continue on the next line, but not across an empty line.
+/// Returns the code spans, which are the texts between backticks. A span may continue on the next line, but not across
+/// an empty line. Fenced code blocks are not recognized as such.
 pub fn code_spans(page: &str) -> Vec<Mention> {
     let mut spans = Vec::new();
     let mut open: Option<Mention> = None;
