--- a/crates/disruption/src/record_store.rs
+++ b/crates/disruption/src/record_store.rs
@@ -1,7 +1,7 @@
 //! Writes the records that the coordinator desires to the state service, and polls the requests of operators.
 //!
 //! At most one request is in flight. Every write is conditional on the revision at which this leader last read or
-//! was_write each key, so that a transaction that is executed late, after newer ones, fails and changes nothing. If the
+//! wrote each key, so that a transaction that is executed late, after newer ones, fails and changes nothing. If the
 //! outcome of a write is unknown or one of its conditions failed, the store reads all keys again and writes those that
 //! differ from the desired records.
 
