--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -157,7 +157,7 @@
     pub machines: Vec<MemberMachine>,
 }
 
-/// A machine of a drain. Stored as a pair of ID and time to keep records small.
+/// A machine of a drain. Stored as a pair of ID and time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(MachineId, WallClock)", into = "(MachineId, WallClock)")]
 pub struct MemberMachine {
