--- a/tests/support/admission.rs
+++ b/tests/support/admission.rs
@@ -1,25 +1,28 @@
-//! Users whose submissions are refused by an admission table, load as controllers measure it, and a check that nodes agree.
+//! Users whose submissions are rejected by an admission table, the load that controllers measure, and a check that all
+//! nodes decide alike.
 
 use super::*;
 use caperstile::types::JobId;
 use caperstile_admission::{TableNumber, Utilization};
 
-/// Users give up this long after their first try.
+/// Time after the first submission at which a user gives up, in milliseconds.
 const GIVE_UP_MS: u64 = 60_000;
-/// What inputs wait for at an overloaded controller.
-const QUEUEING: Duration = Duration::from_millis(800);
+/// Queueing delay of inputs at an overloaded controller.
+const INPUT_DELAY: Duration = Duration::from_millis(800);
 
-/// What nodes decided by their tables: the same table must give the same answer for a job on every node.
+/// Decisions of the nodes by their admission tables. The same table must give the same decision for a job on every
+/// node.
 #[derive(Debug, Default)]
 pub struct AdmissionDecisions {
     by_table: HashMap<(TableNumber, JobId), bool>,
-    /// Refusals by node.
+    /// Number of rejections by each node.
     pub refused_by: BTreeMap<usize, u64>,
-    /// Jobs that were answered differently by the same table.
+    /// Jobs that the same table both rejected and admitted.
     pub disagreements: Vec<String>,
 }
 
-/// The job that an input submits, if the node does not know it yet. A known one is answered with its state.
+/// Returns the job that an input submits; None if the node already knows the job, since it then responds with the job's
+/// status.
 pub(super) fn submission_of(controller: &Controller, input: &Input) -> Option<(RequestOrigin, JobId)> {
     let Input::User(origin, UserRequest::Submit(body)) = input else { return None };
     let body: Value = serde_json::from_slice(body).ok()?;
@@ -30,42 +33,42 @@
 }
 
 impl AdmissionDecisions {
-    /// Notes what a node did with a submission.
-    pub(super) fn note(
+    /// Records a node's decision on a submission.
+    pub(super) fn record_decision(
         &mut self,
         node: usize,
-        number: Option<TableNumber>,
-        asked: Option<(RequestOrigin, JobId)>,
+        table_number: Option<TableNumber>,
+        submission: Option<(RequestOrigin, JobId)>,
         effects: &[Effect],
     ) {
-        let Some((origin, job)) = asked else { return };
-        let answer = effects.iter().find_map(|effect| match effect {
-            Effect::Respond(to, answer) if *to == origin => Some(answer.status),
+        let Some((origin, job)) = submission else { return };
+        let response = effects.iter().find_map(|effect| match effect {
+            Effect::Respond(to, response) if *to == origin => Some(response.status),
             _ => None,
         });
-        let admitted = answer != Some(429);
+        let admitted = response != Some(429);
         if !admitted {
             *self.refused_by.entry(node).or_default() += 1;
         }
-        // A node in doubt answers 503, whatever its table says.
-        let Some(number) = number.filter(|_| answer != Some(503)) else { return };
-        let before = self.by_table.insert((number, job), admitted);
+        // A node that is in doubt about its leadership responds with 503 whatever its table decides.
+        let Some(table_number) = table_number.filter(|_| response != Some(503)) else { return };
+        let before = self.by_table.insert((table_number, job), admitted);
         if before.is_some_and(|before| before != admitted) {
-            self.disagreements.push(format!("{job} by {number:?}: refused and admitted"));
+            self.disagreements.push(format!("{job}: both rejected and admitted by table {table_number:?}"));
         }
     }
 }
 
 impl Simulation {
-    /// Tells a node how busy it is, once a second, while the controllers are overloaded.
+    /// Reports full utilization and queueing to a node once a second while the controllers are overloaded.
     pub(super) fn report_load(&mut self, node: usize) {
         if self.controllers.overloaded && self.now % 1000 < 50 {
-            self.handle_input(node, Input::InputDelay(QUEUEING));
+            self.handle_input(node, Input::InputDelay(INPUT_DELAY));
             self.handle_input(node, Input::Utilization(Utilization(1.0)));
         }
     }
 
-    /// Other settings of admission come into force at all controllers.
+    /// Applies other admission settings to all controllers.
     pub fn set_admission_policy(&mut self, operators: &'static str) {
         self.site.operators = operators;
         for node in 0..self.site.nodes {
@@ -74,18 +77,20 @@
         }
     }
 
-    /// A user whose submission was refused comes back when told to, unless a minute is over.
-    pub(super) fn refused_by_table(&mut self, id: &str, call: UserRequest, retry_after_s: u16) {
+    /// Handles a rejected submission: its user retries after the requested time, unless that is more than 60 s after
+    /// the first try.
+    pub(super) fn submission_rejected_by_table(&mut self, id: &str, request: UserRequest, retry_after_s: u16) {
         let retry_after = 1000 * u64::from(retry_after_s).max(1);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else { return };
         if retry_after > 30_000 {
-            self.violations.push(format!("{now} {id} is to come back after {retry_after_s} s"));
+            self.violations
+                .push(format!("{now} long_retry: {id} must retry after {retry_after_s} s; the maximum is 30 s"));
         }
         job.rejections += 1;
         job.given_up = now + retry_after > job.submitted_at + GIVE_UP_MS;
         if !job.given_up {
-            self.schedule(retry_after, Event::UserRequest(id.to_string(), call));
+            self.schedule(retry_after, Event::UserRequest(id.to_string(), request));
         }
     }
 }
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -1,30 +1,31 @@
-//! The cloud's stand-in: machine types, rentals, releases and the list of machines.
+//! The fake cloud: machine types, provisioning, releases and the list of machines.
 //!
-//! A request for machines of the same name is answered with the same machines. A machine boots for `boot_ms`, and its worker reports
-//! from then on.
+//! Provisioning is idempotent: a repeated request with the same name returns the same machines. A machine boots for
+//! `boot_ms`; then its worker sends heartbeats.
 
 use super::*;
 
-/// Machines in one page of the cloud's list.
+/// Maximum number of machines in one page of the list.
 const LIST_PAGE: usize = 500;
 
-/// The cloud's state.
+/// The fake cloud's state.
 #[derive(Debug, Default)]
 pub struct FakeCloud {
-    /// Machines that were rented so far; the last one has this number.
-    rented_count: u64,
-    /// Machines by the name of the request that rented them.
-    rentals: HashMap<String, Vec<u64>>,
-    /// Machines that are left, by zone and whether they are spot machines.
+    /// Number of machines provisioned so far, which is also the number of the last one.
+    provisioned_count: u64,
+    /// Machines by the name of the request that provisioned them.
+    provisioned: HashMap<String, Vec<u64>>,
+    /// Machines still available, by zone and whether they are spot instances.
     pub capacity: BTreeMap<(String, bool), u32>,
-    /// It answers nothing but 503.
+    /// Whether the cloud answers every request with 503.
     pub unavailable: bool,
-    /// Machines that were released, and when.
+    /// Release time in milliseconds of each released machine.
     pub(super) released_at: BTreeMap<u64, u64>,
 }
 
 impl FakeCloud {
-    /// A cloud that has as many machines of each zone and kind as this deployment may rent.
+    /// Returns a cloud that has, in each zone and for each purchase model, the number of machines that the deployment
+    /// may use.
     pub(super) fn with_capacity(site: &Site) -> FakeCloud {
         let of_zone =
             |zone: &&str| [((zone.to_string(), false), site.machines), ((zone.to_string(), true), site.machines)];
@@ -32,21 +33,21 @@
     }
 }
 
-/// An answer that names machines.
+/// Returns the body of a response that lists machines by name.
 fn machine_names(ids: &[u64]) -> Value {
     json!({"Hosts": ids.iter().map(|id| MachineId(*id).to_string()).collect::<Vec<_>>()})
 }
 
 impl Simulation {
-    /// Status and body of the cloud's answer.
+    /// Handles a request; returns the status and body of the response.
     pub(super) fn handle_cloud_request(&mut self, request: &CloudRequest) -> (u16, Value) {
         if self.cloud.unavailable {
-            return (503, json!({"error": "trouble"}));
+            return (503, json!({"error": "unavailable"}));
         }
         match request {
             CloudRequest::MachineTypes => (200, self.machine_types()),
             CloudRequest::ScaleOut(request) => {
-                self.rent_machines(&request.request_name, &request.zone, request.spot, request.count)
+                self.provision_machines(&request.request_name, &request.zone, request.spot, request.count)
             }
             CloudRequest::ScaleIn(ids) => {
                 ids.iter().for_each(|id| self.release_machine(id.0));
@@ -62,32 +63,32 @@
             "BootS": self.site.boot_ms as f64 / 1000.0, "Yards": self.site.zones}]})
     }
 
-    fn rent_machines(&mut self, request_name: &str, zone: &str, spot: bool, wanted: u32) -> (u16, Value) {
-        if let Some(ids) = self.cloud.rentals.get(request_name) {
+    fn provision_machines(&mut self, request_name: &str, zone: &str, spot: bool, requested: u32) -> (u16, Value) {
+        if let Some(ids) = self.cloud.provisioned.get(request_name) {
             return (200, machine_names(ids));
         }
-        let left = self.cloud.capacity.entry((zone.to_string(), spot)).or_insert(0);
-        let count = wanted.min(*left);
+        let available = self.cloud.capacity.entry((zone.to_string(), spot)).or_insert(0);
+        let count = requested.min(*available);
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
-        *left -= count;
+        *available -= count;
         let mut ids = Vec::new();
         for _ in 0..count {
-            self.cloud.rented_count += 1;
-            let id = self.cloud.rented_count;
+            self.cloud.provisioned_count += 1;
+            let id = self.cloud.provisioned_count;
             ids.push(id);
             let is_partitioned = self.faults.partitioned_zones.contains(zone);
             self.workers.insert(id, Worker::booting(zone, spot, is_partitioned));
             self.schedule(self.site.boot_ms, Event::MachineBooted(id));
         }
-        let answer = machine_names(&ids);
-        self.cloud.rentals.insert(request_name.to_string(), ids);
-        (200, answer)
+        let response = machine_names(&ids);
+        self.cloud.provisioned.insert(request_name.to_string(), ids);
+        (200, response)
     }
 
     fn release_machine(&mut self, id: u64) {
-        self.note_return_of_machine(id);
+        self.note_machine_release(id);
         self.cloud.released_at.entry(id).or_insert(self.now);
         if let Some(w) = self.workers.remove(&id) {
             *self.cloud.capacity.entry((w.zone, w.spot)).or_insert(0) += 1;
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,38 +1,39 @@
-//! The controllers under test: started, ended, fed with inputs, and their effects carried out against the stand-ins.
+//! The controllers under test: starts and stops their processes, passes inputs to them, and applies their effects to
+//! the fakes and simulated workers.
 
 use super::*;
 
-/// Milliseconds between two ticks of a controller.
+/// Interval between two ticks of a controller, in milliseconds.
 const TICK_MS: u64 = 50;
-/// A request that gets no answer is given up by its controller after so many milliseconds.
-const NO_ANSWER_MS: u64 = 950;
+/// Time after which a controller gives up on a request to the state service that gets no response, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 950;
 const COMMAND_TIMEOUT_MS: u64 = 1500;
-/// What the wall clock says when simulated time begins.
+/// Wall-clock time at the start of simulated time, in milliseconds since the Unix epoch.
 const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
 
-/// The controllers' processes, by number.
+/// The controllers' processes, indexed by node number.
 #[derive(Default)]
 pub struct Controllers {
-    /// Those that are up.
+    /// The running processes; None for a controller that is down.
     pub processes: Vec<Option<Controller>>,
-    /// How often each was started: what was meant for an earlier process does not reach a later one.
+    /// Number of times that each controller was started. Inputs addressed to an earlier process are dropped.
     pub(super) epochs: Vec<u64>,
-    /// When each was started last.
+    /// Simulated time of each controller's last start, in milliseconds.
     started_at: Vec<u64>,
-    /// Stand-ins for controllers of the version in production.
-    pub production_version: BTreeMap<usize, old_node::OldNode>,
-    /// Controllers are told that they are busy all the time and that their inputs wait.
+    /// Simulated controllers of the version in production, by node number.
+    pub production_version: BTreeMap<usize, old_node::ProductionVersionNode>,
+    /// Whether the controllers' load measurements report full utilization and queued inputs.
     pub overloaded: bool,
-    /// Real time that their state machines took, all together, and the longest that one input took.
+    /// Real time spent in the controllers' state machines: the total, and the maximum for a single input.
     pub processing_time: (std::time::Duration, std::time::Duration),
-    /// The highest fencing token under which one has led.
+    /// The highest fencing token of any leader so far.
     pub(super) highest_token: u64,
-    /// When it began to lead.
+    /// Simulated time at which the leader with `highest_token` was elected, in milliseconds.
     pub(super) highest_token_since: u64,
 }
 
 impl Controllers {
-    /// So many controllers, none of which is up.
+    /// Returns `count` controllers, none of which is running.
     pub(super) fn down(count: usize) -> Controllers {
         Controllers {
             processes: (0..count).map(|_| None).collect(),
@@ -49,7 +50,7 @@
         self.site.nodes as u64
     }
 
-    /// Starts a controller, if it is down.
+    /// Starts a controller unless it is already running.
     pub fn start_controller(&mut self, node: usize) {
         if self.controllers.processes[node].is_some() {
             return;
@@ -63,13 +64,13 @@
         self.change_links(node, true, 30);
     }
 
-    /// Ends a controller's process. Whoever waits for it sees the connection break.
+    /// Terminates a controller's process. Clients with a pending request to it see their connection break.
     pub fn crash_controller(&mut self, node: usize) {
         if self.controllers.processes[node].take().is_none() {
             return;
         }
         for other in (0..self.site.nodes).filter(|o| *o != node) {
-            self.send_input(other, Input::PeerLinkChanged(name(node), false), 5);
+            self.send_input(other, Input::PeerLinkChanged(node_name(node), false), 5);
         }
         let pending: Vec<(u64, Requester)> =
             self.requests.pending.iter().map(|(id, requester)| (*id, requester.clone())).collect();
@@ -81,27 +82,28 @@
         }
     }
 
-    /// Ends a controller's process; it is back after so many milliseconds.
+    /// Terminates a controller's process and starts it again after `after_ms`.
     pub fn restart_controller(&mut self, node: usize, after_ms: u64) {
         self.crash_controller(node);
         self.start_controller_after(node, after_ms);
     }
 
-    /// A controller that ended is back after so many milliseconds.
+    /// Starts a terminated controller after `after_ms`.
     pub fn start_controller_after(&mut self, node: usize, after_ms: u64) {
         self.schedule(after_ms, Event::StartController(node));
     }
 
-    /// Starts the version in production as this controller, which must not run.
+    /// Starts a controller of the version in production on this node, which must not be running.
     pub fn start_production_version(&mut self, node: usize) {
-        assert!(self.controllers.processes[node].is_none(), "it runs");
+        assert!(self.controllers.processes[node].is_none(), "controller {node} is already running");
         self.controllers.epochs[node] += 1;
         let incarnation = self.controllers.epochs[node] * 10 + node as u64;
-        self.controllers.production_version.insert(node, old_node::OldNode::new(node, incarnation));
+        self.controllers.production_version.insert(node, old_node::ProductionVersionNode::new(node, incarnation));
         self.schedule(1, Event::ProductionVersionTick(node, self.controllers.epochs[node]));
     }
 
-    /// Ends the version in production; it comes back as this version.
+    /// Replaces a controller of the version in production by one of the version under test, which starts after
+    /// `after_ms`.
     pub fn upgrade_controller(&mut self, node: usize, after_ms: u64) {
         self.controllers.production_version.remove(&node);
         self.controllers.epochs[node] += 1;
@@ -112,28 +114,29 @@
         if self.controllers.epochs[node] != epoch {
             return;
         }
-        if let Some(old) = self.controllers.production_version.get_mut(&node) {
-            old.tick(self.now, node, &mut self.store);
-            for id in std::mem::take(&mut old.accepted) {
-                self.accepted_by_production_version(&format!("job-{id:06}"));
+        if let Some(process) = self.controllers.production_version.get_mut(&node) {
+            process.tick(self.now, node, &mut self.store);
+            for id in std::mem::take(&mut process.accepted) {
+                self.add_job_accepted_by_production_version(&format!("job-{id:06}"));
             }
             self.schedule(TICK_MS, Event::ProductionVersionTick(node, epoch));
         }
     }
 
-    /// The controller that leads under the highest token.
+    /// Returns the controller that leads under the highest fencing token.
     pub fn leader(&self) -> Option<usize> {
         let token = |n: &usize| self.controllers.processes[*n].as_ref().and_then(|c| c.leader()).map(|r| r.token());
         (0..self.site.nodes).filter(|n| token(n).is_some()).max_by_key(token)
     }
 
-    /// Whether there is a leader that holds no older jobs back.
+    /// Whether there is a leader that has loaded the log and fenced all machines, so that it no longer holds back jobs
+    /// of earlier terms.
     pub fn all_machines_fenced(&self) -> bool {
         let leading = |n: usize| self.controllers.processes[n].as_ref().and_then(|c| c.leader());
         self.leader().and_then(leading).is_some_and(|r| r.is_loaded() && r.all_machines_fenced())
     }
 
-    /// What a controller's own clock says: it starts with the process.
+    /// Returns a controller's own monotonic time, which starts with its process.
     pub fn clock(&self, node: usize) -> Timestamp {
         Timestamp::START + Duration::from_millis(self.now - self.controllers.started_at[node])
     }
@@ -141,18 +144,19 @@
 
 /// Inputs.
 impl Simulation {
-    /// Tells a controller and all others that can reach it that their links are up or down.
+    /// Notifies a controller and all running controllers that can reach it that the links between them went up or down.
     pub(super) fn change_links(&mut self, node: usize, up: bool, delay: u64) {
         for other in (0..self.site.nodes).filter(|o| *o != node) {
             let connected = self.faults.connects(node, other);
             if self.controllers.processes[other].is_some() && (!up || connected) {
-                self.send_input(node, Input::PeerLinkChanged(name(other), up), delay);
-                self.send_input(other, Input::PeerLinkChanged(name(node), up), delay);
+                self.send_input(node, Input::PeerLinkChanged(node_name(other), up), delay);
+                self.send_input(other, Input::PeerLinkChanged(node_name(node), up), delay);
             }
         }
     }
 
-    /// An input reaches the process that a controller has now, so many milliseconds later.
+    /// Delivers an input after `delay` milliseconds, provided that the controller's current process is still running
+    /// then.
     pub(super) fn send_input(&mut self, node: usize, input: Input, delay: u64) {
         let epoch = self.controllers.epochs[node];
         self.schedule(delay, Event::ControllerInput(node, epoch, Box::new(input)));
@@ -166,23 +170,23 @@
         }
     }
 
-    /// Feeds a controller with an input, if it is up, and carries its effects out.
+    /// Passes an input to a controller, if it is running, and applies the resulting effects.
     pub(super) fn handle_input(&mut self, node: usize, input: Input) {
         let now = self.clock(node);
         let wall = WallClock::from_millis(WALL_CLOCK_START_MS + self.now);
         let Some(controller) = &mut self.controllers.processes[node] else { return };
-        let number = controller.admission_table(now).map(|table| table.number);
-        let asked = admission::submission_of(controller, &input);
-        let begin = std::time::Instant::now();
+        let table_number = controller.admission_table(now).map(|table| table.number);
+        let submission = admission::submission_of(controller, &input);
+        let started = std::time::Instant::now();
         let mut effects = controller.handle(now, wall, input);
-        let took = begin.elapsed();
+        let elapsed = started.elapsed();
         let token = controller.leader().map_or(0, |r| r.token().0);
         if let Some(log) = &mut self.effect_log {
             log.record(self.now, node, &mut effects);
         }
-        self.decisions.note(node, number, asked, &effects);
+        self.decisions.record_decision(node, table_number, submission, &effects);
         let (total, longest) = self.controllers.processing_time;
-        self.controllers.processing_time = (total + took, longest.max(took));
+        self.controllers.processing_time = (total + elapsed, longest.max(elapsed));
         self.observe_token(token);
         for effect in effects {
             let delay = 1 + self.random_below(4);
@@ -190,7 +194,8 @@
         }
     }
 
-    /// A new leader has begun: heartbeats that were kept for this reach every controller now.
+    /// Tracks the highest fencing token. When a new leader appears, delivers the heartbeats that were recorded for
+    /// replay to every controller.
     fn observe_token(&mut self, token: u64) {
         if token <= self.controllers.highest_token {
             return;
@@ -198,8 +203,8 @@
         (self.controllers.highest_token, self.controllers.highest_token_since) = (token, self.now);
         for (machine, heartbeat) in std::mem::take(&mut self.faults.heartbeats_to_replay) {
             for to in 0..self.site.nodes {
-                let soon = self.random_below(400);
-                self.send_duplicate_heartbeat(machine, to as u64, soon, &heartbeat);
+                let delay = self.random_below(400);
+                self.send_duplicate_heartbeat(machine, to as u64, delay, &heartbeat);
             }
         }
     }
@@ -207,19 +212,19 @@
 
 /// Effects.
 impl Simulation {
-    /// Carries out what a controller asks for; messages take `delay` milliseconds.
+    /// Applies an effect of a controller; its messages arrive after `delay` milliseconds.
     fn carry_out(&mut self, node: usize, effect: Effect, delay: u64) {
         let epoch = self.controllers.epochs[node];
         match effect {
-            Effect::Respond(RequestOrigin::Http(id), answer) => {
+            Effect::Respond(RequestOrigin::Http(id), response) => {
                 if let Some(requester) = self.requests.pending.remove(&id) {
-                    self.request_answered(requester, answer, delay);
+                    self.response_arrives(requester, response, delay);
                 }
             }
-            Effect::Respond(RequestOrigin::Peer(link, id), answer) => {
+            Effect::Respond(RequestOrigin::Peer(link, id), response) => {
                 let (to, its_epoch) = ((link % self.controller_count()) as usize, link / self.controller_count());
                 if self.faults.connects(node, to) {
-                    let input = Input::ForwardResponse(id, answer);
+                    let input = Input::ForwardResponse(id, response);
                     self.schedule(delay, Event::ControllerInput(to, its_epoch, Box::new(input)));
                 }
             }
@@ -243,7 +248,7 @@
                 self.schedule(COMMAND_TIMEOUT_MS, Event::CommandTimeout { node, epoch, token, machine, id });
             }
             Effect::AnnounceLeadership(token) => {
-                self.broadcast(node, delay, || Input::LeaderAnnounced(name(node), token));
+                self.broadcast(node, delay, || Input::LeaderAnnounced(node_name(node), token));
             }
             Effect::PublishAdmissionTable(table) => {
                 self.broadcast(node, delay, || Input::AdmissionTableReceived(table.clone()));
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Sends an input to all other controllers that are up and can be reached.
+    /// Sends an input to all other controllers that are running and reachable.
     fn broadcast(&mut self, from: usize, delay: u64, input: impl Fn() -> Input) {
         for to in (0..self.site.nodes).filter(|n| *n != from) {
             if self.controllers.processes[to].is_some() && self.faults.connects(from, to) {
@@ -267,15 +272,15 @@
         }
     }
 
-    /// Sends an input to the controller of this name, if it can be reached.
+    /// Sends an input to the controller with this name, if it is reachable.
     fn send_to_peer(&mut self, from: usize, to: &str, input: Input, delay: u64) {
-        let target = (0..self.site.nodes).find(|n| name(*n) == to).expect("a known node");
+        let target = (0..self.site.nodes).find(|n| node_name(*n) == to).expect("the peer is a known node");
         if self.faults.connects(from, target) {
             self.send_input(target, input, delay);
         }
     }
 
-    /// A request has reached the state service.
+    /// Handles the arrival of a request at the state service, subject to the faults in force.
     pub(super) fn store_request_arrives(
         &mut self,
         node: usize,
@@ -284,16 +289,16 @@
         id: u64,
         request: Box<StoreRequest>,
     ) {
-        self.check_registered(&request);
+        self.check_machine_registrations(&request);
         self.check_drain_write(&request);
-        let refused = self.store.refuses(node);
-        let (share, at_once) = self.faults.writes_without_response;
+        let refused = self.store.is_unavailable_to(node);
+        let (percent, immediately) = self.faults.writes_without_response;
         let is_write = matches!(*request, StoreRequest::CompareAndSwap(_));
-        if is_write && !refused && share > 0 && self.random_below(100) < share {
-            let late = if at_once { 0 } else { 2000 + self.random_below(10_000) };
+        if is_write && !refused && percent > 0 && self.random_below(100) < percent {
+            let late = if immediately { 0 } else { 2000 + self.random_below(10_000) };
             self.schedule(late, Event::DuplicateStoreRequest(request));
-            let unanswered = Input::StoreResponse(caller, id, ServiceResponse::none());
-            return self.schedule(NO_ANSWER_MS, Event::ControllerInput(node, epoch, Box::new(unanswered)));
+            let timeout = Input::StoreResponse(caller, id, ServiceResponse::none());
+            return self.schedule(REQUEST_TIMEOUT_MS, Event::ControllerInput(node, epoch, Box::new(timeout)));
         }
         let (status, body) = self.store.handle(self.now, node, &request);
         let response = if self.store.lost_responses > 0 && status != 503 {
@@ -302,13 +307,13 @@
         } else {
             ServiceResponse { status, body: body.to_string().into() }
         };
-        let answer_ms = if response.status == 0 { NO_ANSWER_MS } else { 1 + self.random_below(4) };
+        let response_ms = if response.status == 0 { REQUEST_TIMEOUT_MS } else { 1 + self.random_below(4) };
         let input = Input::StoreResponse(caller, id, response);
-        let delay = answer_ms + self.faults.store_delay_ms;
+        let delay = response_ms + self.faults.store_delay_ms;
         self.schedule(delay, Event::ControllerInput(node, epoch, Box::new(input)));
     }
 
-    /// A transaction is carried out once more, or late; nobody waits for its answer.
+    /// Applies a duplicate or delayed transaction. Its response is discarded, since nobody waits for it.
     pub(super) fn duplicate_store_request_arrives(&mut self, request: &StoreRequest) {
         if matches!(request, StoreRequest::CompareAndSwap(_)) {
             self.store.handle(self.now, usize::MAX, request);
--- a/tests/support/drains.rs
+++ b/tests/support/drains.rs
@@ -1,27 +1,29 @@
-//! Operators of the simulation, who ask for drains, and a record of disruption from the workers' side.
+//! Simulated operators who request drains, and a record of disruption as the workers see it.
 
 use super::*;
 use caperstile::store::condition;
 use caperstile::types::Revision;
 
-/// What was stopped by command and does not run again yet, seen from the workers.
+/// Services' tasks that were stopped by command and do not run again yet, as the workers see it.
 #[derive(Debug, Default)]
 pub struct Disruption {
-    /// Most that may be out at once, by class; no entry: not checked.
+    /// Maximum number of tasks that may be unavailable at once, by class. Classes without an entry are not checked.
     pub limits: BTreeMap<String, usize>,
-    /// Tasks that were stopped by command, with their class.
-    out: BTreeMap<String, String>,
-    /// Most that were out at once, by class.
+    /// Tasks that were evicted and do not run again yet, with their class.
+    evicted_tasks: BTreeMap<String, String>,
+    /// Maximum number of tasks that were unavailable at once so far, by class.
     pub peak_unavailable: BTreeMap<String, usize>,
-    /// How many were stopped in all, by class.
+    /// Number of evictions so far, by class.
     pub evictions: BTreeMap<String, usize>,
-    /// When something was stopped last, by class, and the least time between two.
-    last: BTreeMap<String, u64>,
+    /// Time of the last eviction by class, in milliseconds.
+    last_eviction_at: BTreeMap<String, u64>,
+    /// Shortest time between two evictions so far, by class, in milliseconds.
     pub min_eviction_interval_ms: BTreeMap<String, u64>,
 }
 
 impl Simulation {
-    /// An operator writes a request on condition that it has this revision; the answer's status.
+    /// Writes an operator's drain request, on condition that its key has this revision; returns the status of the
+    /// response.
     pub fn write_drain_request(&mut self, name: &str, request: &Value, revision: u64) -> u16 {
         let key = format!("drain/request/{name}");
         let put = StoreWrite::Put { key: key.clone(), value: request.clone(), lease: None };
@@ -29,37 +31,37 @@
         self.store.handle(self.now, usize::MAX, &StoreRequest::CompareAndSwap(txn)).0
     }
 
-    /// An operator asks for a drain of all machines that match.
+    /// Requests a drain of all machines that match the filter.
     pub fn start_drain(&mut self, name: &str, filter: Value, mode: &str) {
         let request = json!({"selector": {"matching": filter}, "mode": mode, "wanted": "run"});
         assert_eq!(self.write_drain_request(name, &request, 0), 200, "drain {name}");
     }
 
-    /// An operator asks for a drain of these machines.
+    /// Requests a drain of these machines.
     pub fn start_drain_of_machines(&mut self, name: &str, machines: &[u64]) {
         let request = json!({"selector": {"machines": machines}, "mode": "remove", "wanted": "run"});
         assert_eq!(self.write_drain_request(name, &request, 0), 200, "drain {name}");
     }
 
-    /// An operator lets a drain rest, go on or end.
+    /// Requests that a drain be paused, resumed or cancelled.
     pub fn change_drain(&mut self, name: &str, wanted: &str) {
         let (mut request, revision, _) = self.store.keys[&format!("drain/request/{name}")].clone();
         request["wanted"] = json!(wanted);
         assert_eq!(self.write_drain_request(name, &request, revision), 200, "{wanted} {name}");
     }
 
-    /// What the leader says of a drain.
+    /// Returns the leader's status record of a drain.
     pub fn drain_status(&self, name: &str) -> Option<Value> {
         self.store.keys.get(&format!("drain/status/{name}")).map(|(value, ..)| value.clone())
     }
 
-    /// How far a drain is.
+    /// Returns the phase of a drain; empty if it has no status yet.
     pub fn drain_phase(&self, name: &str) -> String {
         let phase = self.drain_status(name).map(|status| status["phase"].as_str().unwrap_or_default().to_string());
         phase.unwrap_or_default()
     }
 
-    /// Runs until a drain is in this phase; whether it came in time.
+    /// Runs until a drain is in this phase or `limit` is reached; returns whether it reached the phase.
     pub fn run_until_drain_phase(&mut self, name: &str, phase: &str, limit: u64) -> bool {
         while self.now < limit && self.drain_phase(name) != phase {
             self.run_until(self.now + 250);
@@ -67,13 +69,13 @@
         self.drain_phase(name) == phase
     }
 
-    /// Machines that the leader empties, as its records say.
+    /// Returns the machines that the leader is emptying, according to its durable records.
     pub fn draining_machines(&self) -> Vec<u64> {
         let keys = self.store.keys.keys().filter_map(|key| key.strip_prefix("drain/machine/"));
         keys.filter_map(|id| id.parse::<MachineId>().ok()).map(|id| id.0).collect()
     }
 
-    /// Other budgets come into force at all controllers.
+    /// Applies other disruption budgets to all controllers.
     pub fn set_disruption_policy(&mut self, operators: &'static str) {
         self.site.operators = operators;
         for node in 0..self.site.nodes {
@@ -82,51 +84,58 @@
         }
     }
 
-    /// What a leader writes of drains must fail once another one leads.
-    pub(super) fn check_drain_write(&mut self, call: &StoreRequest) {
-        let StoreRequest::CompareAndSwap(txn) = call else { return };
-        let of_drains = |change: &StoreWrite| match change {
+    /// Checks that the leader's writes of drain records are conditional on the leader key, so that they fail once
+    /// another leader is elected.
+    pub(super) fn check_drain_write(&mut self, request: &StoreRequest) {
+        let StoreRequest::CompareAndSwap(txn) = request else { return };
+        let of_drains = |write: &StoreWrite| match write {
             StoreWrite::Put { key, .. } | StoreWrite::Delete { key } => key.starts_with("drain/"),
         };
-        let leads = txn.conditions.iter().any(|c| c.key.starts_with("leader") && c.revision > 0);
-        if txn.writes.iter().any(of_drains) && !leads {
-            self.violations.push(format!("{} a write of drains without the leader key: {txn:?}", self.now));
+        let requires_leader_key = txn.conditions.iter().any(|c| c.key.starts_with("leader") && c.revision > 0);
+        if txn.writes.iter().any(of_drains) && !requires_leader_key {
+            self.violations.push(format!(
+                "{} unfenced_write: drain records without a condition on the leader key: {txn:?}",
+                self.now
+            ));
         }
     }
 
-    /// A replica that runs is about to be stopped by command.
+    /// Records that a running replica of a service is about to be stopped by command, and checks the class's limit.
     pub(super) fn note_eviction(&mut self, machine: u64, task: &str) {
         let Some(job) = self.jobs.get(job_of(task)) else { return };
-        let noticed = self.workers.get(&machine).is_some_and(|w| w.reclaim_at.is_some());
-        if job.spec["Shape"] != "standing" || job.cancelling || noticed {
+        let reclaim_announced = self.workers.get(&machine).is_some_and(|w| w.reclaim_at.is_some());
+        if job.spec["Shape"] != "standing" || job.cancel_requested || reclaim_announced {
             return;
         }
         let class = job.spec["Lane"].as_str().unwrap_or_default().to_string();
         let now = self.now;
         let disruption = &mut self.disruption;
         *disruption.evictions.entry(class.clone()).or_default() += 1;
-        if let Some(last) = disruption.last.insert(class.clone(), now) {
-            let gap = disruption.min_eviction_interval_ms.entry(class.clone()).or_insert(u64::MAX);
-            *gap = (*gap).min(now - last);
+        if let Some(last_eviction_at) = disruption.last_eviction_at.insert(class.clone(), now) {
+            let interval = disruption.min_eviction_interval_ms.entry(class.clone()).or_insert(u64::MAX);
+            *interval = (*interval).min(now - last_eviction_at);
         }
-        disruption.out.insert(task.to_string(), class.clone());
-        let out = disruption.out.values().filter(|other| **other == class).count();
-        let highest = disruption.peak_unavailable.entry(class.clone()).or_default();
-        *highest = (*highest).max(out);
-        if disruption.limits.get(&class).is_some_and(|limit| out > *limit) {
-            self.violations.push(format!("{now} disruption: {out} of {class} are out, {task} the last"));
+        disruption.evicted_tasks.insert(task.to_string(), class.clone());
+        let unavailable = disruption.evicted_tasks.values().filter(|other| **other == class).count();
+        let peak = disruption.peak_unavailable.entry(class.clone()).or_default();
+        *peak = (*peak).max(unavailable);
+        if disruption.limits.get(&class).is_some_and(|limit| unavailable > *limit) {
+            self.violations.push(format!(
+                "{now} disruption: {unavailable} tasks of {class} are unavailable after the eviction of {task}"
+            ));
         }
     }
 
-    /// A machine that is being emptied is returned: what runs on it was not moved. One that was not heard of lately, or has not
-    /// seen the leader's token some time after its begin, is returned because it is silent.
-    pub(super) fn note_return_of_machine(&mut self, machine: u64) {
+    /// Records the release of a machine that is being emptied: tasks that still run on it count as evicted. Not counted
+    /// are machines without recent contact, and those that have not seen the leader's fencing token some time after its
+    /// election: they are released because they are silent.
+    pub(super) fn note_machine_release(&mut self, machine: u64) {
         const SILENT_MS: u64 = 2500;
-        // The verdict may come just as it is back.
-        let heard = |w: &&Worker| {
-            w.is_alive && self.now < w.lease_renewed_at + SILENT_MS && self.now > w.last_gap_at + SILENT_MS
+        // The leader may decide that a machine is silent just as its contact is restored.
+        let is_reachable = |w: &&Worker| {
+            w.is_alive && self.now < w.lease_renewed_at + SILENT_MS && self.now > w.reconnected_at + SILENT_MS
         };
-        let Some(w) = self.workers.get(&machine).filter(heard) else { return };
+        let Some(w) = self.workers.get(&machine).filter(is_reachable) else { return };
         if w.fencing_token < self.controllers.highest_token
             && self.now > self.controllers.highest_token_since + SILENT_MS
         {
@@ -139,13 +148,13 @@
         }
     }
 
-    /// A task runs again, or nobody wants it any more.
-    pub(super) fn note_return(&mut self, task: &str) {
-        self.disruption.out.remove(task);
+    /// Records that a task runs again.
+    pub(super) fn note_restart(&mut self, task: &str) {
+        self.disruption.evicted_tasks.remove(task);
     }
 
-    /// Nobody wants a job's tasks any more.
+    /// Records that a job was cancelled, so that its tasks no longer count as unavailable.
     pub(super) fn note_cancelled(&mut self, id: &str) {
-        self.disruption.out.retain(|task, _| job_of(task) != id);
+        self.disruption.evicted_tasks.retain(|task, _| job_of(task) != id);
     }
 }
--- a/tests/support/effect_log.rs
+++ b/tests/support/effect_log.rs
@@ -1,9 +1,11 @@
-//! A log of everything that the controllers of a simulation asked to have done, as a digest that two versions can compare.
+//! A log of all effects that the controllers of a simulation requested, with a digest by which two versions can be
+//! compared.
 //!
-//! The text of an effect is made of what leaves the node, in the form in which it does: JSON of messages, bytes of tables. Names of
-//! types, variants and fields are no part of it, so that a change of names changes nothing here but patterns.
+//! The text of an effect consists of what leaves the node, in the form in which it does: JSON of messages, bytes of
+//! tables. It contains no names of types, variants or fields, so that a rename only requires changes to the patterns
+//! here.
 
-use super::name;
+use super::node_name;
 use caperstile::api::{ApiResponse, UserRequest};
 use caperstile::cloud::CloudRequest;
 use caperstile::effects::{Effect, RequestOrigin, StoreCaller};
@@ -15,12 +17,12 @@
 /// Simulated time between two checkpoints, in milliseconds.
 const CHECKPOINT_INTERVAL_MS: u64 = 10_000;
 
-/// Bodies of the answers that a leader gives to all requests that wait for a commit, when it steps down and when they are due. It keeps
-/// them by job in hash maps whose order differs from process to process.
-const ANSWERS_IN_NO_ORDER: [&str; 2] =
+/// Bodies of the responses that a leader sends to all requests waiting for a commit, when it steps down and when they
+/// time out. The leader keeps these requests in hash maps by job, whose iteration order differs between processes.
+const UNORDERED_RESPONSES: [&str; 2] =
     [r#"{"error":"the leader has changed"}"#, r#"{"error":"the state service does not answer"}"#];
 
-/// FNV-1a with 64 bits.
+/// The 64-bit FNV-1a hash.
 #[derive(Debug, Clone, Copy)]
 struct Fnv1a(u64);
 
@@ -45,14 +47,14 @@
     hash: Fnv1a,
     /// Number of effects by kind.
     counts: BTreeMap<&'static str, u64>,
-    /// The hash at the end of each interval so far.
+    /// The hash at the end of each checkpoint interval so far.
     checkpoints: Vec<String>,
-    /// All lines, if they are kept.
+    /// All lines; None unless the log was created to keep them.
     text: Option<String>,
 }
 
 impl EffectLog {
-    /// An empty log, which keeps its lines on request.
+    /// Returns an empty log, which also keeps its lines if `keep_text` is set.
     pub fn new(keep_text: bool) -> EffectLog {
         EffectLog {
             hash: Fnv1a(Fnv1a::OFFSET_BASIS),
@@ -62,16 +64,16 @@
         }
     }
 
-    /// Takes the effects of one call, which are brought into an order that is the same in every process.
+    /// Records the effects of one input, after sorting those whose order depends on the process.
     pub fn record(&mut self, now_ms: u64, node: usize, effects: &mut [Effect]) {
-        sort_answers_in_no_order(effects);
+        sort_unordered_responses(effects);
         while (self.checkpoints.len() as u64 + 1) * CHECKPOINT_INTERVAL_MS <= now_ms {
             self.checkpoints.push(self.hash.hex());
         }
         for effect in effects {
             let (kind, text) = describe(effect);
             *self.counts.entry(kind).or_default() += 1;
-            let line = format!("{now_ms} {} {kind} {text}\n", name(node));
+            let line = format!("{now_ms} {} {kind} {text}\n", node_name(node));
             self.hash.update(line.as_bytes());
             if let Some(all) = &mut self.text {
                 all.push_str(&line);
@@ -79,12 +81,12 @@
         }
     }
 
-    /// The digest of all effects, their number by kind, and the digest at the end of each interval.
+    /// Returns the digest of all effects, their number by kind, and the digest at each checkpoint.
     pub fn summary(&self) -> Value {
         json!({"digest": self.hash.hex(), "counts": self.counts, "checkpoints": self.checkpoints})
     }
 
-    /// Where two summaries differ, for a reader who looks for the cause.
+    /// Describes where two summaries differ, to help find the cause.
     pub fn differences(expected: &Value, found: &Value) -> String {
         let mut lines = Vec::new();
         let counts = |summary: &Value| -> BTreeMap<String, u64> {
@@ -99,33 +101,33 @@
         }
         let checkpoints = |summary: &Value| summary["checkpoints"].as_array().cloned().unwrap_or_default();
         let (before, now) = (checkpoints(expected), checkpoints(found));
-        let alike = before.iter().zip(&now).take_while(|(before, now)| before == now).count() as u64;
-        lines.push(format!("  the first difference comes after {} ms", alike * CHECKPOINT_INTERVAL_MS));
+        let equal_checkpoints = before.iter().zip(&now).take_while(|(before, now)| before == now).count() as u64;
+        lines.push(format!("  the first difference comes after {} ms", equal_checkpoints * CHECKPOINT_INTERVAL_MS));
         lines.join("\n")
     }
 
-    /// All lines, if they were kept.
+    /// Returns all lines, if they were kept.
     pub fn text(&self) -> Option<&str> {
         self.text.as_deref()
     }
 }
 
-/// Sorts the answers whose order is left to a hash map by who gets them; all other effects stay where they are.
-fn sort_answers_in_no_order(effects: &mut [Effect]) {
-    let in_no_order = |effect: &Effect| match effect {
-        Effect::Respond(_, answer) => answer.status == 503 && ANSWERS_IN_NO_ORDER.contains(&answer.body.as_str()),
+/// Sorts the responses whose order depends on a hash map by their recipient; all other effects keep their positions.
+fn sort_unordered_responses(effects: &mut [Effect]) {
+    let is_unordered = |effect: &Effect| match effect {
+        Effect::Respond(_, response) => response.status == 503 && UNORDERED_RESPONSES.contains(&response.body.as_str()),
         _ => false,
     };
-    let places: Vec<usize> = (0..effects.len()).filter(|place| in_no_order(&effects[*place])).collect();
-    let mut answers: Vec<(RequestOrigin, ApiResponse)> = Vec::new();
-    for place in &places {
-        if let Effect::Respond(origin, answer) = &effects[*place] {
-            answers.push((*origin, answer.clone()));
+    let positions: Vec<usize> = (0..effects.len()).filter(|position| is_unordered(&effects[*position])).collect();
+    let mut responses: Vec<(RequestOrigin, ApiResponse)> = Vec::new();
+    for position in &positions {
+        if let Effect::Respond(origin, response) = &effects[*position] {
+            responses.push((*origin, response.clone()));
         }
     }
-    answers.sort_by_key(|(origin, answer)| (origin_key(origin), answer.body.clone()));
-    for (place, (origin, answer)) in places.into_iter().zip(answers) {
-        effects[place] = Effect::Respond(origin, answer);
+    responses.sort_by_key(|(origin, response)| (origin_key(origin), response.body.clone()));
+    for (position, (origin, response)) in positions.into_iter().zip(responses) {
+        effects[position] = Effect::Respond(origin, response);
     }
 }
 
@@ -136,24 +138,25 @@
     }
 }
 
-/// The kind of an effect and what leaves the node.
+/// Returns the kind of an effect and the text of what leaves the node.
 fn describe(effect: &Effect) -> (&'static str, String) {
     match effect {
-        Effect::Respond(origin, answer) => {
-            ("answer", format!("{} {} {} {}", origin_text(origin), answer.status, answer.retry_after, answer.body))
+        Effect::Respond(origin, response) => (
+            "answer",
+            format!("{} {} {} {}", origin_text(origin), response.status, response.retry_after, response.body),
+        ),
+        Effect::CallStore(caller, id, request) => {
+            let (kind, text) = store_request_text(request);
+            (kind, format!("{} {id} {text}", caller_text(caller)))
         }
-        Effect::CallStore(slot, id, call) => {
-            let (kind, text) = state_text(call);
-            (kind, format!("{} {id} {text}", slot_text(slot)))
-        }
-        Effect::CallCloud(token, id, call) => {
-            let (kind, text) = cloud_text(call);
+        Effect::CallCloud(token, id, request) => {
+            let (kind, text) = cloud_request_text(request);
             (kind, format!("{token} {id} {text}"))
         }
         Effect::SendCommands { token, machine, endpoint, id, body } => {
             ("command", format!("{token} {machine} {endpoint} {id} {}", to_json(body)))
         }
-        Effect::Forward(to, id, call) => ("forward", format!("{to} {id} {}", user_text(call))),
+        Effect::Forward(to, id, request) => ("forward", format!("{to} {id} {}", user_request_text(request))),
         Effect::AnnounceLeadership(token) => ("announce", token.0.to_string()),
         Effect::PublishAdmissionTable(table) => ("publish", hex(&table.encode())),
         Effect::ReportRefusedDemand(to, report) => ("refused", format!("{to} {}", hex(&report.encode()))),
@@ -167,8 +170,8 @@
     }
 }
 
-fn slot_text(slot: &StoreCaller) -> String {
-    match slot {
+fn caller_text(caller: &StoreCaller) -> String {
+    match caller {
         StoreCaller::Leadership => "leadership".to_string(),
         StoreCaller::WriteAheadLog(token) => format!("log {token}"),
         StoreCaller::Upgrade => "upgrade".to_string(),
@@ -177,8 +180,8 @@
     }
 }
 
-fn state_text(call: &StoreRequest) -> (&'static str, String) {
-    match call {
+fn store_request_text(request: &StoreRequest) -> (&'static str, String) {
+    match request {
         StoreRequest::Get(key) => ("state-get", key.clone()),
         StoreRequest::Scan { prefix, after } => ("state-scan", format!("{prefix} {}", to_json(after))),
         StoreRequest::CompareAndSwap(txn) => ("state-txn", to_json(txn)),
@@ -188,8 +191,8 @@
     }
 }
 
-fn cloud_text(call: &CloudRequest) -> (&'static str, String) {
-    match call {
+fn cloud_request_text(request: &CloudRequest) -> (&'static str, String) {
+    match request {
         CloudRequest::MachineTypes => ("cloud-types", String::new()),
         CloudRequest::ScaleOut(request) => ("cloud-rent", to_json(request)),
         CloudRequest::ScaleIn(machines) => {
@@ -200,8 +203,8 @@
     }
 }
 
-fn user_text(call: &UserRequest) -> String {
-    match call {
+fn user_request_text(request: &UserRequest) -> String {
+    match request {
         UserRequest::Submit(body) => format!("submit {}", String::from_utf8_lossy(body)),
         UserRequest::Get(job) => format!("get {job}"),
         UserRequest::Cancel(job) => format!("cancel {job}"),
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -1,20 +1,21 @@
-//! Simulated time: one queue of events in the order of their time, then of their scheduling.
+//! Simulated time: a queue of events ordered by time, and by the order of scheduling where times are equal.
 
 use super::*;
 
-/// Something that happens at a moment of simulated time.
+/// Something that happens at a point of simulated time.
 ///
-/// Controllers and machines are named by number. An event of a controller carries the epoch of the process that it is meant for:
-/// a process that has ended since does not get it.
+/// Controllers and machines are identified by number. An event for a controller carries the epoch of the process that
+/// it is addressed to, and is dropped if that process has been terminated since.
 #[derive(Debug)]
 pub(super) enum Event {
     ControllerTick(usize, u64),
     ControllerInput(usize, u64, Box<Input>),
-    /// A request reaches the state service: controller, epoch, who asks within it, number of the request.
+    /// A request reaches the state service: controller, its epoch, the calling component, number of the request.
     StoreRequest(usize, u64, StoreCaller, u64, Box<StoreRequest>),
-    /// A request to the state service that was carried out, or got no answer, is carried out again; nobody waits for the answer.
+    /// A request to the state service that was already applied, or got no response, is applied late; its response is
+    /// discarded.
     DuplicateStoreRequest(Box<StoreRequest>),
-    /// A request reaches the cloud: controller, epoch, fencing token, number of the request.
+    /// A request reaches the cloud: controller, its epoch, fencing token, number of the request.
     CloudRequest(usize, u64, u64, u64, Box<CloudRequest>),
     Command {
         node: usize,
@@ -32,27 +33,29 @@
         machine: u64,
         id: u64,
     },
-    /// A heartbeat of a machine reaches a controller; the request's number says which.
+    /// A heartbeat of a machine reaches a controller: machine and number of the request, which identifies the
+    /// controller.
     Heartbeat(u64, u64, Box<Heartbeat>),
     HeartbeatDue(u64),
-    HeartbeatAnswered {
+    HeartbeatResponded {
         machine: u64,
         number: u64,
-        session: u64,
-        sent: u64,
-        answer: Box<ApiResponse>,
+        worker_epoch: u64,
+        sent_at: u64,
+        response: Box<ApiResponse>,
     },
-    /// Of a task: the machine, the machine's epoch and the attempt.
+    /// A task's image is available on its machine. Events of tasks carry the machine, the epoch of its worker and the
+    /// attempt.
     ImageFetched(u64, u64, AttemptKey),
     TaskEnded(u64, u64, AttemptKey),
     GangWaitTimeout(u64, u64, AttemptKey),
-    GangDone(String, u64),
-    GangTaskSaved(u64, u64, AttemptKey),
+    GangRuntimeElapsed(String, u64),
+    GangCheckpointWritten(u64, u64, AttemptKey),
     MachineBooted(u64),
     LeaseCheck(u64),
     UserPoll(String),
     UserRequest(String, UserRequest),
-    /// A user asks this controller, if it is up.
+    /// A user sends a request to this controller, if it is running.
     UserRequestAt(usize, String, UserRequest),
     StartController(usize),
     HealMachine(u64),
@@ -61,23 +64,23 @@
 }
 
 impl Event {
-    /// The machine that has to execute something for this.
+    /// Returns the machine that processes this event; None if the event does not depend on a running machine.
     fn executed_by(&self) -> Option<u64> {
         match self {
             Event::Command { machine, .. }
             | Event::DuplicateCommand(machine, _)
             | Event::HeartbeatDue(machine)
-            | Event::HeartbeatAnswered { machine, .. }
+            | Event::HeartbeatResponded { machine, .. }
             | Event::ImageFetched(machine, ..)
             | Event::GangWaitTimeout(machine, ..)
-            | Event::GangTaskSaved(machine, ..)
+            | Event::GangCheckpointWritten(machine, ..)
             | Event::TaskEnded(machine, ..) => Some(*machine),
             _ => None,
         }
     }
 }
 
-/// Events to come, by time in milliseconds and by the order in which they were scheduled.
+/// Pending events, by time in milliseconds and by the order in which they were scheduled.
 #[derive(Debug, Default)]
 pub(super) struct EventQueue {
     scheduled: u64,
@@ -90,7 +93,7 @@
         self.events.insert((at, self.scheduled), event);
     }
 
-    /// The next event that comes up to this time, and when.
+    /// Removes and returns the earliest event that is due no later than `until`, with its time.
     fn pop_until(&mut self, until: u64) -> Option<(u64, Event)> {
         let next = self.events.first_entry().filter(|entry| entry.key().0 <= until)?;
         let ((at, _), event) = next.remove_entry();
@@ -98,7 +101,7 @@
     }
 }
 
-/// A xorshift generator: the same numbers for the same seed, on every machine.
+/// A xorshift pseudorandom generator: the same seed gives the same sequence on every platform.
 #[derive(Debug)]
 pub(super) struct SeededRandom(u64);
 
@@ -116,17 +119,17 @@
 }
 
 impl Simulation {
-    /// A random number below `bound`.
+    /// Returns a random number from 0 to `bound` - 1.
     pub(super) fn random_below(&mut self, bound: u64) -> u64 {
         self.random.below(bound)
     }
 
-    /// Lets an event happen after `delay` milliseconds.
+    /// Schedules an event `delay` milliseconds from now.
     pub(super) fn schedule(&mut self, delay: u64, event: Event) {
         self.events.push(self.now + delay, event);
     }
 
-    /// Plays everything that happens up to this time. What a machine that hangs has to execute waits until it goes on.
+    /// Processes all events up to this time. Events that a hung machine has to process are held until it resumes.
     pub fn run_until(&mut self, until: u64) {
         while let Some((at, event)) = self.events.pop_until(until) {
             self.now = at;
@@ -134,12 +137,12 @@
                 Some(machine) => self.faults.hung_events.entry(machine).or_default().push(event),
                 None => self.dispatch(event),
             }
-            self.check_rules();
+            self.check_invariants();
         }
         self.now = until;
     }
 
-    /// Hands an event to the stand-in that it concerns.
+    /// Passes an event to the simulated component that handles it.
     fn dispatch(&mut self, event: Event) {
         match event {
             Event::ControllerTick(node, epoch) => self.controller_tick(node, epoch),
@@ -169,21 +172,23 @@
                 }
             }
             Event::CommandTimeout { node, epoch, token, machine, id } => {
-                if self.requests.answered_commands.insert((node, epoch, id)) {
+                if self.requests.completed_commands.insert((node, epoch, id)) {
                     let input = Input::CommandResponse(token, MachineId(machine), id, ServiceResponse::none());
                     self.schedule(0, Event::ControllerInput(node, epoch, Box::new(input)));
                 }
             }
             Event::Heartbeat(machine, number, heartbeat) => self.heartbeat_arrives(machine, number, heartbeat),
             Event::HeartbeatDue(machine) => self.heartbeat_due(machine),
-            Event::HeartbeatAnswered { machine, number, session, sent, answer } => {
-                self.heartbeat_answered(machine, number, session, sent, &answer);
+            Event::HeartbeatResponded { machine, number, worker_epoch, sent_at, response } => {
+                self.heartbeat_response_arrives(machine, number, worker_epoch, sent_at, &response);
+            }
+            Event::ImageFetched(machine, worker_epoch, key) => self.start_task(machine, worker_epoch, key),
+            Event::TaskEnded(machine, worker_epoch, key) => self.end_task(machine, worker_epoch, &key),
+            Event::GangWaitTimeout(machine, worker_epoch, key) => self.gang_wait_expired(machine, worker_epoch, &key),
+            Event::GangRuntimeElapsed(job, attempt) => self.gang_runtime_elapsed(&job, attempt),
+            Event::GangCheckpointWritten(machine, worker_epoch, key) => {
+                self.gang_checkpoint_written(machine, worker_epoch, &key)
             }
-            Event::ImageFetched(machine, session, key) => self.start_task(machine, session, key),
-            Event::TaskEnded(machine, session, key) => self.end_task(machine, session, &key),
-            Event::GangWaitTimeout(machine, session, key) => self.gather_timeout(machine, session, &key),
-            Event::GangDone(job, attempt) => self.gang_done(&job, attempt),
-            Event::GangTaskSaved(machine, session, key) => self.gang_task_saved(machine, session, &key),
             Event::LeaseCheck(machine) => self.check_lease(machine),
             Event::MachineBooted(machine) => self.machine_booted(machine),
             Event::HealMachine(machine) => self.heal_machine(machine),
--- a/tests/support/faults.rs
+++ b/tests/support/faults.rs
@@ -1,44 +1,49 @@
-//! Fault injection: machines, controllers and zones that end, hang or are cut off, and messages that are lost, late or repeated.
+//! Fault injection: crashes and hangs of machines and controllers, network partitions, and lost, delayed or duplicate
+//! messages.
 
 use super::*;
 
-/// Faults in force, and what they hold back.
+/// The faults in force, and the events that they hold back.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Machines whose direct commands wait on their way.
+    /// Machines whose direct commands are held back until the machine is healed.
     pub commands_held: BTreeSet<u64>,
-    /// Machines whose heartbeats arrive while answers and commands do not reach them.
+    /// Machines whose heartbeats reach the controllers while responses and commands to them are lost.
     pub inbound_lost: BTreeSet<u64>,
-    /// Machines that reach no controller, while direct commands reach them.
+    /// Machines whose heartbeats are lost while direct commands reach them.
     pub outbound_lost: BTreeSet<u64>,
-    /// Messages of machines that are cut off, or to them: delivered in order once they are healed.
+    /// Messages from and to partitioned machines, which are delivered in order once the machine is healed.
     pub(super) held_events: BTreeMap<u64, Vec<Event>>,
-    /// What waits for machines that hang.
+    /// Events that hung machines process once they resume.
     pub(super) hung_events: BTreeMap<u64, Vec<Event>>,
-    /// Of a hundred transactions so many get no answer; carried out at once, or 2 to 12 s later, after newer ones.
+    /// Percentage of transactions that get no response, and whether these are applied immediately. Otherwise they are
+    /// applied 2 to 12 s later, possibly after newer transactions.
     pub writes_without_response: (u64, bool),
-    /// The state service takes so many milliseconds over each request, and as many again until the answer is there.
+    /// Latency that the state service adds to each request, and again to each response, in milliseconds.
     pub store_delay_ms: u64,
-    /// Of a hundred heartbeats so many are kept, and arrive at every controller as soon as the next leader begins.
+    /// Percentage of heartbeats that are recorded and replayed to every controller as soon as the next leader is
+    /// elected.
     pub replayed_heartbeats_percent: u64,
     pub(super) heartbeats_to_replay: Vec<(u64, Box<Heartbeat>)>,
-    /// Controllers without state service and other controllers, but with their workers and users.
+    /// Controllers that are partitioned from the state service and the other controllers, while their workers and users
+    /// still reach them.
     pub(super) isolated: BTreeSet<usize>,
-    /// Controllers that no worker reaches, nor they any worker.
+    /// Controllers that are partitioned from all workers.
     pub partitioned_from_workers: BTreeSet<usize>,
-    /// A zone that is cut off with this controller in it: they reach each other and nobody else.
+    /// A partitioned zone and the one controller in it: the zone's workers and this controller reach each other and
+    /// nobody else.
     pub(super) isolated_zone: Option<(String, usize)>,
-    /// Of a hundred heartbeats so many come once more, up to so many milliseconds late.
+    /// Percentage of heartbeats that are delivered a second time, and the maximum additional delay in milliseconds.
     pub duplicate_heartbeats: (u64, u64),
-    /// Of a hundred transactions and direct commands so many are carried out once more, up to so many milliseconds late, although
-    /// they were answered.
+    /// Percentage of transactions and direct commands that are delivered a second time although they got a response,
+    /// and the maximum additional delay in milliseconds.
     pub duplicate_requests: (u64, u64),
-    /// Zones that are cut off, whatever is rented there.
+    /// Zones that are partitioned, including all machines that are provisioned there later.
     pub(super) partitioned_zones: BTreeSet<String>,
 }
 
 impl Faults {
-    /// Whether two controllers reach each other.
+    /// Whether two controllers can reach each other.
     pub(super) fn connects(&self, node: usize, other: usize) -> bool {
         !self.isolated.contains(&node) && !self.isolated.contains(&other)
     }
@@ -46,7 +51,7 @@
 
 /// Machines.
 impl Simulation {
-    /// Ends a machine for good, with all its tasks.
+    /// Terminates a machine permanently, with all its tasks.
     pub fn kill_machine(&mut self, machine: u64) {
         if let Some(w) = self.workers.get_mut(&machine) {
             w.is_alive = false;
@@ -54,20 +59,20 @@
         }
     }
 
-    /// Cuts a machine off: what it sends and what is sent to it waits until it is healed.
+    /// Partitions a machine from the network: messages from and to it are held back until it is healed.
     pub fn partition_machine(&mut self, machine: u64) {
         if let Some(w) = self.workers.get_mut(&machine) {
             w.is_partitioned = true;
         }
     }
 
-    /// Cuts a machine off for so many milliseconds.
+    /// Partitions a machine from the network for `ms` milliseconds.
     pub fn partition_machine_for(&mut self, machine: u64, ms: u64) {
         self.partition_machine(machine);
         self.schedule(ms, Event::HealMachine(machine));
     }
 
-    /// Ends a cut or a loss of one direction: what was held back is delivered, in order.
+    /// Ends a machine's partition or one-way message loss. Messages that were held back are delivered in order.
     pub fn heal_machine(&mut self, machine: u64) {
         self.faults.inbound_lost.remove(&machine);
         self.faults.outbound_lost.remove(&machine);
@@ -80,7 +85,7 @@
         }
     }
 
-    /// Tells a machine that the cloud takes it back in so many seconds.
+    /// Notifies a machine that the cloud reclaims it in `seconds`.
     pub fn send_reclaim_notice(&mut self, machine: u64, seconds: u64) {
         let reclaim_at = self.now + seconds * 1000;
         if let Some(w) = self.workers.get_mut(&machine) {
@@ -89,7 +94,8 @@
         self.send_heartbeat_soon(machine);
     }
 
-    /// A machine that hangs for so long. It may go on within its lease; if that is over, so are its tasks.
+    /// Makes a machine hang for `ms` milliseconds. Its lease keeps running meanwhile: if it expires, all tasks on the
+    /// machine end.
     pub fn hang_machine(&mut self, machine: u64, ms: u64) {
         if let Some(w) = self.workers.get_mut(&machine)
             && !std::mem::replace(&mut w.is_hung, true)
@@ -98,7 +104,7 @@
         }
     }
 
-    /// A machine that hung goes on: what waits is executed.
+    /// Resumes a hung machine, which then processes the events that were held for it.
     pub(super) fn resume_machine(&mut self, machine: u64) {
         if let Some(w) = self.workers.get_mut(&machine) {
             w.is_hung = false;
@@ -111,20 +117,20 @@
 
 /// Zones and controllers.
 impl Simulation {
-    /// Cuts a zone off, with all that is rented there later.
+    /// Partitions a zone from the network, including all machines that are provisioned there later.
     pub fn partition_zone(&mut self, zone: &str) {
         self.faults.partitioned_zones.insert(zone.to_string());
         self.workers.values_mut().filter(|w| w.zone == zone).for_each(|w| w.is_partitioned = true);
     }
 
-    /// Ends a zone's cut.
+    /// Ends a zone's partition.
     pub fn heal_zone(&mut self, zone: &str) {
         self.faults.partitioned_zones.remove(zone);
-        let within: Vec<u64> = self.workers.iter().filter(|(_, w)| w.zone == zone).map(|(id, _)| *id).collect();
-        within.into_iter().for_each(|id| self.heal_machine(id));
+        let machines: Vec<u64> = self.workers.iter().filter(|(_, w)| w.zone == zone).map(|(id, _)| *id).collect();
+        machines.into_iter().for_each(|id| self.heal_machine(id));
     }
 
-    /// Cuts a controller off from the state service and the other controllers; its workers and users reach it.
+    /// Partitions a controller from the state service and the other controllers. Its workers and users still reach it.
     pub fn isolate_controller(&mut self, node: usize) {
         if self.faults.isolated.insert(node) {
             self.store.unavailable_to_nodes.insert(node);
@@ -132,7 +138,8 @@
         }
     }
 
-    /// Cuts a zone off, with this controller in it.
+    /// Partitions a zone together with this controller from the rest of the network. Has no effect while another
+    /// controller is isolated.
     pub fn isolate_zone(&mut self, zone: &str, node: usize) {
         if self.faults.isolated.is_empty() {
             self.isolate_controller(node);
@@ -149,23 +156,24 @@
         }
     }
 
-    /// Whether a controller and a worker reach each other.
+    /// Whether a controller and a worker can reach each other.
     pub(super) fn reaches(&self, node: usize, machine: u64) -> bool {
-        let same_side = |(zone, inside): &(String, usize)| {
+        let same_side = |(zone, node_inside): &(String, usize)| {
             let in_zone = self.workers.get(&machine).is_some_and(|w| w.zone == *zone);
-            in_zone == (*inside == node)
+            in_zone == (*node_inside == node)
         };
         !self.faults.partitioned_from_workers.contains(&node)
             && self.faults.isolated_zone.as_ref().is_none_or(same_side)
     }
 
-    /// How much later a request is carried out once more, if it is.
+    /// Decides at random whether a request is delivered a second time; returns the additional delay in milliseconds if
+    /// it is.
     pub(super) fn duplicate_delay(&mut self) -> Option<u64> {
-        let (share, late) = self.faults.duplicate_requests;
-        (share > 0 && self.random_below(100) < share).then(|| 20 + self.random_below(late.max(1)))
+        let (percent, max_delay_ms) = self.faults.duplicate_requests;
+        (percent > 0 && self.random_below(100) < percent).then(|| 20 + self.random_below(max_delay_ms.max(1)))
     }
 
-    /// Ends every fault, whatever it is, and starts the controllers that are down.
+    /// Ends all faults and starts all controllers that are down.
     pub fn end_all_faults(&mut self) {
         self.store.down = false;
         self.store.lost_responses = 0;
--- a/tests/support/jobs.rs
+++ b/tests/support/jobs.rs
@@ -1,11 +1,12 @@
-//! Builders of the fields in which a submitted job differs from a two-task batch job of the class `render`.
+//! Builders of the fields in which a submitted job differs from the default, a batch job of two tasks in the class
+//! `render`.
 
 use serde_json::{Value, json};
 
-/// Fields of a submission.
+/// Fields of a submission with their values.
 pub type JobFields = Vec<(&'static str, Value)>;
 
-/// A production service of the class `live` whose replicas are spread over zones; `image` numbers its image.
+/// A production service of the class `live` whose replicas are spread over zones; `image` selects its image.
 pub fn spread_service(replicas: u64, cores: f64, image: u64) -> JobFields {
     vec![
         ("Lane", json!("live")),
@@ -19,7 +20,7 @@
     ]
 }
 
-/// An array that may run on spot machines.
+/// A batch array that may run on spot instances.
 pub fn spot_array(tasks: u64, cores: f64, run_s: f64, rank: &str) -> JobFields {
     vec![
         ("Pieces", json!(tasks)),
@@ -30,7 +31,7 @@
     ]
 }
 
-/// A production service of three replicas of a core each, two in a zone at the most.
+/// A production service of three replicas with one core each, spread so that a zone has at most two.
 pub fn three_spread_replicas() -> JobFields {
     vec![
         ("Shape", json!("standing")),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! A deployment in simulated time: real controllers among stand-ins for the state service, the cloud, workers and users, which
-//! behave as PROTOCOL describes them.
+//! A deployment in simulated time: real controllers connected to simulated workers and users and to fakes of the state
+//! service and the cloud, which behave as PROTOCOL specifies.
 //!
-//! Everything is deterministic: one queue of events, fixed seeds, no clocks and no sockets. The rules are checked at every step;
-//! what was broken is in `Simulation::broken_rules`.
+//! A run is deterministic: it has one event queue, a fixed random seed, and neither clocks nor sockets. The invariants
+//! are checked at every step; `Simulation::violations` lists those that were broken.
 #![allow(dead_code)]
 
 pub mod admission;
@@ -24,7 +24,7 @@
 mod workers;
 
 #[allow(unused_imports)] // Each test uses some of them.
-pub use site::{Site, name, settings, zone_of};
+pub use site::{Site, node_name, settings, zone_of};
 #[allow(unused_imports)]
 pub use store::{FakeStore, store_request};
 #[allow(unused_imports)]
@@ -51,20 +51,20 @@
 use users::Users;
 use workers::{TaskHistory, Worker, WorkerTask};
 
-/// An attempt at a task: the attempt's number and the task's name.
+/// Identifies an attempt at a task: the attempt's number and the task's name.
 type AttemptKey = (u64, String);
 
-/// Whether a task in this state is on its machine: it holds its image and has not ended.
-fn on_machine(state: TaskState) -> bool {
+/// Whether a task in this state occupies its machine: its image is fetched and it has not exited.
+fn occupies_machine(state: TaskState) -> bool {
     matches!(state, TaskState::AwaitingGang | TaskState::Running | TaskState::Checkpointing)
 }
 
-/// The job of a task.
+/// Returns the id of the job that a task named `JOB/INDEX` belongs to.
 fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
-/// A simulated deployment.
+/// A simulated deployment: controllers, workers, users, the fake cloud and state service, and the faults in force.
 pub struct Simulation {
     /// Simulated time, in milliseconds.
     pub now: u64,
@@ -74,33 +74,33 @@
     pub controllers: Controllers,
     pub store: FakeStore,
     pub cloud: FakeCloud,
-    /// Rented machines with their workers.
+    /// Provisioned machines with their workers, by machine number.
     pub workers: BTreeMap<u64, Worker>,
     pub tasks: TaskHistory,
     pub gangs: GangHistory,
-    /// Jobs as their users know them.
+    /// Submitted jobs by id, each as its user sees it.
     pub jobs: BTreeMap<String, UserJob>,
     pub users: Users,
     pub requests: RequestTable,
     pub faults: Faults,
     pub invariants: InvariantChecks,
-    /// Rules that were broken, with the time.
+    /// Descriptions of the invariants that were broken, each starting with the simulated time in milliseconds.
     pub violations: Vec<String>,
-    /// What was stopped by command, and how much of it was out at once.
+    /// Services' tasks that were stopped by command, and how many of them were unavailable at once.
     pub disruption: drains::Disruption,
-    /// What controllers decided by their admission tables.
+    /// Decisions that the controllers made by their admission tables.
     pub decisions: admission::AdmissionDecisions,
-    /// What the controllers asked to have done, if it is to be compared with another version.
+    /// Log of the controllers' effects; set only by tests that compare them with another version.
     pub effect_log: Option<effect_log::EffectLog>,
 }
 
 impl Simulation {
-    /// A small deployment; the seed says how its random delays fall out.
+    /// A small deployment; the seed determines its random delays.
     pub fn new(seed: u64) -> Simulation {
         Simulation::with_site(Site::small(), seed)
     }
 
-    /// A deployment of this size, whose controllers start now.
+    /// A deployment of the given size whose controllers start immediately; the seed determines its random delays.
     pub fn with_site(site: Site, seed: u64) -> Simulation {
         let mut sim = Simulation {
             now: 1000,
--- a/tests/support/process_harness.rs
+++ b/tests/support/process_harness.rs
@@ -1,5 +1,5 @@
-//! Real processes on loopback: controllers, and stand-ins for the state service, the cloud and the workers, which record from their
-//! side what was stopped by command and does not run again yet.
+//! Real controller processes on the loopback interface, with a fake state service, a fake cloud and fake workers. The
+//! fakes record which tasks were stopped by command and do not run again yet.
 
 use super::{FakeStore, store_request};
 use caperstile::wire::{CommandBatch, HeartbeatResponse, ScaleOutRequest, WorkerCommand};
@@ -12,13 +12,13 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Controllers.
+/// Number of controllers.
 pub const CONTROLLERS: usize = 3;
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 const LEASE_MS: u64 = 8000;
-const FETCH_MS: u64 = 150;
+const IMAGE_FETCH_MS: u64 = 150;
 
-/// A job as the stand-ins run it.
+/// A job as the fake workers run it.
 #[derive(Debug, Clone)]
 pub struct JobProfile {
     pub class: &'static str,
@@ -30,41 +30,41 @@
 #[derive(Debug)]
 struct Task {
     state: &'static str,
-    cause: Option<&'static str>,
-    since: u64,
+    exit_reason: Option<&'static str>,
+    state_since: u64,
 }
 
 #[derive(Debug)]
 struct Machine {
     zone: String,
     spot: bool,
-    boots_at: u64,
+    boot_completes_at: u64,
     endpoint: SocketAddr,
     token: u64,
     epoch: u64,
     sequence: u64,
-    renewed: u64,
-    /// Reaches nobody, nor is it reached.
-    cut: bool,
-    /// By attempt and name.
+    lease_renewed_at: u64,
+    /// Whether the machine is partitioned: it sends no heartbeats and gets no commands.
+    partitioned: bool,
+    /// Tasks by attempt and name.
     tasks: BTreeMap<(u64, String), Task>,
 }
 
-/// What the stand-ins know and record.
+/// State of the fake services, and what they recorded.
 #[derive(Default)]
 pub struct FakeServices {
     store: FakeStore,
     pub jobs: BTreeMap<String, JobProfile>,
     machines: BTreeMap<u64, Machine>,
-    rented: u64,
-    /// Machines that the cloud has, if they are few.
+    provisioned: u64,
+    /// Maximum number of machines that the cloud provides; None: unlimited.
     pub max_machines: Option<usize>,
     finished: BTreeSet<String>,
-    out: BTreeMap<String, &'static str>,
-    /// Most that was out at once, by class.
+    evicted_tasks: BTreeMap<String, &'static str>,
+    /// Maximum number of tasks that were unavailable at once, by class.
     pub peak_unavailable: BTreeMap<&'static str, usize>,
     pub evictions: BTreeMap<&'static str, usize>,
-    /// Tasks that ran on two machines at once, and other broken promises.
+    /// Descriptions of broken invariants, such as a task that ran on two machines at once.
     pub violations: Vec<String>,
 }
 
@@ -73,85 +73,86 @@
 }
 
 impl FakeServices {
-    fn runs(&self, task: &str) -> usize {
+    fn running_instances(&self, task: &str) -> usize {
         let on = |m: &Machine| m.tasks.iter().filter(|((_, name), t)| name == task && t.state == "running").count();
         self.machines.values().map(on).sum()
     }
 
-    /// Tasks of a job that run.
+    /// Returns the number of running tasks of a job.
     pub fn running_tasks(&self, job: &str) -> usize {
         let tasks = self.machines.values().flat_map(|m| &m.tasks);
         tasks.filter(|((_, name), t)| job_of(name) == job && t.state == "running").count()
     }
 
     fn machines_left(&self) -> usize {
-        self.max_machines.map_or(u32::MAX as usize, |most| most.saturating_sub(self.machines.len()))
+        self.max_machines.map_or(u32::MAX as usize, |limit| limit.saturating_sub(self.machines.len()))
     }
 
-    /// Machines that are up.
+    /// Returns the provisioned machines.
     pub fn machine_ids(&self) -> Vec<u64> {
         self.machines.keys().copied().collect()
     }
 
-    /// Cuts a machine off, or ends its cut.
-    pub fn set_partitioned(&mut self, machine: u64, cut: bool) {
+    /// Starts or ends a machine's network partition.
+    pub fn set_partitioned(&mut self, machine: u64, partitioned: bool) {
         if let Some(m) = self.machines.get_mut(&machine) {
-            m.cut = cut;
+            m.partitioned = partitioned;
         }
     }
 
-    /// The node that holds the leader key.
+    /// Returns the node that holds the leader key.
     pub fn leader(&self) -> Option<usize> {
-        let held = self.store.keys.get("leader-2").or_else(|| self.store.keys.get("leader"))?;
-        held.0["node"].as_str()?.strip_prefix("kraal-")?.parse().ok()
+        let key = self.store.keys.get("leader-2").or_else(|| self.store.keys.get("leader"))?;
+        key.0["node"].as_str()?.strip_prefix("kraal-")?.parse().ok()
     }
 
-    fn starts(&mut self, task: &str) {
-        self.out.remove(task);
-        if self.runs(task) > 1 {
-            self.violations.push(format!("{task} runs twice"));
+    fn task_started(&mut self, task: &str) {
+        self.evicted_tasks.remove(task);
+        if self.running_instances(task) > 1 {
+            self.violations.push(format!("{task} runs more than once at a time"));
         }
     }
 
-    fn evicted(&mut self, task: &str) {
-        let Some(load) = self.jobs.get(job_of(task)) else { return };
-        *self.evictions.entry(load.class).or_default() += 1;
-        self.out.insert(task.to_string(), load.class);
-        let out = self.out.values().filter(|class| **class == load.class).count();
-        let highest = self.peak_unavailable.entry(load.class).or_default();
-        *highest = (*highest).max(out);
+    fn task_evicted(&mut self, task: &str) {
+        let Some(profile) = self.jobs.get(job_of(task)) else { return };
+        *self.evictions.entry(profile.class).or_default() += 1;
+        self.evicted_tasks.insert(task.to_string(), profile.class);
+        let unavailable = self.evicted_tasks.values().filter(|class| **class == profile.class).count();
+        let peak = self.peak_unavailable.entry(profile.class).or_default();
+        *peak = (*peak).max(unavailable);
     }
 
-    /// What happens on a machine as time passes: its lease, fetches, gangs that are complete, tasks that end.
+    /// Advances a machine to the time `now`: its lease may expire, fetches complete, gangs start and tasks end.
     fn advance(&mut self, id: u64, now: u64) {
         let Some(m) = self.machines.get_mut(&id) else { return };
-        if now >= m.renewed + LEASE_MS {
+        if now >= m.lease_renewed_at + LEASE_MS {
             m.tasks.clear();
-            (m.epoch, m.sequence, m.renewed) = (m.epoch + 1, 0, now);
+            (m.epoch, m.sequence, m.lease_renewed_at) = (m.epoch + 1, 0, now);
         }
         let due: Vec<(u64, String)> = m.tasks.keys().cloned().collect();
         for key in due {
-            let load = self.jobs[job_of(&key.1)].clone();
+            let profile = self.jobs[job_of(&key.1)].clone();
             let Some(task) = self.machines.get_mut(&id).and_then(|m| m.tasks.get_mut(&key)) else { continue };
             match task.state {
-                "fetching" if now >= task.since + FETCH_MS => {
-                    (task.state, task.since) = (if load.shape == "group" { "gathering" } else { "running" }, now);
-                    if load.shape != "group" {
-                        self.starts(&key.1);
+                "fetching" if now >= task.state_since + IMAGE_FETCH_MS => {
+                    (task.state, task.state_since) =
+                        (if profile.shape == "group" { "gathering" } else { "running" }, now);
+                    if profile.shape != "group" {
+                        self.task_started(&key.1);
                     }
                 }
-                "running" if load.shape != "standing" && now >= task.since + load.run_ms => {
-                    (task.state, task.cause) = ("exited", Some("done"));
+                "running" if profile.shape != "standing" && now >= task.state_since + profile.run_ms => {
+                    (task.state, task.exit_reason) = ("exited", Some("done"));
                     self.finished.insert(key.1);
                 }
-                "gathering" => self.gather(&key, &load, now),
+                "gathering" => self.start_complete_gang(&key, &profile, now),
                 _ => {}
             }
         }
     }
 
-    /// A gang's tasks start together once all have their image.
-    fn gather(&mut self, key: &(u64, String), load: &JobProfile, now: u64) {
+    /// Starts all tasks of a gang together if each of them has its image.
+    fn start_complete_gang(&mut self, key: &(u64, String), profile: &JobProfile, now: u64) {
         let mut tasks: Vec<(&String, &mut Task)> = Vec::new();
         for m in self.machines.values_mut() {
             let of_attempt = |(k, t): &(&(u64, String), &mut Task)| {
@@ -159,36 +160,36 @@
             };
             tasks.extend(m.tasks.iter_mut().filter(of_attempt).map(|(k, t)| (&k.1, t)));
         }
-        if tasks.len() == load.tasks as usize {
+        if tasks.len() == profile.tasks as usize {
             let started: Vec<String> = tasks
                 .into_iter()
                 .map(|(name, task)| {
-                    (task.state, task.since) = ("running", now);
+                    (task.state, task.state_since) = ("running", now);
                     name.clone()
                 })
                 .collect();
-            started.iter().for_each(|task| self.starts(task));
+            started.iter().for_each(|task| self.task_started(task));
         }
     }
 
-    fn execute(&mut self, id: u64, orders: &[WorkerCommand], now: u64) {
-        for order in orders {
+    fn execute(&mut self, id: u64, commands: &[WorkerCommand], now: u64) {
+        for command in commands {
             let Some(m) = self.machines.get_mut(&id) else { return };
-            match order {
+            match command {
                 WorkerCommand::Start { task, attempt } => {
                     let known = m.tasks.keys().any(|(_, name)| name == task);
                     let key = (*attempt, task.clone());
-                    let (state, cause) = if known { ("exited", Some("in_use")) } else { ("fetching", None) };
-                    m.tasks.entry(key).or_insert(Task { state, cause, since: now });
+                    let (state, exit_reason) = if known { ("exited", Some("in_use")) } else { ("fetching", None) };
+                    m.tasks.entry(key).or_insert(Task { state, exit_reason, state_since: now });
                 }
                 WorkerCommand::Stop { task, attempt, .. } => {
                     let Some(t) = m.tasks.get_mut(&(*attempt, task.clone())) else { continue };
                     let ran = t.state == "running";
                     if t.state != "exited" {
-                        (t.state, t.cause) = ("exited", Some("halted"));
+                        (t.state, t.exit_reason) = ("exited", Some("halted"));
                     }
                     if ran {
-                        self.evicted(task);
+                        self.task_evicted(task);
                     }
                 }
                 WorkerCommand::Forget { task, attempt } => drop(m.tasks.remove(&(*attempt, task.clone()))),
@@ -196,41 +197,41 @@
         }
     }
 
-    fn report(&mut self, id: u64) -> Option<Value> {
+    fn next_heartbeat(&mut self, id: u64) -> Option<Value> {
         let m = self.machines.get_mut(&id)?;
         m.sequence += 1;
         let tasks: Vec<Value> = m
             .tasks
             .iter()
-            .map(|((attempt, task), t)| json!({"Piece": task, "Try": attempt, "Status": t.state, "Cause": t.cause, "Kept": true}))
+            .map(|((attempt, task), t)| json!({"Piece": task, "Try": attempt, "Status": t.state, "Cause": t.exit_reason, "Kept": true}))
             .collect();
         Some(json!({"Host": format!("m-{id:06}"), "Endpoint": m.endpoint.to_string(), "Build": "small", "Yard": m.zone,
             "Loaners": m.spot, "Shift": m.epoch, "Tally": m.sequence, "Baton": m.token, "RecallS": null, "Pieces": tasks}))
     }
 
-    fn commanded(&mut self, id: u64, body: &[u8], now: u64) -> Option<(u16, Value)> {
+    fn handle_commands(&mut self, id: u64, body: &[u8], now: u64) -> Option<(u16, Value)> {
         let commands: CommandBatch = serde_json::from_slice(body).ok()?;
-        let m = self.machines.get_mut(&id).filter(|m| !m.cut)?;
-        let good = commands.fencing_token >= m.token && commands.epoch == m.epoch;
+        let m = self.machines.get_mut(&id).filter(|m| !m.partitioned)?;
+        let accepted = commands.fencing_token >= m.token && commands.epoch == m.epoch;
         m.token = m.token.max(commands.fencing_token);
-        if good {
+        if accepted {
             self.execute(id, &commands.commands, now);
         }
-        Some((if good { 200 } else { 409 }, self.report(id)?))
+        Some((if accepted { 200 } else { 409 }, self.next_heartbeat(id)?))
     }
 }
 
-/// One running deployment.
+/// A running deployment.
 pub struct ProcessHarness {
     pub fake_services: Arc<Mutex<FakeServices>>,
-    begin: Instant,
+    started_at: Instant,
     api: Vec<SocketAddr>,
     children: Vec<Option<Child>>,
     files: Vec<PathBuf>,
     operators: PathBuf,
 }
 
-/// Reads one request; method, path with query, and body.
+/// Reads a request; returns its method, its path with the query, and its body.
 fn read_request(stream: &mut TcpStream) -> Option<(String, String, Vec<u8>)> {
     let mut bytes = Vec::new();
     let mut part = [0u8; 4096];
@@ -252,16 +253,16 @@
     }
 }
 
-/// Serves requests, each connection on a thread of its own; no answer closes the connection.
-fn serve(listener: TcpListener, answer: impl Fn(&str, &str, &[u8]) -> Option<(u16, Value)> + Send + Sync + 'static) {
-    let answer = Arc::new(answer);
+/// Serves requests, with one thread per connection. The connection is closed when `handler` returns None.
+fn serve(listener: TcpListener, handler: impl Fn(&str, &str, &[u8]) -> Option<(u16, Value)> + Send + Sync + 'static) {
+    let handler = Arc::new(handler);
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let answer = answer.clone();
+            let handler = handler.clone();
             std::thread::spawn(move || {
                 let _ = stream.set_nodelay(true);
                 while let Some((method, path, body)) = read_request(&mut stream) {
-                    let Some((status, body)) = answer(&method, &path, &body) else { return };
+                    let Some((status, body)) = handler(&method, &path, &body) else { return };
                     let body = body.to_string();
                     let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
                     if stream.write_all((head + &body).as_bytes()).is_err() {
@@ -279,8 +280,8 @@
     (listener, address)
 }
 
-/// A request on a connection of its own.
-pub fn ask(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+/// Sends a request on a connection of its own; returns the status and body of the response.
+pub fn http_request(to: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(4))).ok()?;
     let length = body.len();
@@ -293,22 +294,22 @@
 }
 
 impl ProcessHarness {
-    /// Starts everything; `operators` is the operators' file.
+    /// Starts the fake services and all controllers; `operators` is the text of the operators' settings file.
     pub fn start(name: &str, operators: &str) -> ProcessHarness {
         let fake_services = Arc::new(Mutex::new(FakeServices::default()));
-        let begin = Instant::now();
+        let started_at = Instant::now();
         let ((state_listener, state), (cloud_listener, cloud)) = (listen(), listen());
-        // Addresses are taken together, so that none is handed out twice, and then released.
-        let held: Vec<(TcpListener, SocketAddr)> = (0..2 * CONTROLLERS).map(|_| listen()).collect();
-        let addresses: Vec<SocketAddr> = held.iter().map(|(_, address)| *address).collect();
-        drop(held);
+        // All addresses are bound before any is released, so that no address is assigned twice.
+        let listeners: Vec<(TcpListener, SocketAddr)> = (0..2 * CONTROLLERS).map(|_| listen()).collect();
+        let addresses: Vec<SocketAddr> = listeners.iter().map(|(_, address)| *address).collect();
+        drop(listeners);
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let operators_file = dir.join(format!("{name}.ini"));
-        std::fs::write(&operators_file, operators).expect("a file");
+        std::fs::write(&operators_file, operators).expect("the file is writable");
         let files = (0..CONTROLLERS).map(|n| dir.join(format!("{name}-{n}.toml"))).collect();
         let mut harness = ProcessHarness {
             fake_services,
-            begin,
+            started_at,
             api: addresses[..CONTROLLERS].to_vec(),
             children: (0..CONTROLLERS).map(|_| None).collect(),
             files,
@@ -325,7 +326,7 @@
     }
 
     pub fn fake_services(&self) -> MutexGuard<'_, FakeServices> {
-        self.fake_services.lock().expect("no thread panics with it")
+        self.fake_services.lock().expect("no thread panicked while holding the lock")
     }
 
     fn write_settings(&self, node: usize, addresses: &[SocketAddr], state: SocketAddr, cloud: SocketAddr) {
@@ -342,7 +343,7 @@
         for other in (0..CONTROLLERS).filter(|other| *other != node) {
             text += &format!("[[seeds]]\nnode = \"kraal-{other}\"\naddress = \"{}\"\n", addresses[CONTROLLERS + other]);
         }
-        std::fs::write(&self.files[node], text).expect("a file");
+        std::fs::write(&self.files[node], text).expect("the file is writable");
     }
 
     /// Starts a controller's process.
@@ -362,19 +363,19 @@
     }
 
     fn serve_state(&self, listener: TcpListener) {
-        let (fake_services, begin) = (self.fake_services.clone(), self.begin);
+        let (fake_services, started_at) = (self.fake_services.clone(), self.started_at);
         serve(listener, move |_, path, body| {
             let (path, query) = path.split_once('?').unwrap_or((path, ""));
-            let now = begin.elapsed().as_millis() as u64;
+            let now = started_at.elapsed().as_millis() as u64;
             let mut fake_services = fake_services.lock().ok()?;
             Some(fake_services.store.handle(now, 0, &store_request(path, query, body)))
         });
     }
 
     fn serve_cloud(&self, listener: TcpListener) {
-        let (fake_services, begin, api) = (self.fake_services.clone(), self.begin, self.api.clone());
+        let (fake_services, started_at, api) = (self.fake_services.clone(), self.started_at, self.api.clone());
         serve(listener, move |method, path, body| {
-            let now = begin.elapsed().as_millis() as u64;
+            let now = started_at.elapsed().as_millis() as u64;
             match (method, path.split('?').next().unwrap_or_default()) {
                 (_, "/flavors") => Some((
                     200,
@@ -383,12 +384,12 @@
                 )),
                 ("POST", "/hosts") => {
                     let request: ScaleOutRequest = serde_json::from_slice(body).ok()?;
-                    let left = fake_services.lock().ok()?.machines_left();
-                    if left == 0 {
+                    let available = fake_services.lock().ok()?.machines_left();
+                    if available == 0 {
                         return Some((503, json!({"error": "no capacity"})));
                     }
-                    let ids: Vec<u64> = (0..request.count.min(left as u32))
-                        .map(|_| rent(&fake_services, begin, &api, &request, now))
+                    let ids: Vec<u64> = (0..request.count.min(available as u32))
+                        .map(|_| provision(&fake_services, started_at, &api, &request, now))
                         .collect();
                     let names: Vec<String> = ids.iter().map(|id| format!("m-{id:06}")).collect();
                     Some((200, json!({"Hosts": names})))
@@ -401,7 +402,7 @@
                         let m = fake_services.machines.remove(&id);
                         let busy = m.iter().flat_map(|m| &m.tasks).any(|(_, t)| t.state == "running");
                         if busy {
-                            fake_services.violations.push(format!("{name} was returned with tasks on it"));
+                            fake_services.violations.push(format!("{name} was released while tasks ran on it"));
                         }
                     }
                     Some((200, json!({})))
@@ -418,27 +419,27 @@
         });
     }
 
-    /// Submits a job until it is accepted.
-    pub fn submit(&self, id: &str, load: JobProfile, cores: f64) {
+    /// Submits a job, with retries, until a controller accepts it.
+    pub fn submit(&self, id: &str, profile: JobProfile, cores: f64) {
         self.wait_until("an accepted job", || {
             (0..CONTROLLERS)
-                .find(|node| self.try_submit(*node, id, load.clone(), cores).is_some_and(|status| status < 202))
+                .find(|node| self.try_submit(*node, id, profile.clone(), cores).is_some_and(|status| status < 202))
         });
     }
 
-    /// Submits a job once, at this node; the status of the answer.
-    pub fn try_submit(&self, node: usize, id: &str, load: JobProfile, cores: f64) -> Option<u16> {
-        self.fake_services().jobs.insert(id.to_string(), load.clone());
-        let rank = if load.shape == "standing" { "prod" } else { "standard" };
-        let run = if load.shape == "standing" { 0.0 } else { load.run_ms as f64 / 1000.0 };
-        let saves = if load.shape == "group" { 1.0 } else { 0.0 };
-        let body = json!({"Ref": id, "Lane": load.class, "Crew": "studio", "Shape": load.shape, "Rank": rank,
-            "Pieces": load.tasks, "Cores": cores, "Cards": 0.0, "MemoryGb": 1.0, "Reel": "img", "ImageGb": 0.5,
-            "Together": false, "Spread": false, "Loaners": false, "RuntimeS": run, "BookmarkS": saves, "StashS": 0.0});
-        ask(self.api[node], "POST", "/work", &body.to_string()).map(|(status, _)| status)
+    /// Submits a job once to this node; returns the status of the response, None without a response.
+    pub fn try_submit(&self, node: usize, id: &str, profile: JobProfile, cores: f64) -> Option<u16> {
+        self.fake_services().jobs.insert(id.to_string(), profile.clone());
+        let rank = if profile.shape == "standing" { "prod" } else { "standard" };
+        let run_s = if profile.shape == "standing" { 0.0 } else { profile.run_ms as f64 / 1000.0 };
+        let checkpoint_s = if profile.shape == "group" { 1.0 } else { 0.0 };
+        let body = json!({"Ref": id, "Lane": profile.class, "Crew": "studio", "Shape": profile.shape, "Rank": rank,
+            "Pieces": profile.tasks, "Cores": cores, "Cards": 0.0, "MemoryGb": 1.0, "Reel": "img", "ImageGb": 0.5,
+            "Together": false, "Spread": false, "Loaners": false, "RuntimeS": run_s, "BookmarkS": checkpoint_s, "StashS": 0.0});
+        http_request(self.api[node], "POST", "/work", &body.to_string()).map(|(status, _)| status)
     }
 
-    /// Runs `caperstile drain` with these arguments; exit code and what it wrote.
+    /// Runs `caperstile drain` with these arguments; returns its exit code and JSON output.
     pub fn run_drain_command(&self, arguments: &[&str]) -> (i32, Value) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_caperstile"));
         command.arg("drain").args(arguments).arg("--json").arg("--config").arg(&self.files[0]).stdin(Stdio::null());
@@ -446,7 +447,7 @@
         (status.code().unwrap_or(-1), serde_json::from_slice(&stdout).unwrap_or_default())
     }
 
-    /// What `caperstile admission status` says; exit code and what it wrote.
+    /// Runs `caperstile admission status`; returns its exit code and JSON output.
     pub fn admission_status(&self) -> (i32, Value) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_caperstile"));
         command.args(["admission", "status", "--json", "--config"]).arg(&self.files[0]).stdin(Stdio::null());
@@ -454,12 +455,12 @@
         (status.code().unwrap_or(-1), serde_json::from_slice(&stdout).unwrap_or_default())
     }
 
-    /// How a drain stands.
+    /// Returns the status record of a drain.
     pub fn drain_status(&self, name: &str) -> Value {
         self.run_drain_command(&["status", name]).1["drains"][0]["status"].clone()
     }
 
-    /// Waits for something, with a generous limit.
+    /// Polls `check` until it returns a value; panics after 150 s.
     pub fn wait_until<T>(&self, what: &str, mut check: impl FnMut() -> Option<T>) -> T {
         let start = Instant::now();
         while start.elapsed() < Duration::from_secs(150) {
@@ -468,7 +469,7 @@
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        panic!("{what} did not come in time");
+        panic!("timed out after 150 s waiting for {what}");
     }
 }
 
@@ -478,10 +479,10 @@
     }
 }
 
-/// Rents a machine: its worker listens, and reports once it is up.
-fn rent(
+/// Provisions a machine, whose worker listens for commands immediately and sends heartbeats once it has booted.
+fn provision(
     fake_services: &Arc<Mutex<FakeServices>>,
-    begin: Instant,
+    started_at: Instant,
     api: &[SocketAddr],
     request: &ScaleOutRequest,
     now: u64,
@@ -489,64 +490,67 @@
     const BOOT_MS: u64 = 1000;
     let (listener, endpoint) = listen();
     let id = {
-        let mut fake_services = fake_services.lock().expect("no thread panics with it");
-        fake_services.rented += 1;
-        let id = fake_services.rented;
+        let mut fake_services = fake_services.lock().expect("no thread panicked while holding the lock");
+        fake_services.provisioned += 1;
+        let id = fake_services.provisioned;
         let machine = Machine {
             zone: request.zone.clone(),
             spot: request.spot,
-            boots_at: now + BOOT_MS,
+            boot_completes_at: now + BOOT_MS,
             endpoint,
             token: 0,
             epoch: 1,
             sequence: 0,
-            renewed: now + BOOT_MS,
-            cut: false,
+            lease_renewed_at: now + BOOT_MS,
+            partitioned: false,
             tasks: BTreeMap::new(),
         };
         fake_services.machines.insert(id, machine);
         id
     };
-    let commanded = fake_services.clone();
+    let services = fake_services.clone();
     serve(listener, move |_, path, body| {
-        let now = begin.elapsed().as_millis() as u64;
-        let mut fake_services = commanded.lock().ok()?;
+        let now = started_at.elapsed().as_millis() as u64;
+        let mut fake_services = services.lock().ok()?;
         if path == "/commands" {
-            fake_services.commanded(id, body, now)
+            fake_services.handle_commands(id, body, now)
         } else {
-            fake_services.report(id).map(|report| (200, report))
+            fake_services.next_heartbeat(id).map(|heartbeat| (200, heartbeat))
         }
     });
     let (fake_services, api) = (fake_services.clone(), api.to_vec());
-    std::thread::spawn(move || work(&fake_services, begin, &api, id));
+    std::thread::spawn(move || run_worker(&fake_services, started_at, &api, id));
     id
 }
 
-/// A worker's life: time passes, it reports, and does what the answer says.
-fn work(fake_services: &Mutex<FakeServices>, begin: Instant, api: &[SocketAddr], id: u64) {
+/// Runs a worker: it advances its tasks, sends heartbeats, and executes the commands in the responses.
+fn run_worker(fake_services: &Mutex<FakeServices>, started_at: Instant, api: &[SocketAddr], id: u64) {
     let mut node = 0;
     loop {
-        std::thread::sleep(REPORT_EVERY);
-        let now = begin.elapsed().as_millis() as u64;
-        let report = {
-            let mut fake_services = fake_services.lock().expect("no thread panics with it");
+        std::thread::sleep(HEARTBEAT_INTERVAL);
+        let now = started_at.elapsed().as_millis() as u64;
+        let heartbeat = {
+            let mut fake_services = fake_services.lock().expect("no thread panicked while holding the lock");
             let Some(machine) = fake_services.machines.get(&id) else { return };
-            if now < machine.boots_at {
+            if now < machine.boot_completes_at {
                 continue;
             }
-            let cut = machine.cut;
+            let partitioned = machine.partitioned;
             fake_services.advance(id, now);
-            if cut { None } else { fake_services.report(id) }
+            if partitioned { None } else { fake_services.next_heartbeat(id) }
         };
-        let Some(report) = report else { continue };
-        match ask(api[node], "POST", "/v1/report", &report.to_string()) {
+        let Some(heartbeat) = heartbeat else { continue };
+        match http_request(api[node], "POST", "/v1/report", &heartbeat.to_string()) {
             Some((200, body)) => {
-                let Ok(answer) = serde_json::from_str::<HeartbeatResponse>(&body) else { continue };
-                let mut fake_services = fake_services.lock().expect("no thread panics with it");
+                let Ok(response) = serde_json::from_str::<HeartbeatResponse>(&body) else { continue };
+                let mut fake_services = fake_services.lock().expect("no thread panicked while holding the lock");
                 let Some(machine) = fake_services.machines.get_mut(&id) else { return };
-                if answer.fencing_token >= machine.token && !machine.cut && report["Shift"] == machine.epoch {
-                    (machine.token, machine.renewed) = (answer.fencing_token, now);
-                    fake_services.execute(id, &answer.commands, now);
+                if response.fencing_token >= machine.token
+                    && !machine.partitioned
+                    && heartbeat["Shift"] == machine.epoch
+                {
+                    (machine.token, machine.lease_renewed_at) = (response.fencing_token, now);
+                    fake_services.execute(id, &response.commands, now);
                 }
             }
             _ => node = (node + 1) % CONTROLLERS,
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -1,8 +1,8 @@
-//! Deployments of the simulation, and the settings of their nodes.
+//! Sizes of simulated deployments, and the settings of their nodes.
 
 use caperstile::settings::Settings;
 
-/// A deployment's size and times.
+/// Size, limits and timeouts of a simulated deployment.
 #[derive(Debug, Clone)]
 pub struct Site {
     pub nodes: usize,
@@ -12,12 +12,13 @@
     pub report_ms: u64,
     pub lease_ms: u64,
     pub cancel_ms: u64,
-    /// How long tasks of a gang wait for each other.
+    /// Maximum time for which tasks of a gang wait for each other.
     pub gang_wait_ms: u64,
-    /// Within what time they notice that one is gone, and must be told to stop.
+    /// Maximum time within which tasks of a gang notice that one has exited, and within which all must get their stop
+    /// commands.
     pub gang_peer_ms: u64,
     pub boot_ms: u64,
-    /// Machines of each zone and kind.
+    /// Number of machines per zone and purchase model (spot or on-demand).
     pub machines: u32,
     pub value_kb: f64,
     pub page: usize,
@@ -25,9 +26,10 @@
     pub write_rps: f64,
     pub fd_limit: u64,
     pub memory_mb: f64,
-    /// Limits that the settings announce: value in KiB, changes in a transaction, changes a second.
+    /// Future limits of the state service that the settings announce: value size in KiB, writes per transaction, writes
+    /// per second.
     pub next: Option<(f64, usize, f64)>,
-    /// The operators' file.
+    /// Text of the operators' settings file.
     pub operators: &'static str,
 }
 
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Some 1,000 machines of 32 CPUs in four zones, five controllers.
+    /// About 1,000 machines of 32 CPUs in four zones, and five controllers.
     pub fn thousand_machines() -> Site {
         Site {
             nodes: 5,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Some 2,000 of them: half as many again as the largest deployment that is known.
+    /// About 2,000 machines: half as many again as in the largest known deployment.
     pub fn two_thousand_machines() -> Site {
         Site {
             report_ms: 6000,
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Some 4,000 of them.
+    /// About 4,000 machines.
     pub fn four_thousand_machines() -> Site {
         Site { machines: 570, fd_limit: 5100, memory_mb: 200.0, value_kb: 16.0, ..Site::two_thousand_machines() }
     }
 
-    /// Many small machines, seven controllers.
+    /// Many small machines and seven controllers.
     pub fn many_small_machines() -> Site {
         Site {
             nodes: 7,
@@ -111,20 +113,20 @@
     }
 }
 
-pub fn name(node: usize) -> String {
+pub fn node_name(node: usize) -> String {
     format!("n{node}")
 }
 
-/// The zone that a node is in.
+/// Returns the zone that a node is in.
 pub fn zone_of(site: &Site, node: usize) -> &'static str {
     site.zones[node % site.zones.len()]
 }
 
 pub fn settings(site: &Site, node: usize) -> Settings {
-    let mut text = format!("node = \"{}\"\napi_addr = \"127.0.0.1:1\"\npeer_bind = \"127.0.0.1:2\"\n", name(node));
+    let mut text = format!("node = \"{}\"\napi_addr = \"127.0.0.1:1\"\npeer_bind = \"127.0.0.1:2\"\n", node_name(node));
     for other in (0..site.nodes).filter(|n| *n != node) {
         let area = zone_of(site, other);
-        text += &format!("[[seeds]]\nnode = \"{}\"\narea = \"{area}\"\naddress = \"127.0.0.1:3\"\n", name(other));
+        text += &format!("[[seeds]]\nnode = \"{}\"\narea = \"{area}\"\naddress = \"127.0.0.1:3\"\n", node_name(other));
     }
     let secs = |ms: u64| ms as f64 / 1000.0;
     text += &format!(
@@ -149,9 +151,9 @@
             "[deployment.state.next]\nvalue_kb = {value_kb:?}\ntxn_ops = {txn_ops}\nwrite_rps = {write_rps:?}\n"
         );
     }
-    let mut settings = Settings::parse(&text).expect("the sample is valid");
-    settings.policy = settings.parse_policy(site.operators).expect("the sample is valid");
-    settings.admission = settings.parse_admission(site.operators).expect("the sample is valid");
+    let mut settings = Settings::parse(&text).expect("valid settings");
+    settings.policy = settings.parse_policy(site.operators).expect("valid operators' settings");
+    settings.admission = settings.parse_admission(site.operators).expect("valid operators' settings");
     settings.tuning.snapshot_interval_entries = site.snapshot_every;
     settings
 }
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -1,7 +1,7 @@
-//! The state service's stand-in: keys with revisions, leases, compare-and-swap and limits.
+//! The fake state service: keys with revisions, leases, compare-and-swap transactions and limits.
 //!
-//! A write is carried out whole or not at all, under the next revision; a key that is bound to a lease goes with it. Writes above the
-//! limits that the settings announce fail the test.
+//! A transaction is applied atomically under the next revision; a key that is attached to a lease is deleted when the
+//! lease expires. Writes above the limits that the settings announce fail the test.
 
 use caperstile::store::StoreRequest;
 use caperstile::types::{Duration, LeaseId};
@@ -9,27 +9,27 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The state service's keys and leases, and the faults that it has.
+/// The fake state service's keys and leases, and the faults in force.
 pub struct FakeStore {
     /// Value, revision and lease of each key.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    /// Milliseconds for which each lease is granted, and when it ends.
+    /// Time to live and expiry time of each lease, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     /// The revision of the last write.
     revision: u64,
-    /// It answers nothing but 503.
+    /// Whether it responds with 503 to every request.
     pub down: bool,
-    /// Controllers that get nothing but 503.
+    /// Controllers that get only 503 responses.
     pub unavailable_to_nodes: BTreeSet<usize>,
-    /// Answers still to be lost although the request is carried out.
+    /// Number of responses still to be lost, although the requests are applied.
     pub lost_responses: u32,
-    /// Requests after which only 503 comes: cuts a snapshot off at a step.
+    /// Number of transactions after which it responds with 503 only; interrupts a snapshot at a given step.
     pub transactions_until_outage: Option<u32>,
-    /// Keys in one page of a scan.
+    /// Maximum number of keys in one page of a scan.
     pub page: usize,
-    /// The largest value that may be written.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// The most writes of one transaction.
+    /// Maximum number of writes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// What a request over HTTP asks of the state service.
+/// Decodes an HTTP request to the state service.
 pub fn store_request(path: &str, query: &str, body: &[u8]) -> StoreRequest {
     if path == "/txn" {
         StoreRequest::CompareAndSwap(serde_json::from_slice(body).expect("a transaction"))
@@ -71,26 +71,28 @@
 }
 
 impl FakeStore {
-    /// An empty one with these limits: keys in a page, bytes of a value.
+    /// Returns an empty store with these limits: keys in a page, bytes in a value.
     pub fn with_limits(page: usize, value_bytes: usize) -> FakeStore {
         FakeStore { page, value_bytes, ..FakeStore::default() }
     }
 
-    /// Ends the leases that are over, and removes their keys.
+    /// Removes expired leases with their keys.
     fn expire(&mut self, now: u64) {
-        let over: Vec<u64> = self.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(id, _)| *id).collect();
-        for id in over {
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, (_, expires_at))| *expires_at <= now).map(|(id, _)| *id).collect();
+        for id in expired {
             self.leases.remove(&id);
-            let gone: Vec<String> = self.keys.iter().filter(|(_, v)| v.2 == Some(id)).map(|(k, _)| k.clone()).collect();
-            for key in gone {
+            let expired_keys: Vec<String> =
+                self.keys.iter().filter(|(_, v)| v.2 == Some(id)).map(|(k, _)| k.clone()).collect();
+            for key in expired_keys {
                 self.keys.remove(&key);
                 self.revision += 1;
             }
         }
     }
 
-    /// Whether this node gets nothing but 503.
-    pub(super) fn refuses(&self, node: usize) -> bool {
+    /// Whether requests of this node get only 503 responses.
+    pub(super) fn is_unavailable_to(&self, node: usize) -> bool {
         self.down || self.unavailable_to_nodes.contains(&node)
     }
 
@@ -110,9 +112,9 @@
         (200, json!({"Pairs": found[..found.len().min(self.page)], "More": more, "Ledger": self.revision}))
     }
 
-    /// Status and body of the answer to a controller, at this time in milliseconds.
+    /// Handles a controller's request at time `now` in milliseconds; returns the status and body of the response.
     pub fn handle(&mut self, now: u64, node: usize, request: &StoreRequest) -> (u16, Value) {
-        if self.refuses(node) {
+        if self.is_unavailable_to(node) {
             return (503, json!({}));
         }
         self.expire(now);
@@ -125,15 +127,15 @@
                 (200, json!({"Permit": self.revision}))
             }
             StoreRequest::RenewLease(lease) => match self.leases.get_mut(&lease.0) {
-                Some((ttl, end)) => {
-                    *end = now + *ttl;
+                Some((ttl, expires_at)) => {
+                    *expires_at = now + *ttl;
                     (200, json!({}))
                 }
                 None => (404, json!({})),
             },
             StoreRequest::RevokeLease(lease) => {
-                if let Some((_, end)) = self.leases.get_mut(&lease.0) {
-                    *end = now;
+                if let Some((_, expires_at)) = self.leases.get_mut(&lease.0) {
+                    *expires_at = now;
                 }
                 self.expire(now);
                 (200, json!({}))
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Keys with their revisions, as another run left them.
+    /// Loads keys with their revisions as an earlier run left them.
     pub fn restore(&mut self, keys: impl Iterator<Item = (String, Value, u64)>) {
         for (key, value, revision) in keys {
             self.revision = self.revision.max(revision);
@@ -159,10 +161,14 @@
         }
         let sizes =
             txn.writes.iter().map(|c| if let StoreWrite::Put { value, .. } = c { value.to_string().len() } else { 0 });
-        let large = sizes.max().unwrap_or(0);
-        assert!(large <= self.value_bytes, "a value of {large} bytes is larger than the settings allow");
-        assert!(txn.writes.len() <= self.txn_ops, "{} changes are more than the settings allow", txn.writes.len());
-        assert!(txn.conditions.len() <= 4 * self.txn_ops, "{} conditions", txn.conditions.len());
+        let largest = sizes.max().unwrap_or(0);
+        assert!(largest <= self.value_bytes, "a value of {largest} bytes exceeds the limit in the settings");
+        assert!(txn.writes.len() <= self.txn_ops, "{} writes exceed the limit in the settings", txn.writes.len());
+        assert!(
+            txn.conditions.len() <= 4 * self.txn_ops,
+            "{} conditions exceed four times the limit of writes",
+            txn.conditions.len()
+        );
         let revision = |key: &str, keys: &BTreeMap<String, (Value, u64, Option<u64>)>| keys.get(key).map_or(0, |v| v.1);
         let failed: Vec<&String> =
             txn.conditions.iter().filter(|c| revision(&c.key, &self.keys) != c.revision).map(|c| &c.key).collect();
@@ -170,8 +176,8 @@
             return (409, json!({"failed": failed, "Ledger": self.revision}));
         }
         self.revision += 1;
-        for change in &txn.writes {
-            match change {
+        for write in &txn.writes {
+            match write {
                 StoreWrite::Put { key, value, lease } => {
                     if lease.is_some_and(|l| !self.leases.contains_key(&l)) {
                         return (400, json!({"error": "no such lease"}));
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,50 +1,52 @@
-//! Users of the simulation: what they submit, ask and cancel, and what they may be told.
+//! Simulated users: the requests they send, and the guarantees their responses must keep.
 //!
-//! A user asks any controller that is up, once a second while the job is accepted, and repeats what was refused. What a user was told
-//! once must hold: a job is not forgotten, a terminal state is not taken back, and nothing is done or cancelled that is not.
+//! A user sends requests to any running controller, polls the status once a second from the job's acceptance on, and
+//! retries refused requests. What a response has reported must stay true: an accepted job is never unknown, a terminal state
+//! never changes, and a job is reported as done or cancelled only if it is.
 
 use super::*;
 
-/// Milliseconds after which a user asks again.
-const POLL_MS: u64 = 1000;
+/// Interval between two status queries of a user, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 1000;
 
-/// What users do, and how they were answered.
+/// How users behave, and the responses they got.
 #[derive(Debug, Default)]
 pub struct Users {
-    /// Users ask at all controllers, and repeat what they sent, right after they were told something new.
+    /// Whether users query all controllers, and repeat their submission, as soon as they learn a new state.
     pub recheck_everywhere: bool,
-    /// Cancellations and questions that were answered with 503 or 429.
+    /// Cancellations and status queries that got a 503 or 429 response.
     pub refused_requests: (u64, u64),
-    /// Slowest answer to a user since this was set to 0.
+    /// Maximum response time of a user's request since this was last set to 0, in milliseconds.
     pub slowest_response_ms: u64,
-    /// What the controllers answered to the last health check.
+    /// Result of each controller's last health check.
     pub health_checks: BTreeMap<usize, bool>,
 }
 
-/// A job as its user knows it.
+/// A job as its user sees it.
 pub struct UserJob {
     pub(super) spec: Value,
-    /// The status in the last answer: a word of PROTOCOL, or the code of a refusal.
+    /// The status in the last response, as spelled in PROTOCOL, or the HTTP status of a rejection.
     pub last_status: String,
     pub accepted: bool,
-    /// When its user was first told that it has ended.
+    /// When its user first learned that it has ended.
     pub(super) ended_at: Option<u64>,
-    /// When its user was first told that it is cancelled.
-    pub(super) cancelled_at: Option<u64>,
-    /// Whether its user has asked to cancel it.
-    pub(super) cancelling: bool,
+    /// When its user first got the confirmation of its cancellation.
+    pub(super) cancel_confirmed_at: Option<u64>,
+    /// Whether its user has requested its cancellation.
+    pub(super) cancel_requested: bool,
     pub cancel_status: u16,
     pub submit_status: u16,
-    /// When a question about it was answered last.
+    /// When a status query last got a response, in milliseconds.
     pub status_received_at: u64,
-    /// When the first of its tasks started.
+    /// When the first of its tasks started, in milliseconds.
     pub first_task_started_at: Option<u64>,
     pub accepted_at: u64,
     pub submitted_at: u64,
-    /// How often its submission was refused by an admission table, and whether its user has given up.
+    /// Number of rejections of its submission by an admission table.
     pub rejections: u32,
+    /// Whether its user has given up on the submission.
     pub given_up: bool,
-    /// When its user first asked to cancel it.
+    /// When its user first requested its cancellation, in milliseconds.
     pub cancel_requested_at: Option<u64>,
 }
 
@@ -55,8 +57,8 @@
             last_status: String::new(),
             accepted: false,
             ended_at: None,
-            cancelled_at: None,
-            cancelling: false,
+            cancel_confirmed_at: None,
+            cancel_requested: false,
             cancel_status: 0,
             submit_status: 0,
             status_received_at: 0,
@@ -69,12 +71,12 @@
         }
     }
 
-    /// How many tasks it has.
+    /// Returns the number of its tasks.
     pub fn task_count(&self) -> u64 {
         self.spec["Pieces"].as_u64().expect("a count")
     }
 
-    /// Cores of each of its tasks.
+    /// Returns the CPU cores of each of its tasks.
     pub(super) fn cores(&self) -> f64 {
         self.spec["Cores"].as_f64().expect("a number")
     }
@@ -83,7 +85,7 @@
         self.spec["Reel"].as_str().unwrap_or_default()
     }
 
-    /// How long each of its tasks runs, in milliseconds.
+    /// Returns the run time of each of its tasks, in milliseconds.
     pub(super) fn run_ms(&self) -> u64 {
         (self.spec["RuntimeS"].as_f64().unwrap_or(0.0) * 1000.0) as u64
     }
@@ -93,201 +95,213 @@
     }
 }
 
-/// What users ask.
+/// Requests.
 impl Simulation {
-    /// Submits a job; `change` sets fields of a two-task batch job.
-    pub fn submit(&mut self, id: &str, change: &[(&str, Value)]) {
-        self.add_job(id, change);
+    /// Submits a job: a batch job of two tasks, with `fields` set.
+    pub fn submit(&mut self, id: &str, fields: &[(&str, Value)]) {
+        self.add_job(id, fields);
         let submission = self.jobs[id].submission();
         self.schedule(0, Event::UserRequest(id.to_string(), submission));
-        self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
+        self.schedule(POLL_INTERVAL_MS, Event::UserPoll(id.to_string()));
         if self.users.recheck_everywhere {
-            // Some ask before they were told that it is accepted: what is told then must last as well.
+            // Queries may arrive before the user got the acceptance; what these responses report must be durable as
+            // well.
             for node in 0..self.site.nodes {
-                let soon = 2 + self.random_below(200);
-                self.schedule(soon, Event::UserRequestAt(node, id.to_string(), UserRequest::Get(id.to_string())));
+                let delay = 2 + self.random_below(200);
+                self.schedule(delay, Event::UserRequestAt(node, id.to_string(), UserRequest::Get(id.to_string())));
             }
         }
     }
 
-    /// A job that the stand-in of an old leader has accepted; its user asks for it from now on.
-    pub(super) fn accepted_by_production_version(&mut self, id: &str) {
+    /// Adds a job that a controller of the version in production has accepted; its user polls it from now on.
+    pub(super) fn add_job_accepted_by_production_version(&mut self, id: &str) {
         self.add_job(id, &[("Pieces", json!(1)), ("Cores", json!(1.0)), ("RuntimeS", json!(2.0))]);
         if let Some(job) = self.jobs.get_mut(id) {
             (job.accepted, job.accepted_at) = (true, self.now);
         }
-        self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
+        self.schedule(POLL_INTERVAL_MS, Event::UserPoll(id.to_string()));
     }
 
-    /// Notes a job as its user knows it.
-    fn add_job(&mut self, id: &str, change: &[(&str, Value)]) {
+    /// Records a job as its user sees it.
+    fn add_job(&mut self, id: &str, fields: &[(&str, Value)]) {
         let mut spec = json!({"Ref": id, "Lane": "render", "Crew": "crew", "Shape": "batch", "Rank": "standard", "Pieces": 2,
             "Cores": 2.0, "Cards": 0.0, "MemoryGb": 4.0, "Reel": "img-1", "ImageGb": 1.0, "Together": false,
             "Spread": false, "Loaners": false, "RuntimeS": 10.0, "BookmarkS": 0.0, "StashS": 0.0});
-        for (name, value) in change {
+        for (name, value) in fields {
             spec[*name] = value.clone();
         }
         self.jobs.insert(id.to_string(), UserJob::submitted(spec, self.now));
     }
 
-    /// Submits a known job once more, as a late retry does.
+    /// Submits a known job again, like a late retry.
     pub fn resubmit(&mut self, id: &str) {
         let submission = self.jobs[id].submission();
         self.schedule(0, Event::UserRequest(id.to_string(), submission));
     }
 
-    /// Asks to cancel a job.
+    /// Requests the cancellation of a job.
     pub fn cancel(&mut self, id: &str) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.cancelling = true;
+            job.cancel_requested = true;
             job.cancel_requested_at.get_or_insert(self.now);
         }
         self.note_cancelled(id);
         self.schedule(0, Event::UserRequest(id.to_string(), UserRequest::Cancel(id.to_string())));
     }
 
-    /// A user asks for the state of a job once a second, until the submission was given up.
+    /// Queries the status of an accepted job, and schedules the next query unless its user has given up on the
+    /// submission.
     pub(super) fn poll(&mut self, id: &str) {
         let job = &self.jobs[id];
         if job.given_up && !job.accepted {
             return;
         }
-        self.schedule(POLL_MS, Event::UserPoll(id.to_string()));
-        self.check_answered(id);
+        self.schedule(POLL_INTERVAL_MS, Event::UserPoll(id.to_string()));
+        self.check_status_responses(id);
         if self.jobs[id].accepted {
             self.send_user_request_to_any(id.to_string(), UserRequest::Get(id.to_string()));
         }
     }
 
-    /// Asks a controller that is up, or again a second later if there is none.
-    pub(super) fn send_user_request_to_any(&mut self, job: String, call: UserRequest) {
-        let up: Vec<usize> = (0..self.site.nodes).filter(|n| self.controllers.processes[*n].is_some()).collect();
-        if up.is_empty() {
-            return self.schedule(1000, Event::UserRequest(job, call));
+    /// Sends a request to a random running controller, or retries a second later if there is none.
+    pub(super) fn send_user_request_to_any(&mut self, job: String, request: UserRequest) {
+        let running_controllers: Vec<usize> =
+            (0..self.site.nodes).filter(|n| self.controllers.processes[*n].is_some()).collect();
+        if running_controllers.is_empty() {
+            return self.schedule(1000, Event::UserRequest(job, request));
         }
-        let node = up[self.random_below(up.len() as u64) as usize];
-        self.send_user_request(node, job, call);
+        let node = running_controllers[self.random_below(running_controllers.len() as u64) as usize];
+        self.send_user_request(node, job, request);
     }
 
-    /// Asks this controller.
-    pub fn send_user_request(&mut self, node: usize, job: String, call: UserRequest) {
+    /// Sends a request to this controller.
+    pub fn send_user_request(&mut self, node: usize, job: String, request: UserRequest) {
         let id = self.next_request(node as u64);
-        let asked = self.now;
-        self.requests.pending.insert(id, Requester::User { job, call: call.clone(), asked });
-        self.send_input(node, Input::User(RequestOrigin::Http(id), call), 2);
+        let requested_at = self.now;
+        self.requests.pending.insert(id, Requester::User { job, request: request.clone(), requested_at });
+        self.send_input(node, Input::User(RequestOrigin::Http(id), request), 2);
     }
 
-    /// Users ask at all controllers within milliseconds, again and again, and repeat the submission; some cancel at once.
+    /// Queries a job at all controllers several times within milliseconds and repeats its submission; a quarter of the
+    /// jobs that have not ended are cancelled right away.
     fn recheck_at_every_controller(&mut self, id: &str) {
         let submission = self.jobs[id].submission();
         for node in 0..self.site.nodes {
             for gap in [1, 4, 15, 60] {
-                let soon = gap + self.random_below(gap);
-                self.schedule(soon, Event::UserRequestAt(node, id.to_string(), UserRequest::Get(id.to_string())));
+                let delay = gap + self.random_below(gap);
+                self.schedule(delay, Event::UserRequestAt(node, id.to_string(), UserRequest::Get(id.to_string())));
             }
-            let soon = 1 + self.random_below(30);
-            self.schedule(soon, Event::UserRequestAt(node, id.to_string(), submission.clone()));
+            let delay = 1 + self.random_below(30);
+            self.schedule(delay, Event::UserRequestAt(node, id.to_string(), submission.clone()));
         }
         if self.jobs[id].ended_at.is_none() && self.random_below(4) == 0 {
             self.cancel(id);
         }
     }
 
-    fn all_finished(&self, id: &str) -> bool {
+    fn all_tasks_finished(&self, id: &str) -> bool {
         let tasks = self.jobs.get(id).map_or(0, |j| j.spec["Pieces"].as_u64().unwrap_or(0));
         (0..tasks).all(|i| self.tasks.finished.contains(&format!("{id}/{i}")))
     }
 }
 
-/// What users are told.
+/// Responses.
 impl Simulation {
-    pub(super) fn user_answered(&mut self, id: &str, call: UserRequest, asked: u64, answer: &ApiResponse) {
+    pub(super) fn user_response_arrives(
+        &mut self,
+        id: &str,
+        request: UserRequest,
+        requested_at: u64,
+        response: &ApiResponse,
+    ) {
         let now = self.now;
-        self.users.slowest_response_ms = self.users.slowest_response_ms.max(now - asked);
+        self.users.slowest_response_ms = self.users.slowest_response_ms.max(now - requested_at);
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if matches!(call, UserRequest::Get(_)) && matches!(answer.status, 200 | 404) {
+        if matches!(request, UserRequest::Get(_)) && matches!(response.status, 200 | 404) {
             job.status_received_at = now;
         }
-        match call {
-            UserRequest::Submit(_) => job.submit_status = answer.status,
-            UserRequest::Cancel(_) => job.cancel_status = answer.status,
+        match request {
+            UserRequest::Submit(_) => job.submit_status = response.status,
+            UserRequest::Cancel(_) => job.cancel_status = response.status,
             UserRequest::Get(_) => {}
         }
-        match answer.status {
-            503 | 429 => self.refused(id, call, answer),
-            404 => self.told_unknown(id, asked),
-            200 | 201 => self.told_status(id, asked, answer),
-            _ => self.told_invalid(id, answer.status),
+        match response.status {
+            503 | 429 => self.request_refused(id, request, response),
+            404 => self.not_found_received(id, requested_at),
+            200 | 201 => self.status_received(id, requested_at, response),
+            _ => self.rejection_received(id, response.status),
         }
     }
 
-    /// A request was refused for now: it is repeated, unless it was a question, which comes again anyhow.
-    fn refused(&mut self, id: &str, call: UserRequest, answer: &ApiResponse) {
-        self.users.refused_requests.0 += u64::from(matches!(call, UserRequest::Cancel(_)));
-        self.users.refused_requests.1 += u64::from(matches!(call, UserRequest::Get(_)));
-        if answer.status == 429 {
-            return self.refused_by_table(id, call, answer.retry_after);
+    /// Handles a temporary refusal: submissions and cancellations are retried; queries are not, since polling repeats
+    /// them.
+    fn request_refused(&mut self, id: &str, request: UserRequest, response: &ApiResponse) {
+        self.users.refused_requests.0 += u64::from(matches!(request, UserRequest::Cancel(_)));
+        self.users.refused_requests.1 += u64::from(matches!(request, UserRequest::Get(_)));
+        if response.status == 429 {
+            return self.submission_rejected_by_table(id, request, response.retry_after);
         }
-        if !matches!(call, UserRequest::Get(_)) {
-            self.schedule(1000, Event::UserRequest(id.to_string(), call));
+        if !matches!(request, UserRequest::Get(_)) {
+            self.schedule(1000, Event::UserRequest(id.to_string(), request));
         }
     }
 
-    /// The controller knows no such job.
-    fn told_unknown(&mut self, id: &str, asked: u64) {
+    /// Handles the response that the controller does not know the job.
+    fn not_found_received(&mut self, id: &str, requested_at: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.accepted && asked <= job.accepted_at {
-            // It was under way when another controller accepted the job.
+        if job.accepted && requested_at <= job.accepted_at {
+            // The query was already in flight when another controller accepted the job.
         } else if job.accepted {
-            self.violations.push(format!("{} forgotten: {id}", self.now));
+            self.violations.push(format!("{} unknown_job: {id} was accepted before", self.now));
         } else {
             job.last_status = "404".into();
         }
     }
 
-    /// The submission is refused for good.
-    fn told_invalid(&mut self, id: &str, status: u16) {
+    /// Handles a permanent rejection of the submission.
+    fn rejection_received(&mut self, id: &str, status: u16) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.accepted {
-            self.violations.push(format!("{} forgotten: {id} is answered {status} on a repeat", self.now));
+            self.violations.push(format!("{} rejected_retry: {id} gets {status} on a repeated submission", self.now));
         }
         job.last_status = status.to_string();
     }
 
-    /// The job's state: no step back from what the user was told before.
-    fn told_status(&mut self, id: &str, asked: u64, answer: &ApiResponse) {
+    /// Handles a status: it must be consistent with the statuses that the user got before.
+    fn status_received(&mut self, id: &str, requested_at: u64, response: &ApiResponse) {
         let now = self.now;
-        let finished = self.all_finished(id);
+        let finished = self.all_tasks_finished(id);
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let mut news = !job.accepted;
+        let mut is_new_state = !job.accepted;
         if !std::mem::replace(&mut job.accepted, true) {
             job.accepted_at = now;
         }
-        let body: Value = serde_json::from_str(&answer.body).expect("an answer is JSON");
+        let body: Value = serde_json::from_str(&response.body).expect("the response is JSON");
         let status = body["Status"].as_str().expect("a status").to_string();
-        // An answer that was under way when the user was told the final state is no step back.
-        if job.ended_at.is_some_and(|at| asked <= at) {
+        // A response to a query that was in flight when the user learned the terminal state may be older, and is no
+        // violation.
+        if job.ended_at.is_some_and(|at| requested_at <= at) {
             return;
         }
-        let over = matches!(job.last_status.as_str(), "done" | "aborted");
-        if over && status != job.last_status {
-            self.violations.push(format!("{now} went_back: {id} {} then {status}", job.last_status));
+        let had_ended = matches!(job.last_status.as_str(), "done" | "aborted");
+        if had_ended && status != job.last_status {
+            self.violations.push(format!("{now} state_reverted: {id} was {} and is {status} now", job.last_status));
         }
         if status == "aborted" {
-            if !job.cancelling {
-                self.violations.push(format!("{now} went_back: {id} was never cancelled"));
+            if !job.cancel_requested {
+                self.violations.push(format!("{now} unrequested_cancellation: {id}"));
             }
-            job.cancelled_at.get_or_insert(now);
+            job.cancel_confirmed_at.get_or_insert(now);
         }
         if status == "done" && !finished {
-            self.violations.push(format!("{now} not_done: {id}"));
+            self.violations.push(format!("{now} premature_done: {id} has unfinished tasks"));
         }
         if matches!(status.as_str(), "done" | "aborted") {
-            news |= job.ended_at.is_none();
+            is_new_state |= job.ended_at.is_none();
             job.ended_at.get_or_insert(now);
         }
         job.last_status = status;
-        if news && self.users.recheck_everywhere {
+        if is_new_state && self.users.recheck_everywhere {
             self.recheck_at_every_controller(id);
         }
     }
