--- a/crates/admission/src/backlog.rs
+++ b/crates/admission/src/backlog.rs
@@ -9,7 +9,8 @@
 const TIME_CONSTANT: Duration = Duration::from_secs(20);
 /// Minimum age of a pair's oldest job without a started task for its pending tasks to count as a backlog.
 const MIN_BACKLOG_AGE: Duration = Duration::from_secs(8);
-/// The same while the start rate is below [`MIN_START_RATE`]: instances may still be booting for these tasks.
+/// The minimum age that applies instead of [`MIN_BACKLOG_AGE`] while the start rate is below [`MIN_START_RATE`],
+/// because instances may still be booting for these tasks.
 const MIN_BACKLOG_AGE_WHILE_BOOTING: Duration = Duration::from_secs(45);
 /// Tasks per second below which [`MIN_BACKLOG_AGE_WHILE_BOOTING`] applies.
 const MIN_START_RATE: f64 = 0.5;
--- a/crates/admission/src/control.rs
+++ b/crates/admission/src/control.rs
@@ -218,7 +218,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Whether any pair is in a refusal period, which outlasts its last refusal by [`REFUSAL_END_DELAY`].
+    /// Whether any pair is in a refusal period, which outlasts its last refusal by `REFUSAL_END_DELAY`.
     pub fn is_refusing(&self) -> bool {
         !self.refusals.is_empty()
     }
--- a/crates/admission/src/demand.rs
+++ b/crates/admission/src/demand.rs
@@ -40,6 +40,8 @@
 }
 
 impl DemandMeter {
+    /// Returns the pair under which submissions of `pair` are measured: itself, or the team's shared entry once a
+    /// maximum is reached.
     fn tracked_pair(&self, pair: &TeamClassPair) -> TeamClassPair {
         let can_track = || self.pairs.len() < MAX_PAIRS && self.class_count(&pair.team) < MAX_CLASSES_PER_TEAM;
         if self.pairs.contains_key(pair) || can_track() {
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -41,8 +41,8 @@
     pub enabled: bool,
     /// When submissions are also refused because jobs of the same pair wait too long for machines.
     pub backlog_bound: BacklogBound,
-    /// Time after which a pair that submits jobs but has had none admitted is admitted in full. It takes longer if more
-    /// pairs are starved than the limit permits to serve in that time.
+    /// Time after which a pair that submits jobs but has had none admitted is admitted in full. If more pairs are in
+    /// this state than the limit allows to serve within that time, some of them are admitted later.
     pub max_wait: Duration,
     weights: BTreeMap<String, f64>,
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -22,8 +22,8 @@
 /// Number of request classes.
 const CLASS_COUNT: usize = 5;
 
-/// Number of requests of higher classes after which one request of this class is served, if any is queued: the class's
-/// minimum share. 0: the class has no minimum share.
+/// By class: number of requests of higher classes after which one request of this class is taken next, if any is
+/// queued. This is the class's minimum share of the service; 0 means that it has none.
 const MAX_PASSED_OVER: [u32; CLASS_COUNT] = [0, 4, 8, 8, 16];
 
 /// Time that clients of each class wait for a response; a later response would not be read. `None`: no timeout.
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -215,13 +215,13 @@
 
 #[test]
 fn a_request_whose_asker_has_given_up_is_not_worked_on() {
-    let timeout = [
+    let timeouts = [
         (RequestClass::Heartbeat, 4_000),
         (RequestClass::Cancellation, 5_000),
         (RequestClass::Query, 2_000),
         (RequestClass::Submission, 5_000),
     ];
-    for (class, timeout) in timeout {
+    for (class, timeout) in timeouts {
         let mut queue = RequestQueue::new(10);
         queue.push(Timestamp::from_millis(1_000), class, "late").expect("the queue is not full");
         let at = Timestamp::from_millis(1_000) + Duration::from_millis(timeout);
