--- a/tests/characterization/settings.rs
+++ b/tests/characterization/settings.rs
@@ -1,4 +1,4 @@
-//! The names of all settings, the values that are read under them, and what is said of those that cannot be used.
+//! The names of all settings, the values that are read under them, and the errors for missing and invalid settings.
 
 use crate::fixture::{self, Example, example, examples, text};
 use caperstile::settings::{
@@ -7,7 +7,7 @@
 };
 use caperstile_admission::{AdmissionPolicy, BacklogBound};
 use caperstile_disruption::budget::{BatchEviction, WindowLimit};
-use caperstile_disruption::window::Minute;
+use caperstile_disruption::window::MinuteOfDay;
 use caperstile_disruption::{Budget, Limit, Policy, TaskClass};
 use std::path::Path;
 
@@ -19,8 +19,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file)
 }
 
-/// Names and values. Structures are taken apart in full, so that a new setting does not compile before it is added here and in the
-/// fixtures.
+/// Names and values of settings, as the fixtures list them. Each structure is destructured in full, so that a new
+/// setting is a compile error until it is added here and in the fixtures.
 #[derive(Default)]
 struct Values(Vec<Example>);
 
@@ -132,10 +132,13 @@
         let Budget { max_unavailable, windows, min_interval, batch_wait, batch_eviction } = budget;
         self.add_option(&format!("{scope}.max_unavailable"), max_unavailable.as_ref().map(Limit::to_string));
         for WindowLimit { window, limit } in windows {
-            let minute = |text| Minute::parse(text).expect("a time");
+            let minute = |text| MinuteOfDay::parse(text).expect("a time");
             assert_eq!((window.from, window.until), (minute("09:30"), minute("17:00")));
             let days: String = window.days.iter().map(|day| if *day { 'x' } else { '-' }).collect();
-            self.add(&format!("{scope}.max_unavailable.window"), format!("{} {} {days}", window.name, window.zone));
+            self.add(
+                &format!("{scope}.max_unavailable.window"),
+                format!("{} {} {days}", window.name, window.time_zone),
+            );
             self.add(&format!("{scope}.max_unavailable.in-window"), limit);
         }
         self.add_option(&format!("{scope}.min_interval_s"), min_interval.map(|span| span.as_secs_f64()));
@@ -169,14 +172,14 @@
 }
 
 #[test]
-fn each_setting_of_the_platform_is_read_under_its_name() {
+fn every_platform_setting_is_read_under_its_name() {
     let mut values = Values::default();
     values.add_platform(&Settings::load(&fixture_path(PLATFORM), None).expect("settings"));
     fixture::assert_examples("names/settings-read.txt", &values.0);
 }
 
 #[test]
-fn settings_that_are_left_out_have_the_same_defaults() {
+fn omitted_settings_have_the_same_defaults() {
     let mut values = Values::default();
     let settings = Settings::load(&fixture_path(REQUIRED), None).expect("settings");
     values.add_platform(&settings);
@@ -184,25 +187,25 @@
     fixture::assert_examples("names/settings-defaults.txt", &values.0);
 }
 
-/// Each line of the settings without a default is left out in turn.
+/// Omits each line of the required settings in turn.
 #[test]
-fn a_required_setting_that_is_missing_is_named_in_the_same_words() {
-    let whole = text(REQUIRED);
-    let lines: Vec<&str> = whole.lines().collect();
-    let mut said = Vec::new();
+fn a_missing_required_setting_gives_the_same_error() {
+    let settings = text(REQUIRED);
+    let lines: Vec<&str> = settings.lines().collect();
+    let mut errors = Vec::new();
     for (n, line) in lines.iter().enumerate().filter(|(_, line)| line.contains('=')) {
-        let rest: Vec<&str> = [&lines[..n], &lines[n + 1..]].concat();
-        let error = Settings::parse(&rest.join("\n")).expect_err("it is required").to_string();
+        let remaining: Vec<&str> = [&lines[..n], &lines[n + 1..]].concat();
+        let error = Settings::parse(&remaining.join("\n")).expect_err("the setting is required").to_string();
         let last = error.trim().lines().last().expect("a line");
-        said.push(example(line.replace(' ', ""), last));
+        errors.push(example(line.replace(' ', ""), last));
     }
-    fixture::assert_examples("names/settings-missing.txt", &said);
+    fixture::assert_examples("names/settings-missing.txt", &errors);
 }
 
-/// Each setting of the platform with a value that cannot be used.
+/// Replaces each platform setting in turn by an invalid value.
 #[test]
-fn a_setting_of_the_platform_that_cannot_be_used_is_named_in_the_same_words() {
-    let whole = text(PLATFORM);
+fn an_invalid_platform_setting_gives_the_same_error() {
+    let settings = text(PLATFORM);
     let changes = [
         ("node = \"n0\"", "node = \"\""),
         ("node = \"n1\"", "node = \"n0\""),
@@ -229,24 +232,25 @@
         ("gpus_max = 105.5", "gpus_max = -1.0"),
         ("[[deployment.objectives]]", "[[deployment.teams]]\nname = \"crew\"\n[[deployment.objectives]]"),
     ];
-    let said: Vec<Example> = changes
+    let errors: Vec<Example> = changes
         .iter()
-        .map(|(good, bad)| {
-            assert_eq!(whole.matches(good).count(), 1, "{good}");
-            let error = Settings::parse(&whole.replace(good, bad)).expect_err("it cannot be used").to_string();
-            example(bad.trim().replace([' ', '\n'], ""), error)
+        .map(|(valid, invalid)| {
+            assert_eq!(settings.matches(valid).count(), 1, "{valid}");
+            let error =
+                Settings::parse(&settings.replace(valid, invalid)).expect_err("the value is invalid").to_string();
+            example(invalid.trim().replace([' ', '\n'], ""), error)
         })
         .collect();
-    fixture::assert_examples("names/settings-unusable.txt", &said);
+    fixture::assert_examples("names/settings-unusable.txt", &errors);
 }
 
-/// The settings with a second team, which the operators' file names.
+/// Returns the platform settings with a second team, `small`, to which the operators' file refers.
 fn two_teams() -> Settings {
     let with_small = format!("{}\n[[deployment.teams]]\nname = \"small\"\n", text(PLATFORM));
     Settings::parse(&with_small).expect("settings")
 }
 
-/// Reads the operators' file as a node does at its start.
+/// Parses the operators' file in the order in which a node does at its start.
 fn read_operators(ini: &str) -> Result<Settings, String> {
     let settings = two_teams();
     let tuning = Tuning::parse(ini).map_err(|error| error.to_string())?;
@@ -256,21 +260,21 @@
 }
 
 #[test]
-fn each_setting_of_the_operators_is_read_under_its_name() {
+fn every_operators_setting_is_read_under_its_name() {
     let mut values = Values::default();
     values.add_operators(&read_operators(&text(OPERATORS)).expect("settings"));
     fixture::assert_examples("names/operators-read.txt", &values.0);
 }
 
-/// Each line of the first file is an INI file, with `;` for the ends of its lines.
+/// Each example of `operators-unusable.txt` is an INI file in which `;` stands for a line break.
 #[test]
-fn a_setting_of_the_operators_that_cannot_be_used_is_named_in_the_same_words() {
-    let said: Vec<Example> = examples("names/operators-unusable.txt")
+fn an_invalid_operators_setting_gives_the_same_error() {
+    let errors: Vec<Example> = examples("names/operators-unusable.txt")
         .into_iter()
         .map(|(name, ini)| {
             let error = read_operators(&ini.replace(';', "\n")).err();
             example(name, error.unwrap_or_else(|| "taken".into()))
         })
         .collect();
-    fixture::assert_examples("names/operators-unusable-said.txt", &said);
+    fixture::assert_examples("names/operators-unusable-said.txt", &errors);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! A deployment in simulated time: real controllers among stand-ins for the state service, the cloud, workers and users, which
-//! behave as PROTOCOL describes them.
+//! A deployment in simulated time: real controllers connected to simulated workers and users and to fakes of the state
+//! service and the cloud, which behave as PROTOCOL specifies.
 //!
-//! Everything is deterministic: one queue of events, fixed seeds, no clocks and no sockets. The rules are checked at every step;
-//! what was broken is in `Simulation::broken_rules`.
+//! A run is deterministic: it has one event queue, a fixed random seed, and neither clocks nor sockets. The invariants
+//! are checked at every step; `Simulation::violations` lists those that were broken.
 #![allow(dead_code)]
 
 pub mod admission;
@@ -24,9 +24,9 @@
 mod workers;
 
 #[allow(unused_imports)] // Each test uses some of them.
-pub use site::{Site, name, settings, zone_of};
+pub use site::{Site, node_name, settings, zone_of};
 #[allow(unused_imports)]
-pub use store::{StoreStandIn, store_request};
+pub use store::{FakeStore, store_request};
 #[allow(unused_imports)]
 pub use users::UserJob;
 
@@ -39,32 +39,32 @@
 use caperstile::wire::{
     CommandBatch, CompareAndSwap, Heartbeat, HeartbeatResponse, StoreWrite, TaskState, TaskStatus, WorkerCommand,
 };
-use cloud::CloudStandIn;
+use cloud::FakeCloud;
 use controllers::Controllers;
 use events::{Event, EventQueue, SeededRandom};
 use faults::Faults;
 use gangs::GangHistory;
 use requests::{RequestTable, Requester};
-use rules::{RuleChecks, StartingTask};
+use rules::{InvariantChecks, StartingTask};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use users::Users;
 use workers::{TaskHistory, Worker, WorkerTask};
 
-/// An attempt at a task: the attempt's number and the task's name.
+/// Identifies an attempt at a task: the attempt's number and the task's name.
 type AttemptKey = (u64, String);
 
-/// Whether a task in this state is on its machine: it holds its image and has not ended.
-fn on_machine(state: TaskState) -> bool {
+/// Whether a task in this state occupies its machine: its image is fetched and it has not exited.
+fn occupies_machine(state: TaskState) -> bool {
     matches!(state, TaskState::AwaitingGang | TaskState::Running | TaskState::Checkpointing)
 }
 
-/// The job of a task.
+/// Returns the id of the job that a task named `JOB/INDEX` belongs to.
 fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
-/// A simulated deployment.
+/// A simulated deployment: controllers, workers, users, the fake cloud and state service, and the faults in force.
 pub struct Simulation {
     /// Simulated time, in milliseconds.
     pub now: u64,
@@ -72,43 +72,43 @@
     random: SeededRandom,
     pub site: Site,
     pub controllers: Controllers,
-    pub store: StoreStandIn,
-    pub cloud: CloudStandIn,
-    /// Rented machines with their workers.
+    pub store: FakeStore,
+    pub cloud: FakeCloud,
+    /// Provisioned machines with their workers, by machine number.
     pub workers: BTreeMap<u64, Worker>,
     pub tasks: TaskHistory,
     pub gangs: GangHistory,
-    /// Jobs as their users know them.
+    /// Submitted jobs by id, each as its user sees it.
     pub jobs: BTreeMap<String, UserJob>,
     pub users: Users,
     pub requests: RequestTable,
     pub faults: Faults,
-    pub rules: RuleChecks,
-    /// Rules that were broken, with the time.
-    pub broken_rules: Vec<String>,
-    /// What was stopped by command, and how much of it was out at once.
+    pub invariants: InvariantChecks,
+    /// Descriptions of the invariants that were broken, each starting with the simulated time in milliseconds.
+    pub violations: Vec<String>,
+    /// Services' tasks that were stopped by command, and how many of them were unavailable at once.
     pub disruption: drains::Disruption,
-    /// What controllers decided by their admission tables.
-    pub decisions: admission::Decisions,
-    /// What the controllers asked to have done, if it is to be compared with another version.
+    /// Decisions that the controllers made by their admission tables.
+    pub decisions: admission::AdmissionDecisions,
+    /// Log of the controllers' effects; set only by tests that compare them with another version.
     pub effect_log: Option<effect_log::EffectLog>,
 }
 
 impl Simulation {
-    /// A small deployment; the seed says how its random delays fall out.
+    /// A small deployment; the seed determines its random delays.
     pub fn new(seed: u64) -> Simulation {
-        Simulation::at(Site::small(), seed)
+        Simulation::with_site(Site::small(), seed)
     }
 
-    /// A deployment of this size, whose controllers start now.
-    pub fn at(site: Site, seed: u64) -> Simulation {
+    /// A deployment of the given size whose controllers start immediately; the seed determines its random delays.
+    pub fn with_site(site: Site, seed: u64) -> Simulation {
         let mut sim = Simulation {
             now: 1000,
             events: EventQueue::default(),
             random: SeededRandom::new(seed),
             controllers: Controllers::down(site.nodes),
-            store: StoreStandIn::with_limits(site.page, (site.value_kb * 1024.0) as usize),
-            cloud: CloudStandIn::with_capacity(&site),
+            store: FakeStore::with_limits(site.page, (site.value_kb * 1024.0) as usize),
+            cloud: FakeCloud::with_capacity(&site),
             workers: BTreeMap::new(),
             tasks: TaskHistory::default(),
             gangs: GangHistory::default(),
@@ -116,15 +116,15 @@
             users: Users::default(),
             requests: RequestTable::default(),
             faults: Faults::default(),
-            rules: RuleChecks::default(),
-            broken_rules: Vec::new(),
+            invariants: InvariantChecks::default(),
+            violations: Vec::new(),
             disruption: drains::Disruption::default(),
-            decisions: admission::Decisions::default(),
+            decisions: admission::AdmissionDecisions::default(),
             effect_log: None,
             site,
         };
         for node in 0..sim.site.nodes {
-            sim.start(node);
+            sim.start_controller(node);
         }
         sim
     }
