--- a/tests/concurrent_faults.rs
+++ b/tests/concurrent_faults.rs
@@ -31,7 +31,7 @@
     sim.jobs[id].last_status == "aborted"
 }
 
-fn assert_no_rule_broken(sim: &Simulation, case: &str) {
+fn assert_no_violation(sim: &Simulation, case: &str) {
     assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
@@ -89,11 +89,11 @@
             }
             sim.store.down = true;
             sim.run_until(sim.now + sim.site.cancel_ms + 20_000);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
             assert_eq!(sim.running_tasks(job), 0, "{case}");
             sim.end_all_faults();
             sim.run_until(sim.now + 100_000);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
         }
     }
 }
@@ -127,7 +127,7 @@
         sim.faults.outbound_lost.insert(machine);
     }
     sim.run_until(sim.now + 5000);
-    assert_no_rule_broken(&sim, "chain of new leaders");
+    assert_no_violation(&sim, "chain of new leaders");
     assert!(sim.now > 20_000 + sim.site.cancel_ms, "the chain of leaders is shorter than `cancel_s`");
     assert_eq!(sim.running_tasks(SERVICE), 0);
 }
@@ -279,10 +279,10 @@
             }
         }
     }
-    assert_no_rule_broken(&sim, &case);
+    assert_no_violation(&sim, &case);
     sim.end_all_faults();
     sim.run_until(sim.now + 150_000);
-    assert_no_rule_broken(&sim, &case);
+    assert_no_violation(&sim, &case);
     assert_eq!(sim.jobs[SERVICE].last_status, "aborted", "{case}");
     assert_eq!(sim.jobs[limited].last_status, "aborted", "{case}");
     assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(limited), 0, "{case}");
@@ -345,7 +345,7 @@
             assert!(until_cancelled(&mut sim, SERVICE, 20_000), "{case}: the cancellation was not confirmed in time");
             assert!(until_cancelled(&mut sim, BATCH, 5000), "{case}: the cancellation was not confirmed in time");
             sim.run_until(sim.now + sim.site.cancel_ms);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
             assert_eq!(sim.running_tasks(SERVICE) + sim.running_tasks(BATCH), 0, "{case}");
         }
     }
@@ -373,7 +373,7 @@
             sim.run_until(sim.now + 1500);
             sim.faults.writes_without_response = (0, false);
             sim.run_until(sim.now + 8000);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
             assert!(matches!(sim.jobs["job-000009"].last_status.as_str(), "done" | "aborted"), "{case}");
         }
     }
@@ -431,10 +431,10 @@
                     }
                 }
                 sim.run_until(begin + 70_000);
-                assert_no_rule_broken(&sim, &case);
+                assert_no_violation(&sim, &case);
                 sim.end_all_faults();
                 sim.run_until(sim.now + 60_000);
-                assert_no_rule_broken(&sim, &case);
+                assert_no_violation(&sim, &case);
                 assert_eq!(sim.jobs[first].last_status, "aborted", "{case}");
                 assert_eq!(sim.jobs[next].last_status, "done", "{case}");
             }
@@ -477,7 +477,7 @@
         }
         sim.end_all_faults();
         sim.run_until(sim.now + 120_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_all_ended(&sim, &[SERVICE, BATCH], &format!("seed {seed}"));
         assert_eq!(sim.running_tasks(SERVICE), 2, "seed {seed}");
     }
@@ -508,7 +508,7 @@
         sim.run_until(sim.now + sim.site.cancel_ms + 10_000);
         sim.end_all_faults();
         sim.run_until(200_000);
-        assert_no_rule_broken(&sim, &format!("the leader n{leader} fails after {offset} ms"));
+        assert_no_violation(&sim, &format!("the leader n{leader} fails after {offset} ms"));
         assert_all_ended(&sim, &[], &format!("{offset} ms"));
     }
 }
@@ -534,7 +534,7 @@
     }
     sim.end_all_faults();
     sim.run_until(sim.now + 100_000);
-    assert_no_rule_broken(&sim, "four jobs per second");
+    assert_no_violation(&sim, "four jobs per second");
     assert_all_ended(&sim, &[], "four jobs per second");
     let log = sim.store.keys.keys().filter(|k| k.starts_with("log/")).count();
     assert!(log <= 2 * sim.site.snapshot_every as usize, "{log} log records are left");
@@ -563,7 +563,7 @@
         sim.run_until(80_000);
         sim.end_all_faults();
         sim.run_until(260_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "seed {seed}: {id}");
         }
@@ -604,7 +604,7 @@
         sim.run_until(sim.now + 8000);
         assert_eq!(sim.jobs[SERVICE].submit_status, 200);
         assert_eq!((sim.jobs["job-000020"].cancel_status, sim.jobs["job-000020"].last_status.as_str()), (200, "done"));
-        assert_no_rule_broken(&sim, "invalid requests");
+        assert_no_violation(&sim, "invalid requests");
     }
 }
 
@@ -624,7 +624,7 @@
             2 * slow
         );
         sim.run_until(sim.now + sim.site.cancel_ms);
-        assert_no_rule_broken(&sim, &format!("{slow} ms each way"));
+        assert_no_violation(&sim, &format!("{slow} ms each way"));
     }
 }
 
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -7,7 +7,8 @@
 use support::{Simulation, Site};
 
 /// At most two replicas of `web` may be unavailable at a time.
-const TWO: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 2\n";
+const MAX_TWO_UNAVAILABLE: &str =
+    "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 2\n";
 
 fn service(replicas: u64) -> Vec<(&'static str, Value)> {
     vec![
@@ -46,7 +47,7 @@
 /// Every machine is replaced, and no more replicas are unavailable at a time than the budget allows.
 #[test]
 fn a_fleet_is_replaced_within_the_budget() {
-    let mut sim = simulation_with_services(1, TWO);
+    let mut sim = simulation_with_services(1, MAX_TWO_UNAVAILABLE);
     let before: Vec<u64> = sim.workers.keys().copied().collect();
     sim.start_drain("all", json!({}), "replace");
     assert!(sim.run_until_drain_phase("all", "done", 300_000), "{:?}", sim.drain_status("all"));
@@ -81,7 +82,7 @@
 #[test]
 fn leaders_end_at_each_step() {
     for offset in (0..6000).step_by(150) {
-        let mut sim = simulation_with_services(2, TWO);
+        let mut sim = simulation_with_services(2, MAX_TWO_UNAVAILABLE);
         sim.start_drain("all", json!({}), "replace");
         // The first replacement machines have booted some eight seconds later; from then on charges and commands
         // alternate.
@@ -100,7 +101,7 @@
 #[test]
 fn the_state_service_is_away_in_mid_drain() {
     for offset in (0..5000).step_by(500) {
-        let mut sim = simulation_with_services(3, TWO);
+        let mut sim = simulation_with_services(3, MAX_TWO_UNAVAILABLE);
         sim.start_drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000 + offset);
         sim.store.down = true;
@@ -120,7 +121,7 @@
 #[test]
 fn transactions_are_carried_out_late_and_answers_are_lost() {
     for (seed, committed_at_once) in (10..22).zip([false, true].into_iter().cycle()) {
-        let mut sim = simulation_with_services(seed, TWO);
+        let mut sim = simulation_with_services(seed, MAX_TWO_UNAVAILABLE);
         sim.faults.writes_without_response = (30, committed_at_once);
         sim.start_drain("all", json!({}), "replace");
         for _ in 0..5 {
@@ -139,7 +140,7 @@
 /// nothing before.
 #[test]
 fn a_new_leader_that_misses_a_machine_evicts_nothing() {
-    let mut sim = simulation_with_services(4, TWO);
+    let mut sim = simulation_with_services(4, MAX_TWO_UNAVAILABLE);
     let occupied = machines_with_replicas(&sim);
     sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 9000);
@@ -172,21 +173,23 @@
 /// of them run again.
 #[test]
 fn the_budget_is_lowered_in_mid_drain() {
-    const NONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 0\n";
-    const ONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 1\n";
-    let mut sim = simulation_with_services(5, TWO);
+    const MAX_NONE_UNAVAILABLE: &str =
+        "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 0\n";
+    const MAX_ONE_UNAVAILABLE: &str =
+        "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 1\n";
+    let mut sim = simulation_with_services(5, MAX_TWO_UNAVAILABLE);
     sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 2 {
         sim.run_until(sim.now + 20);
     }
-    sim.set_disruption_policy(NONE);
+    sim.set_disruption_policy(MAX_NONE_UNAVAILABLE);
     // Commands that are already in flight are executed.
     sim.run_until(sim.now + 4000);
     let before = sim.disruption.evictions["web"];
     sim.run_until(sim.now + 30_000);
     assert_eq!(sim.disruption.evictions["web"], before, "evicted although the budget is 0");
     assert!(waits_for(&sim, "all").contains("the budget of crew/web is 0"), "{}", waits_for(&sim, "all"));
-    sim.set_disruption_policy(ONE);
+    sim.set_disruption_policy(MAX_ONE_UNAVAILABLE);
     sim.run_until(sim.now + 1000);
     sim.disruption.limits.insert("web".into(), 1);
     assert!(sim.run_until_drain_phase("all", "done", 400_000), "{:?}", sim.drain_status("all"));
@@ -198,9 +201,9 @@
 /// task, and the task is evicted after `batch_wait_s`.
 #[test]
 fn a_long_batch_task_delays_only_its_own_machine_until_batch_wait_s() {
-    const WAIT: &str = "[drains]\nenabled = yes\nmax_machines = 1\n[budget crew/web]\nmax_unavailable = 2\n\
+    const EVICT_BATCH_AFTER_90_S: &str = "[drains]\nenabled = yes\nmax_machines = 1\n[budget crew/web]\nmax_unavailable = 2\n\
         [budget crew/render]\nmax_unavailable = 1\nbatch_wait_s = 90\nevict_batch = always\n";
-    let mut sim = simulation_with_services(6, WAIT);
+    let mut sim = simulation_with_services(6, EVICT_BATCH_AFTER_90_S);
     sim.submit("job-000050", &batch(2, 900.0));
     sim.run_until(sim.now + 20_000);
     let batch_machines: Vec<u64> = (0..2).filter_map(|n| sim.machine_running(&format!("job-000050/{n}"))).collect();
@@ -248,8 +251,9 @@
 /// Batch tasks of a class with `evict_batch = never` run to their end, although `batch_wait_s` is over.
 #[test]
 fn batch_tasks_are_not_evicted_if_evict_batch_is_never() {
-    const NEVER: &str = "[drains]\nenabled = yes\n[budget crew/render]\nbatch_wait_s = 5\nevict_batch = never\n";
-    let mut sim = Simulation::with_site(Site { operators: NEVER, ..Site::small() }, 7);
+    const NEVER_EVICT_BATCH: &str =
+        "[drains]\nenabled = yes\n[budget crew/render]\nbatch_wait_s = 5\nevict_batch = never\n";
+    let mut sim = Simulation::with_site(Site { operators: NEVER_EVICT_BATCH, ..Site::small() }, 7);
     sim.submit("job-000050", &batch(4, 120.0));
     sim.run_until(20_000);
     sim.start_drain("all", json!({}), "remove");
@@ -265,7 +269,7 @@
 #[test]
 fn two_drains_share_the_budget() {
     for (first, second) in [("zone-a", "all"), ("all", "zone-a"), ("zone-a", "zone-b"), ("zone-b", "zone-a")] {
-        let mut sim = simulation_with_services(8, TWO);
+        let mut sim = simulation_with_services(8, MAX_TWO_UNAVAILABLE);
         let before: Vec<u64> = sim.workers.keys().copied().collect();
         let filter = |name: &str| name.strip_prefix("zone-").map_or(json!({}), |zone| json!({"zone": zone}));
         sim.start_drain(first, filter(first), "replace");
@@ -284,7 +288,7 @@
 /// After a drain is cancelled its machines accept tasks again, and replicas that were moved are not moved back.
 #[test]
 fn a_drain_is_paused_resumed_and_cancelled() {
-    let mut sim = simulation_with_services(9, TWO);
+    let mut sim = simulation_with_services(9, MAX_TWO_UNAVAILABLE);
     sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
@@ -319,7 +323,7 @@
 /// Deleting the request's key from the state service cancels the drain, under this leader and its successor.
 #[test]
 fn deleting_the_request_key_cancels_the_drain() {
-    let mut sim = simulation_with_services(23, TWO);
+    let mut sim = simulation_with_services(23, MAX_TWO_UNAVAILABLE);
     sim.start_drain("all", json!({}), "replace");
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 3 {
         sim.run_until(sim.now + 50);
@@ -340,8 +344,8 @@
 /// Requests that can never be carried out are refused at once, and the status gives the reason.
 #[test]
 fn requests_that_cannot_be_carried_out_are_refused() {
-    const NONE: &str = "[drains]\nenabled = yes\n[budget crew/web]\nmax_unavailable = 5%\n";
-    let mut sim = simulation_with_services(11, NONE);
+    const MAX_NONE_UNAVAILABLE: &str = "[drains]\nenabled = yes\n[budget crew/web]\nmax_unavailable = 5%\n";
+    let mut sim = simulation_with_services(11, MAX_NONE_UNAVAILABLE);
     let existing = *sim.workers.keys().next().expect("a machine");
     sim.start_drain("none", json!({}), "remove");
     sim.start_drain("nowhere", json!({"zone": "nowhere"}), "remove");
@@ -355,7 +359,7 @@
     // A second request under the same name fails, and the status of one for a machine in another drain notes that.
     let again = json!({"selector": {"machines": [existing]}, "mode": "remove", "wanted": "run"});
     assert_eq!(sim.write_drain_request("none", &again, 0), 409);
-    sim.set_disruption_policy(TWO);
+    sim.set_disruption_policy(MAX_TWO_UNAVAILABLE);
     sim.start_drain("first", json!({}), "remove");
     sim.run_until(sim.now + 4000);
     sim.start_drain_of_machines("second", &[existing, 999_999]);
@@ -368,7 +372,7 @@
 /// are up.
 #[test]
 fn machines_are_provisioned_for_replicas_that_fit_nowhere_else() {
-    let mut sim = simulation_with_services(12, TWO);
+    let mut sim = simulation_with_services(12, MAX_TWO_UNAVAILABLE);
     let drained = machines_with_replicas(&sim);
     sim.start_drain_of_machines("some", &drained);
     assert!(sim.run_until_drain_phase("some", "done", 300_000), "{:?}", sim.drain_status("some"));
@@ -381,7 +385,7 @@
 /// continue.
 #[test]
 fn nothing_is_evicted_while_a_zone_is_unreachable() {
-    let mut sim = simulation_with_services(13, TWO);
+    let mut sim = simulation_with_services(13, MAX_TWO_UNAVAILABLE);
     // More machines per zone, so that an unreachable zone can be distinguished from a silent machine.
     for zone in ["a", "b"] {
         sim.cloud.capacity.insert((zone.into(), false), 20);
@@ -415,7 +419,7 @@
 #[test]
 fn machines_in_trouble_in_mid_drain() {
     for fault in 0..5 {
-        let mut sim = simulation_with_services(14, TWO);
+        let mut sim = simulation_with_services(14, MAX_TWO_UNAVAILABLE);
         sim.start_drain("all", json!({}), "replace");
         sim.run_until(sim.now + 9000);
         let emptying = sim.draining_machines();
@@ -439,7 +443,7 @@
 /// The cloud has no capacity for replacement machines: nothing is evicted, and the status gives the reason.
 #[test]
 fn nothing_is_evicted_while_the_cloud_has_no_replacements() {
-    let mut sim = simulation_with_services(15, TWO);
+    let mut sim = simulation_with_services(15, MAX_TWO_UNAVAILABLE);
     sim.cloud.capacity.clear();
     sim.start_drain("all", json!({}), "replace");
     sim.run_until(sim.now + 40_000);
@@ -457,7 +461,7 @@
 /// Evicted replicas that fail on every machine stay charged to the budget, so that the drain stops at its limit.
 #[test]
 fn evictions_stop_at_the_budget_if_replacement_replicas_fail() {
-    let mut sim = simulation_with_services(16, TWO);
+    let mut sim = simulation_with_services(16, MAX_TWO_UNAVAILABLE);
     sim.start_drain("all", json!({}), "replace");
     let machines: Vec<u64> = sim.workers.keys().copied().collect();
     while sim.disruption.evictions.get("web").copied().unwrap_or(0) < 1 {
@@ -482,9 +486,9 @@
 /// Evictions of a class are at least its `min_interval_s` apart.
 #[test]
 fn evictions_are_spaced_by_the_interval() {
-    const SPACED: &str =
+    const MIN_INTERVAL_6_S: &str =
         "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/web]\nmax_unavailable = 3\nmin_interval_s = 6\n";
-    let mut sim = simulation_with_services(17, SPACED);
+    let mut sim = simulation_with_services(17, MIN_INTERVAL_6_S);
     sim.start_drain("all", json!({}), "replace");
     assert!(sim.run_until_drain_phase("all", "done", 600_000), "{:?}", sim.drain_status("all"));
     // Commands reach workers up to one heartbeat interval apart, so that the gap may be shorter by that.
@@ -498,7 +502,7 @@
 /// next new leader.
 #[test]
 fn an_old_version_leads_for_a_while() {
-    let mut sim = Simulation::with_site(Site { operators: TWO, ..Site::small() }, 18);
+    let mut sim = Simulation::with_site(Site { operators: MAX_TWO_UNAVAILABLE, ..Site::small() }, 18);
     sim.disruption.limits.insert("web".into(), 2);
     sim.run_until(5000);
     if let Some(2) = sim.leader() {
@@ -535,9 +539,9 @@
 /// the budget.
 #[test]
 fn gangs_count_whole() {
-    const GANGS: &str = "[drains]\nenabled = yes\nmax_machines = 100%\n[budget crew/sync]\nmax_unavailable = 4\nbatch_wait_s = 10\n\
+    const MAX_FOUR_GANG_TASKS: &str = "[drains]\nenabled = yes\nmax_machines = 100%\n[budget crew/sync]\nmax_unavailable = 4\nbatch_wait_s = 10\n\
         evict_batch = checkpointed\n";
-    let mut sim = Simulation::with_site(Site { operators: GANGS, ..Site::small() }, 19);
+    let mut sim = Simulation::with_site(Site { operators: MAX_FOUR_GANG_TASKS, ..Site::small() }, 19);
     let gang = |tasks: u64| {
         vec![
             ("Lane", json!("sync")),
@@ -575,7 +579,7 @@
 /// Consolidation is a voluntary disruption and is subject to the same budgets as drains.
 #[test]
 fn consolidation_stays_within_the_budget() {
-    const NONE: &str = "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0\n";
+    const MAX_NONE_UNAVAILABLE: &str = "[drains]\nenabled = yes\n[budget crew]\nmax_unavailable = 0\n";
     let evictions = |operators: &'static str| {
         let mut sim = Simulation::with_site(Site { operators, ..Site::small() }, 20);
         sim.disruption.limits.insert("web".into(), 2);
@@ -590,15 +594,15 @@
         assert!(sim.violations.is_empty(), "{:?}", sim.violations);
         sim.disruption.evictions.get("web").copied().unwrap_or(0)
     };
-    assert!(evictions(TWO) > 0, "nothing is consolidated within the budget");
-    assert_eq!(evictions(NONE), 0, "consolidated although the budget is 0");
+    assert!(evictions(MAX_TWO_UNAVAILABLE) > 0, "nothing is consolidated within the budget");
+    assert_eq!(evictions(MAX_NONE_UNAVAILABLE), 0, "consolidated although the budget is 0");
 }
 
 /// Guards against a new leader that releases a machine with replicas on it. It does not know the tasks of a machine
 /// that has not responded yet; one that its predecessor was draining was considered empty and released.
 #[test]
 fn a_machine_that_has_not_answered_the_new_leader_is_not_returned_as_empty() {
-    let mut sim = simulation_with_services(21, TWO);
+    let mut sim = simulation_with_services(21, MAX_TWO_UNAVAILABLE);
     sim.start_drain("all", json!({}), "replace");
     let replicas = |sim: &Simulation, machine: u64| {
         let tasks = (0..4).flat_map(|job| (0..3).map(move |index| format!("job-{job:06}/{index}")));
@@ -634,7 +638,7 @@
 /// them.
 #[test]
 fn a_machine_out_of_order_is_emptied_like_others() {
-    let mut sim = simulation_with_services(22, TWO);
+    let mut sim = simulation_with_services(22, MAX_TWO_UNAVAILABLE);
     // The capacity that this frees is for tasks that fail.
     sim.cancel("job-000003");
     sim.run_until(sim.now + 5000);
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -65,7 +65,7 @@
     sim.running_tasks(GANG) == 3
 }
 
-fn assert_no_rule_broken(sim: &Simulation, case: &str) {
+fn assert_no_violation(sim: &Simulation, case: &str) {
     assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
@@ -117,7 +117,7 @@
         assert!(matches!(sim.running_tasks(GANG), 0 | 3), "only some of the tasks run");
         reported_running |= sim.jobs[GANG].last_status == "running";
     }
-    assert_no_rule_broken(&sim, "without faults");
+    assert_no_violation(&sim, "without faults");
     assert_eq!((sim.jobs[GANG].last_status.as_str(), reported_running), ("done", true));
     assert_eq!(sim.gang_attempts(GANG), 1, "the gang needed more than one attempt");
 }
@@ -134,7 +134,7 @@
     assert_eq!(status("job-000002"), 422, "three tasks of two cores exceed the team's limit of four");
     assert_eq!((status("job-000004"), status("job-000005")), (422, 422));
     assert_eq!(sim.jobs["job-000003"].last_status, "done");
-    assert_no_rule_broken(&sim, "total demand");
+    assert_no_violation(&sim, "total demand");
 }
 
 /// A gang is cancelled in each state, without a change of leader and shortly before the leader crashes.
@@ -151,7 +151,7 @@
                 sim.restart_controller(leader, 3000);
             }
             sim.run_until(sim.now + 60_000);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
             assert_eq!(sim.jobs[GANG].last_status, "aborted", "{case}");
             assert_eq!(sim.tasks_on_machines(GANG), 0, "{case}");
         }
@@ -207,7 +207,7 @@
             sim.run_until(sim.now + 30_000);
             sim.end_all_faults();
             sim.run_until(sim.now + 120_000);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
             assert_eq!(sim.jobs[GANG].last_status, "done", "{case}");
             assert_eq!(
                 sim.gangs.incomplete_tasks, 0,
@@ -242,7 +242,7 @@
         let machine = sim.machine_holding_except(GANG, &gathering).expect("no machine is still fetching the image");
         sim.kill_machine(machine);
         sim.run_until(sim.now + 120_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!(sim.jobs[GANG].last_status, "done", "seed {seed}");
         replaced += u64::from(sim.gang_attempts(GANG) == 1);
     }
@@ -265,7 +265,7 @@
         assert!(saved > 7000, "seed {seed}: checkpoint of {saved} ms of progress, expected more than 7,000 ms");
         sim.kill_machine(machine);
         sim.run_until(sim.now + 100_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
     }
 }
@@ -279,7 +279,7 @@
         let leader = sim.leader().expect("a leader");
         sim.restart_controller(leader, 4000);
         sim.run_until(sim.now + 100_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
     }
 }
@@ -308,7 +308,7 @@
         assert!(saved > 8000, "seed {seed}: checkpoint of {saved} ms of progress, expected more than 8,000 ms");
         sim.kill_machine(noticed);
         sim.run_until(sim.now + 150_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gangs.aborted_checkpoints), ("done", 0), "seed {seed}");
     }
 }
@@ -326,7 +326,7 @@
         let machine = sim.machine_running("job-000001/1").expect("a running task of the gang");
         sim.partition_machine_for(machine, 4200);
         sim.run_until(sim.now + 60_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!((sim.jobs[GANG].last_status.as_str(), sim.gang_attempts(GANG)), ("done", 1), "seed {seed}");
     }
 }
@@ -348,12 +348,12 @@
         sim.cloud.unavailable = true;
         sim.hang_machine(machine, 14_500);
         sim.run_until(sim.now + 14_400);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!(sim.gang_attempts(GANG), 1, "seed {seed}");
         sim.run_until(sim.now + 20_000);
         sim.end_all_faults();
         sim.run_until(sim.now + 120_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!(sim.jobs[GANG].last_status, "done", "seed {seed}");
     }
 }
@@ -375,7 +375,7 @@
         }
         sim.end_all_faults();
         sim.run_until(sim.now + 150_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         assert_eq!(sim.jobs[GANG].last_status, "done", "seed {seed}");
     }
 }
@@ -395,11 +395,11 @@
         let leader = sim.leader().expect("a leader");
         sim.isolate_zone(&zone, leader);
         sim.run_until(sim.now + 40_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         sim.heal_zone(&zone);
         sim.end_all_faults();
         sim.run_until(sim.now + 200_000);
-        assert_no_rule_broken(&sim, &format!("seed {seed}"));
+        assert_no_violation(&sim, &format!("seed {seed}"));
         for id in [GANG, "job-000002"] {
             assert_eq!(sim.jobs[id].last_status, "done", "seed {seed}: {id}");
         }
@@ -425,7 +425,7 @@
         sim.run_until(sim.now + 800);
     }
     sim.run_until(sim.now + 100_000);
-    assert_no_rule_broken(&sim, "large gangs among small jobs");
+    assert_no_violation(&sim, "large gangs among small jobs");
     for (id, job) in &sim.jobs {
         assert_eq!(job.last_status, "done", "{id}");
     }
@@ -448,7 +448,7 @@
         sim.run_until(sim.now + 3000);
     }
     sim.run_until(sim.now + 30_000);
-    assert_no_rule_broken(&sim, "a failing gang");
+    assert_no_violation(&sim, "a failing gang");
     let done = sim.jobs.values().filter(|j| j.last_status == "done").count();
     assert_eq!(done, 40, "other jobs that are done");
     assert!((2..16).contains(&sim.gang_attempts(GANG)), "{} attempts in 150 s", sim.gang_attempts(GANG));
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -16,7 +16,7 @@
     second: u64,
 }
 
-const ALWAYS: &str = "[admission]\nbound_backlog = always\n";
+const BOUND_BACKLOG_ALWAYS: &str = "[admission]\nbound_backlog = always\n";
 const FIRST_QUIET_JOB: u64 = 900_000;
 /// Longest time until a job of the quiet team is accepted without any fault: the limit on the wait of a starved pair of
 /// team and class, the distribution of the admission table, and one retry.
@@ -40,7 +40,8 @@
 
     /// More demand than the machines can serve in time.
     fn overloading_machines(seed: u64) -> Flood {
-        let site = Site { machines: 4, snapshot_every: 50, value_kb: 8.0, operators: ALWAYS, ..Site::small() };
+        let site =
+            Site { machines: 4, snapshot_every: 50, value_kb: 8.0, operators: BOUND_BACKLOG_ALWAYS, ..Site::small() };
         Flood::at(site, seed, 3)
     }
 
@@ -166,7 +167,7 @@
         let accepted = flood.count(|job| job.accepted && job.cancel_requested_at.is_none());
         (flood.count(|job| begun(job) && job.cancel_requested_at.is_none()) as f64) / accepted as f64
     };
-    let (bounded, unbounded) = (begun_share(ALWAYS), begun_share("[admission]\nbound_backlog = never\n"));
+    let (bounded, unbounded) = (begun_share(BOUND_BACKLOG_ALWAYS), begun_share("[admission]\nbound_backlog = never\n"));
     assert!(
         bounded > unbounded + 0.1,
         "share of jobs begun a minute after the flood: {bounded:.2} with a bounded backlog, {unbounded:.2} without"
--- a/tests/overload_processes.rs
+++ b/tests/overload_processes.rs
@@ -16,7 +16,7 @@
 /// Users retry after more than the minimum of eight seconds, and give up after a minute.
 const RETRY_AFTER: Duration = Duration::from_secs(9);
 const GIVE_UP: Duration = Duration::from_secs(60);
-const ALWAYS: &str = "[admission]\nbound_backlog = always\n";
+const BOUND_BACKLOG_ALWAYS: &str = "[admission]\nbound_backlog = always\n";
 
 /// Results of the submissions of one class.
 #[derive(Debug, Default)]
@@ -111,7 +111,7 @@
 
 /// Submits the flood for this many seconds; the leader is killed in the middle and restarted three seconds later.
 fn flood(name: &str, seconds: u64) -> (ProcessHarness, Users) {
-    let mut harness = ProcessHarness::start(name, ALWAYS);
+    let mut harness = ProcessHarness::start(name, BOUND_BACKLOG_ALWAYS);
     harness.fake_services().max_machines = Some(2);
     harness.wait_until("a leader", || harness.fake_services().leader());
     let mut users = Users::new();
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -57,16 +57,16 @@
 }
 
 /// Under both sets of budgets at most one replica of the class `render` may be unavailable at a time.
-const ONE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/render]\nmax_unavailable = 1\n\
+const MAX_ONE_UNAVAILABLE: &str = "[drains]\nenabled = yes\nmax_machines = 50%\n[budget crew/render]\nmax_unavailable = 1\n\
     batch_wait_s = 20\nevict_batch = always\n";
-const HALF: &str = "[drains]\nenabled = yes\nmax_machines = 3\n[budget crew/render]\nmax_unavailable = 1\n\
+const MAX_HALF_OF_TEAM: &str = "[drains]\nenabled = yes\nmax_machines = 3\n[budget crew/render]\nmax_unavailable = 1\n\
     min_interval_s = 2\nbatch_wait_s = 5\n[budget crew]\nmax_unavailable = 50%\n";
 
 /// Actions of operators.
 fn operator_action() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        3 => (0u8..4, any::<u8>()).prop_map(|(name, what)| Fault::RequestDrain(name, what)),
-        2 => (0u8..4, any::<u8>()).prop_map(|(name, what)| Fault::ChangeDrain(name, what)),
+        3 => (0u8..4, any::<u8>()).prop_map(|(name, choice)| Fault::RequestDrain(name, choice)),
+        2 => (0u8..4, any::<u8>()).prop_map(|(name, choice)| Fault::ChangeDrain(name, choice)),
         1 => any::<bool>().prop_map(Fault::ChangeBudgets),
     ]
 }
@@ -204,16 +204,17 @@
             }
         }
         Fault::Submit(n) => sim.resubmit(&name(*n)),
-        Fault::RequestDrain(n, what) => {
+        Fault::RequestDrain(n, choice) => {
             let filter = [json!({}), json!({"zone": "a"}), json!({"zone": "b"}), json!({"count": 2})];
-            let mode = if what & 4 == 0 { "replace" } else { "remove" };
-            let request = json!({"selector": {"matching": filter[(what % 4) as usize]}, "mode": mode, "wanted": "run"});
+            let mode = if choice & 4 == 0 { "replace" } else { "remove" };
+            let request =
+                json!({"selector": {"matching": filter[(choice % 4) as usize]}, "mode": mode, "wanted": "run"});
             // The write fails if there is a drain of this name, or while the state service is down.
             sim.write_drain_request(&format!("drain-{n}"), &request, 0);
         }
-        Fault::ChangeDrain(n, what) => {
+        Fault::ChangeDrain(n, choice) => {
             let name = format!("drain-{n}");
-            let wanted = ["run", "pause", "run", "cancel"][(what % 4) as usize];
+            let wanted = ["run", "pause", "run", "cancel"][(choice % 4) as usize];
             let before = sim.store.keys.get(&format!("drain/request/{name}")).cloned();
             if let Some((mut request, revision, _)) = before.filter(|(request, ..)| request["wanted"] != "cancel") {
                 request["wanted"] = json!(wanted);
@@ -231,7 +232,9 @@
             }
         }
         Fault::SetOverload(on) => sim.controllers.overloaded = *on,
-        Fault::ChangeBudgets(first) => sim.set_disruption_policy(if *first { ONE } else { HALF }),
+        Fault::ChangeBudgets(first) => {
+            sim.set_disruption_policy(if *first { MAX_ONE_UNAVAILABLE } else { MAX_HALF_OF_TEAM })
+        }
         Fault::Cancel(n) => {
             if sim.jobs.contains_key(&name(*n)) {
                 sim.cancel(&name(*n));
@@ -297,7 +300,7 @@
         seed in 0u64..1000,
         faults in proptest::collection::vec((0u64..6000, prop_oneof![4 => fault(), 1 => operator_action()]), 15..50),
     ) {
-        let mut sim = Simulation::with_site(Site { operators: ONE, ..Site::small() }, seed);
+        let mut sim = Simulation::with_site(Site { operators: MAX_ONE_UNAVAILABLE, ..Site::small() }, seed);
         sim.disruption.limits.insert("render".into(), 1);
         for id in ["job-000001", "job-000007"] {
             sim.submit(id, &three_spread_replicas());
--- a/tests/rolling_upgrade.rs
+++ b/tests/rolling_upgrade.rs
@@ -32,7 +32,7 @@
     }
 }
 
-fn assert_no_rule_broken(sim: &Simulation, case: &str) {
+fn assert_no_violation(sim: &Simulation, case: &str) {
     assert!(sim.violations.is_empty(), "{case}: {:?}", sim.violations);
 }
 
@@ -73,7 +73,7 @@
             sim.now - upgraded_at
         );
         sim.run_until(sim.now + 60_000);
-        assert_no_rule_broken(&sim, &case);
+        assert_no_violation(&sim, &case);
         for (id, job) in &sim.jobs {
             assert_eq!(job.last_status, "done", "{case}: {id}");
         }
@@ -106,7 +106,7 @@
             assert_eq!(sim.store.keys["leader"], tombstone, "{case}");
         }
         sim.run_until(sim.now + 60_000);
-        assert_no_rule_broken(&sim, &case);
+        assert_no_violation(&sim, &case);
         assert_eq!(sim.jobs[GANG].last_status, "done", "{case}");
     }
 }
@@ -141,7 +141,7 @@
             sim.run_until(sim.now + 8000);
             submit_gang(&mut sim, GANG);
             sim.run_until(sim.now + 50_000);
-            assert_no_rule_broken(&sim, &case);
+            assert_no_violation(&sim, &case);
             assert!(leader_key_moved(&sim), "{case}");
             assert_eq!(sim.jobs[GANG].last_status, "done", "{case}");
             let leaders = sim.controllers.processes.iter().flatten().filter(|c| c.leader().is_some()).count();
@@ -160,7 +160,7 @@
     submit_gang(&mut sim, GANG);
     sim.submit("job-000002", &[("RuntimeS", json!(2.0))]);
     sim.run_until(60_000);
-    assert_no_rule_broken(&sim, "one node is down");
+    assert_no_violation(&sim, "one node is down");
     assert_eq!((sim.jobs[GANG].submit_status, leader_key_moved(&sim)), (503, false));
     assert_eq!(sim.jobs["job-000002"].last_status, "done");
     sim.start_controller(2);
--- a/tests/scenario_replay.rs
+++ b/tests/scenario_replay.rs
@@ -19,7 +19,7 @@
     let path = format!("{}/tests/traces/{name}.trace", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).expect("a trace");
     let mut sim = Simulation::new(7);
-    let mut names: HashMap<String, u64> = HashMap::new();
+    let mut ids: HashMap<String, u64> = HashMap::new();
     let (mut steps, mut expectations) = (0, 0);
     for (number, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
@@ -31,13 +31,13 @@
         let time: f64 = words[0].parse().unwrap_or_else(|_| panic!("{location}: no time"));
         sim.run_until(1000 + (time * 1000.0) as u64);
         assert!(sim.violations.is_empty(), "{location}: {:?}", sim.violations);
-        let machine = |sim: &Simulation, names: &mut HashMap<String, u64>, word: &str| -> u64 {
+        let machine = |sim: &Simulation, ids: &mut HashMap<String, u64>, word: &str| -> u64 {
             if let Some(task) = word.strip_prefix("of:") {
                 let id = sim.machine_running(task).unwrap_or_else(|| panic!("{location}: {task} runs on no machine"));
-                names.insert("it".into(), id);
+                ids.insert("it".into(), id);
                 return id;
             }
-            names.get(word).copied().unwrap_or_else(|| panic!("{location}: no machine {word}"))
+            ids.get(word).copied().unwrap_or_else(|| panic!("{location}: no machine {word}"))
         };
         steps += 1;
         match (words[1], &words[2..]) {
@@ -56,12 +56,12 @@
             ("crash", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 sim.crash_controller(leader);
-                names.insert("crashed".into(), leader as u64);
+                ids.insert("crashed".into(), leader as u64);
             }
             ("crash", ["all"]) => (0..3).for_each(|n| sim.crash_controller(n)),
             ("crash", [n]) => sim.crash_controller(node(n)),
             ("start", ["all"]) => (0..3).for_each(|n| sim.start_controller(n)),
-            ("start", ["crashed"]) => sim.start_controller(names["crashed"] as usize),
+            ("start", ["crashed"]) => sim.start_controller(ids["crashed"] as usize),
             ("start", [n]) => sim.start_controller(node(n)),
             ("state", ["down"]) => sim.store.down = true,
             ("state", ["up"]) => sim.store.down = false,
@@ -73,15 +73,15 @@
             ("state", ["loses", n]) => sim.store.lost_responses = n.parse().expect("a count"),
             ("state", ["writes", n]) => sim.store.transactions_until_outage = n.parse().ok(),
             ("cut", [m]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.partition_machine(m);
             }
             ("heal", [m]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.heal_machine(m);
             }
             ("inbound_lost", [m]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.faults.inbound_lost.insert(m);
             }
             ("copies", [percent, seconds]) => {
@@ -96,25 +96,25 @@
             ("lose-workers", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 sim.faults.partitioned_from_workers.insert(leader);
-                names.insert("crashed".into(), leader as u64);
+                ids.insert("crashed".into(), leader as u64);
             }
             ("isolate", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 sim.isolate_controller(leader);
-                names.insert("crashed".into(), leader as u64);
-                names.insert("isolated".into(), leader as u64);
+                ids.insert("crashed".into(), leader as u64);
+                ids.insert("isolated".into(), leader as u64);
             }
             ("isolate", ["follower"]) => {
                 let follower = (0..3).find(|n| Some(*n) != sim.leader()).expect("three nodes");
                 sim.isolate_controller(follower);
-                names.insert("isolated".into(), follower as u64);
+                ids.insert("isolated".into(), follower as u64);
             }
             ("cut-off-zone", ["leader"]) => {
                 let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
                 let zone = support::zone_of(&sim.site, leader);
                 sim.isolate_zone(zone, leader);
-                names.insert("isolated".into(), leader as u64);
-                names.insert("crashed".into(), leader as u64);
+                ids.insert("isolated".into(), leader as u64);
+                ids.insert("crashed".into(), leader as u64);
             }
             ("reconnect", []) => sim.end_isolation(),
             ("bounce", ["leader", ms]) => {
@@ -128,32 +128,32 @@
                 (0..3).for_each(|n| sim.restart_controller(n, ms.parse().expect("milliseconds")))
             }
             ("blink", [m, ms]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.partition_machine_for(m, ms.parse().expect("milliseconds"));
             }
-            ("probe", ["isolated"]) => sim.check_health(names["isolated"] as usize),
+            ("probe", ["isolated"]) => sim.check_health(ids["isolated"] as usize),
             ("ask", ["isolated", id]) => {
                 sim.users.slowest_response_ms = 0;
-                sim.send_user_request(names["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
+                sim.send_user_request(ids["isolated"] as usize, id.to_string(), UserRequest::Get(id.to_string()));
             }
             ("mend", []) => sim.end_all_faults(),
             ("hold-commands", [m]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.faults.commands_held.insert(m);
             }
             ("die", [m]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.kill_machine(m);
             }
             ("sick", [m]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 if let Some(w) = sim.workers.get_mut(&m) {
                     w.tasks_fail = true;
                 }
             }
             ("sick-all", []) => sim.workers.values_mut().for_each(|w| w.tasks_fail = true),
             ("notice", [m, seconds]) => {
-                let m = machine(&sim, &mut names, m);
+                let m = machine(&sim, &mut ids, m);
                 sim.send_reclaim_notice(m, seconds.parse().expect("seconds"));
             }
             ("capacity", [zone, count]) => {
@@ -161,7 +161,7 @@
             }
             ("expect", rest) => {
                 expectations += 1;
-                expect(&sim, &names, &location, rest);
+                expect(&sim, &ids, &location, rest);
             }
             _ => panic!("{location}: unknown `{line}`"),
         }
@@ -172,13 +172,13 @@
     );
 }
 
-fn expect(sim: &Simulation, names: &HashMap<String, u64>, location: &str, words: &[&str]) {
+fn expect(sim: &Simulation, ids: &HashMap<String, u64>, location: &str, words: &[&str]) {
     match words {
         ["leader"] => assert!(sim.leader().is_some(), "{location}: no node leads"),
         ["no", "leader"] => assert!(sim.leader().is_none(), "{location}: a node leads"),
         ["other", "leader"] => {
             let leader = sim.leader().unwrap_or_else(|| panic!("{location}: no node leads"));
-            assert_ne!(leader as u64, names["crashed"], "{location}");
+            assert_ne!(leader as u64, ids["crashed"], "{location}");
         }
         ["leaders", n] => {
             let leaders = sim.controllers.processes.iter().flatten().filter(|c| c.leader().is_some()).count();
@@ -192,9 +192,9 @@
             assert_eq!(sim.tasks.starts.get(*task).map_or(0, Vec::len).to_string(), **n, "{location}")
         }
         ["machines", n] => assert_eq!(sim.workers.len().to_string(), **n, "{location}"),
-        ["gone", m] => assert!(!sim.workers.contains_key(&names[*m]), "{location}: {m} has not been released"),
-        ["kept", m] => assert!(sim.workers.contains_key(&names[*m]), "{location}: {m} was released"),
-        ["moved", task] => assert_ne!(sim.machine_running(task), names.get("it").copied(), "{location}"),
+        ["gone", m] => assert!(!sim.workers.contains_key(&ids[*m]), "{location}: {m} has not been released"),
+        ["kept", m] => assert!(sim.workers.contains_key(&ids[*m]), "{location}: {m} was released"),
+        ["moved", task] => assert_ne!(sim.machine_running(task), ids.get("it").copied(), "{location}"),
         ["answers", "within", ms] => {
             assert!(
                 sim.users.slowest_response_ms <= ms.parse().expect("milliseconds"),
@@ -210,7 +210,7 @@
             );
         }
         ["healthy", "isolated", yes] => {
-            assert_eq!(sim.users.health_checks[&(names["isolated"] as usize)], *yes == "yes", "{location}");
+            assert_eq!(sim.users.health_checks[&(ids["isolated"] as usize)], *yes == "yes", "{location}");
         }
         ["keys", prefix, "below", n] => {
             let keys = sim.store.keys.keys().filter(|k| k.starts_with(*prefix)).count();
