--- a/crates/disruption/src/records.rs
+++ b/crates/disruption/src/records.rs
@@ -118,7 +118,8 @@
     /// Number of machines that are being drained.
     #[serde(rename = "emptying")]
     pub draining: u32,
-    /// Conditions that the drain is waiting for, such as budget that is used up, most important first.
+    /// Conditions that the drain is waiting for, such as a budget that is used up: the first five in the order in which
+    /// a reconciliation finds them. They are not ranked by importance.
     #[serde(rename = "waits_for", default, skip_serializing_if = "Vec::is_empty")]
     pub wait_reasons: Vec<String>,
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -25,7 +25,7 @@
 }
 
 numeric_newtype!(
-    /// Fencing token of a leader: the revision of the state service at which it acquired the leader key. Workers ignore
+    /// Fencing token of a leader: the revision of the state service at which it acquired the leader key. Workers reject
     /// commands with a lower token than the highest they have seen.
     FencingToken
 );
--- a/src/cloud/machine_list.rs
+++ b/src/cloud/machine_list.rs
@@ -32,7 +32,7 @@
     }
 
     /// Adds an unknown machine as a pending instance. An earlier leader requested it, or a delayed duplicate of a
-    /// scale-out request provisioned it. It is used once it sends heartbeats, and released if it does not come up.
+    /// scale-out request provisioned it. It is used once it sends heartbeats, and released if it does not boot in time.
     fn adopt_listed(&mut self, now: Timestamp, id: MachineId, listed: ListedMachine) {
         info!("unknown instance listed machine={id} type={} zone={}", listed.machine_type, listed.zone);
         let age = Duration::from_secs_f64(listed.age_s) + self.list_lag;
--- a/src/jobs/feasibility.rs
+++ b/src/jobs/feasibility.rs
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// Checks the resources that must be available at the same time against the team's limits: those of all tasks for
+/// Checks the resources that must be available at the same time against the team's quotas: those of all tasks for
 /// services and gangs, those of one task otherwise.
 fn check_quota(job: &JobSpec, team: &Team) -> Result<(), SubmissionError> {
     let concurrent_tasks = if job.is_service || job.is_gang { u64::from(job.task_count) } else { 1 };
--- a/src/leader/failure_detection/isolation.rs
+++ b/src/leader/failure_detection/isolation.rs
@@ -47,8 +47,8 @@
         let significant =
             || self.machines.values().filter(|machine| machine.sends_consecutive_heartbeats || !ever_reached);
         if significant().nth(MIN_SIGNIFICANT_MACHINES - 1).is_none() {
-            // Time without workers does not count as silence. Otherwise a node that has waited for its first workers
-            // steps down as soon as several of them come up together.
+            // Time without workers does not count as silence. Otherwise a leader that has waited long for its first
+            // workers steps down as soon as several of them are discovered together.
             self.reachability.unreachable_for = Duration::ZERO;
             return;
         }
--- a/src/leader/provisioning.rs
+++ b/src/leader/provisioning.rs
@@ -22,8 +22,8 @@
 /// While machines of earlier leaders are not fenced, a new leader waits this long after its election before it scales
 /// out: until then it does not know which tasks those machines run.
 const SCALE_OUT_DELAY_AFTER_ELECTION: Duration = Duration::from_secs(3);
-/// No instances are requested in a zone for this long after most of its machines were seen silent: new instances there
-/// most likely could not send heartbeats either.
+/// No instances are requested in a zone for this long after it was last found unreachable or a pending instance there
+/// was last late: new instances there most likely could not send heartbeats either.
 const ZONE_AVOIDANCE_PERIOD: Duration = Duration::from_secs(40);
 
 /// One request to the cloud for instances of one pool.
--- a/src/leader/provisioning/demand.rs
+++ b/src/leader/provisioning/demand.rs
@@ -23,7 +23,7 @@
 const ON_DEMAND_BUSY_TIME: Duration = Duration::from_secs(100);
 /// Maximum number of tasks that such a machine is expected to run one after another.
 const MAX_SEQUENTIAL_TASKS: u64 = 4;
-/// Team limits are set in whole CPUs and GPUs, resources are counted in thousandths.
+/// Team quotas are set in whole CPUs and GPUs, resources are counted in thousandths.
 const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
 /// Conditions under which the demands of one provisioning round are determined.
@@ -147,7 +147,7 @@
         self.planning.names.zone_name(zone).map(str::to_string)
     }
 
-    /// Returns how many tasks of a job may run at the same time within the CPU and GPU limits of its team.
+    /// Returns how many tasks of a job may run at the same time within the CPU and GPU quotas of its team.
     fn max_tasks_of_team(&self, job: &Job) -> u32 {
         let teams = &self.settings.deployment.teams;
         let Some(team) = teams.iter().find(|team| team.name == job.spec.team) else { return 0 };
@@ -166,7 +166,7 @@
     (ON_DEMAND_BUSY_TIME.as_millis() / duration.as_millis().max(1)).clamp(1, MAX_SEQUENTIAL_TASKS) as u32
 }
 
-/// Returns how many tasks, each with a request in thousandths, fit into a limit in whole units. 0 means no limit.
+/// Returns how many tasks, each with a request in thousandths, fit into a quota in whole units. 0 means no quota.
 fn tasks_within_limit(limit: f64, thousandths_per_task: u64) -> u64 {
     let has_limit = limit > 0.0;
     if !has_limit {
--- a/src/leader/provisioning/expected_services.rs
+++ b/src/leader/provisioning/expected_services.rs
@@ -17,14 +17,15 @@
 const MAX_MEDIANS_PER_SLOT: u32 = 3;
 /// Seconds from the end of a machine's boot until the tasks that were submitted in the meantime have started on it.
 const START_DELAY_AFTER_BOOT_S: f64 = 10.0;
-/// Minimum number of tasks that are expected while at least one service exists.
+/// Minimum number of tasks that are expected while at least one service exists for which headroom is reserved.
 const MIN_EXPECTED_TASKS: u64 = 3;
 /// A new leader waits this long for heartbeats before it assumes that a silent zone is lost.
 const HEARTBEAT_WAIT_AFTER_ELECTION: Duration = Duration::from_secs(3);
 
 /// The services that are likely to be submitted soon.
 pub(super) struct ExpectedServices<'a> {
-    /// The existing service whose tasks request the most CPUs. The expected services are assumed to be like it.
+    /// Of the existing services for which headroom is reserved, the one whose tasks request the most CPUs. The expected
+    /// services are assumed to be like it.
     pub(super) typical_job: &'a Job,
     /// Total number of tasks of the expected services.
     pub(super) tasks: u64,
--- a/src/leader/provisioning/headroom.rs
+++ b/src/leader/provisioning/headroom.rs
@@ -134,7 +134,8 @@
 
     /// Reserves capacity for the tasks of a class that are likely to be submitted within one boot time, and returns the
     /// demand for what the machines lack. Half of the expected tasks can use the capacity of tasks that end in the
-    /// meantime (`CLASS_HEADROOM_SHARE`), but the largest job must find capacity at any time.
+    /// meantime (`CLASS_HEADROOM_SHARE`), but capacity for at least `MIN_LARGEST_JOBS` of the class's
+    /// largest job is reserved or requested as long as any tasks are expected.
     fn class_headroom(
         &self,
         now: Timestamp,
--- a/src/leader/provisioning/objectives.rs
+++ b/src/leader/provisioning/objectives.rs
@@ -26,8 +26,11 @@
 
 impl Leader {
     /// Whether on-demand machines may be requested for a task that may run on spot machines. Since they cost several
-    /// times as much, they are justified only while no spot machines are available, and only for tasks that would miss
-    /// a strict deadline otherwise or that wait for longer than `SPOT_WAIT_TIMEOUT`.
+    /// times as much, they are justified only while no spot machines are available, and only for three kinds of tasks:
+    /// those that have waited for `SPOT_WAIT_TIMEOUT` and are not predicted to start soon, those that would miss a
+    /// strict deadline on the existing machines and meet it on a new one, once `PREDICTION_WAIT_DIVISOR` lets the
+    /// prediction count, and those without a strict deadline that are predicted to wait for longer than
+    /// `SPOT_WAIT_TIMEOUT`.
     pub(super) fn justifies_on_demand(
         &self,
         job: &Job,
--- a/src/leader/provisioning/solver.rs
+++ b/src/leader/provisioning/solver.rs
@@ -19,7 +19,9 @@
     pub(crate) job: JobId,
     /// Resources of each task.
     pub(crate) resources: Resources,
-    /// Number of tasks.
+    /// Number of tasks for which the new machines need capacity at the same time. It is lower than the number of
+    /// pending tasks if on-demand machines, requested in place of spot machines, are to run several tasks one after
+    /// another.
     pub(crate) count: u32,
     /// Whether spot machines may be requested.
     pub(crate) allows_spot: bool,
@@ -43,7 +45,8 @@
             && self.machine_types.as_ref().is_none_or(|names| names.contains(&pool.machine_type))
     }
 
-    /// Whether the tasks of both demands have the same resources and constraints, so that they fill the same machines.
+    /// Whether the tasks of both demands need the same resources and allow the same pools, so that they can share
+    /// machines. Constraints on the distribution over zones (`max_per_zone`, `colocate_in_zone`) are not compared.
     fn has_same_requirements(&self, other: &MachineDemand) -> bool {
         self.resources == other.resources
             && self.allows_spot == other.allows_spot
--- a/src/leader/provisioning/zones.rs
+++ b/src/leader/provisioning/zones.rs
@@ -31,8 +31,8 @@
     ///
     /// The solver prefers zones with little capacity, so it would request all instances in such a zone, although the
     /// zone may be unreachable: a new leader cannot tell. Therefore instances are requested there one at a time. No
-    /// tasks are planned on the pending instances of a suspected zone, where machines fell silent or instances do not
-    /// come up.
+    /// tasks are planned on the pending instances of a suspected zone, whose machines became silent or whose
+    /// instances do not finish booting.
     pub(crate) fn update_suspected_zones(&mut self, now: Timestamp) {
         let empty = self.zones_without_machines(now);
         self.note_late_instances(now, &empty);
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Returns one instance to request in each suspected zone that has none pending. Its heartbeats show that the zone
-    /// is reachable again.
+    /// Returns one instance to request in each suspected zone that has none pending and has not been found unreachable
+    /// within `ZONE_AVOIDANCE_PERIOD`. The instance's heartbeats show that the zone is reachable again.
     pub(super) fn zone_probes(&self, now: Timestamp) -> Vec<InstancePool> {
         let to_probe = self.zones.suspected.iter().filter(|zone| {
             !self.zone_unreachable_within(zone, now, ZONE_AVOIDANCE_PERIOD) && !self.has_pending_instance(zone)
--- a/src/leader/scheduling/pacing.rs
+++ b/src/leader/scheduling/pacing.rs
@@ -20,8 +20,8 @@
 const INTERVAL_INCREASE_PER_INPUT_DELAY: u64 = 2;
 /// Number of machine evaluations in a full round, over all jobs. With short queues they take a few milliseconds.
 const EVALUATIONS_PER_ROUND: usize = 20_000;
-/// Minimum number of jobs whose tasks can be evaluated on all machines in a full round. It exceeds
-/// `EVALUATIONS_PER_ROUND` in fleets of more than 2,000 machines.
+/// Minimum number of jobs whose tasks can be evaluated on all machines in a full round. In fleets of more than 2,000
+/// machines this takes more than `EVALUATIONS_PER_ROUND` evaluations, so the number of evaluations is raised.
 const MIN_JOBS_PER_FULL_ROUND: usize = 10;
 /// A round that takes longer than this reduces the evaluation budget of the next one. With full queues, an evaluation
 /// costs many times as much as with short ones.
@@ -50,7 +50,8 @@
 }
 
 impl Pacing {
-    /// Records the duration of a slow input as that of the last round, since inputs of no other kind are slow.
+    /// Records the duration of a slow input as that of the last round: only inputs that ran a round of planning are
+    /// slow.
     pub(crate) fn note_slow_input(&mut self, duration: Duration) {
         self.last_round_duration = duration;
     }
--- a/src/leader/scheduling/reclaims.rs
+++ b/src/leader/scheduling/reclaims.rs
@@ -19,8 +19,9 @@
 }
 
 impl Leader {
-    /// Stops tasks on machines that are about to be reclaimed, once they would have no time left for a checkpoint in a
-    /// later round. If a task of a gang has to be stopped, the whole gang is.
+    /// Stops tasks on machines that are about to be reclaimed, unless they are predicted to end in time: tasks without
+    /// checkpoints at once, others in the last round that leaves time for a checkpoint. If a task of a gang has to be
+    /// stopped, the whole gang is.
     pub(super) fn stop_tasks_on_reclaimed_machines(&mut self, now: Timestamp) {
         self.reclaimed_machines.retain(|id| self.machines.contains_key(id));
         let due: Vec<ReclaimedTask> = self
--- a/src/leader/scheduling/unplanned_jobs.rs
+++ b/src/leader/scheduling/unplanned_jobs.rs
@@ -5,8 +5,8 @@
 
 /// Maximum number of tasks of one job that are placed in one turn.
 const MAX_TASKS_PER_PLACEMENT: u32 = 128;
-/// A job is promoted if none of its tasks has started for this long after its submission. The value leaves time for its
-/// first task to start within four minutes of the submission.
+/// A job is promoted if it has neither a placed nor a finished task this long after its submission. The value leaves
+/// time for its first task to start within four minutes of the submission.
 const STARVATION_THRESHOLD: Duration = Duration::from_secs(120);
 /// Priority of a promoted job until its first task has started. It precedes all jobs but those of priority 0, whose
 /// services it must not displace.
@@ -83,7 +83,9 @@
         }
     }
 
-    /// Whether a job that may be started has been waiting for `STARVATION_THRESHOLD` without any task started.
+    /// Whether a startable job of a lower priority than `PROMOTED_PRIORITY` was submitted at least
+    /// `STARVATION_THRESHOLD` ago and has neither a placed nor a finished task. Tasks that were started and failed do
+    /// not count.
     fn is_starved(&self, job: &Job, now: Timestamp) -> bool {
         let has_started = !job.placements.is_empty() || !job.finished.is_empty();
         job.effective_priority > PROMOTED_PRIORITY
--- a/src/leader/user_requests.rs
+++ b/src/leader/user_requests.rs
@@ -12,7 +12,7 @@
 /// Seconds after which a user may retry a submission that was rejected because too many jobs are open.
 const OPEN_JOBS_RETRY_AFTER_S: u16 = 10;
 /// Number of log records that are not durable yet at which submissions are rejected, in addition to one record for each
-/// machine: the registrations of a fleet that comes up at once must not count as backlog.
+/// machine: the registrations of machines that all boot at once must not count as backlog.
 const LOG_BACKLOG_LIMIT: usize = 5000;
 /// Error text of a leader without a valid lease. It rejects requests whose response may be outdated, since another node
 /// may have been elected.
--- a/src/leadership/election.rs
+++ b/src/leadership/election.rs
@@ -90,8 +90,8 @@
             self.highest_observed_token = token;
             self.set_known_leader(Some(node), out);
         }
-        // The link to the leader is lost, so the leader has probably failed and its lease will expire soon: poll more
-        // often.
+        // After the link to the leader is lost, the leader has probably failed and its lease will expire soon, so this
+        // node reads the key more often until `vacancy_expected_until`.
         let vacancy_expected = self.vacancy_expected_until > now;
         self.next_action_at = now + if vacancy_expected { self.jitter(50, 100) } else { self.jitter(200, 300) };
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,4 +1,4 @@
-//! The binary protocol between controllers, over one multiplexed link from each follower to the leader.
+//! The binary protocol between controllers, over the multiplexed link that each node opens to every other node.
 //!
 //! A frame consists of a header of fixed layout and a body whose length is given in the header. Followers forward
 //! users' requests; the leader sends each response under the number of its request, in any order.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// A team with its guaranteed and maximum resources; 0 means no guarantee or no limit.
+/// A team with its guaranteed resources and its quotas, the maximum resources; 0 means no guarantee or no quota.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name of the team.
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -51,7 +51,7 @@
 pub struct TaskAttempt {
     /// The task that it executes.
     pub task: TaskId,
-    /// Its phase as last reported, or `StartRequested` before the first report.
+    /// Its phase as last reported by the worker; `StartRequested` until the worker has reported it for the first time.
     pub phase: AttemptPhase,
     /// Whether the worker has reported it, and so has received its start.
     pub acknowledged: bool,
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -5,10 +5,11 @@
 use crate::types::{AttemptId, Duration, JobId, Timestamp};
 use crate::wire::{Heartbeat, TaskState, WorkerCommand};
 
-/// Maximum number of commands in one message, which must stay far below 64 KiB.
+/// Number of commands from which no further ones are added to a message, which must stay far below 64 KiB. In a
+/// heartbeat response the number is checked after a start or stop only, so `Forget` commands may exceed it.
 const MAX_COMMANDS_PER_MESSAGE: usize = 300;
-/// Maximum number of ended attempts that a worker has to keep, because its heartbeats list them and must stay far below
-/// 64 KiB.
+/// Number of ended attempts on one machine above which the worker is commanded to forget attempts even if a delayed
+/// duplicate of their start may still arrive, because its heartbeats list them and must stay far below 64 KiB.
 const MAX_ENDED_ATTEMPTS: usize = 200;
 
 /// Returns commands that stop every task in a heartbeat whose job has ended. They are sent to a machine that is not
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -53,7 +53,9 @@
     /// When a response or command of this leader was last known to have reached it. A machine whose heartbeats arrive
     /// but that no response or command reaches is treated like a silent one.
     pub last_reached_at: Timestamp,
-    /// When the leader last responded to one of its heartbeats, which renewed its lease.
+    /// The latest time at which its worker's lease may have been renewed, from which the expiry of the lease is
+    /// computed: when this leader last responded to one of its heartbeats, when the machine was fenced, or when its
+    /// worker agent began a new epoch, whichever is latest.
     pub lease_renewed_at: Timestamp,
     /// When its instance was requested, or, if the request is not known to this leader, when the machine was
     /// discovered.
--- a/src/write_ahead_log/snapshot.rs
+++ b/src/write_ahead_log/snapshot.rs
@@ -103,8 +103,8 @@
     }
 
     /// Encodes the records of a snapshot as JSON, and splits records that exceed the size limit of a value into
-    /// fragments. Returns `None` if fragments are needed but the version in production, which cannot read them, may
-    /// still become the leader; the snapshot is then skipped.
+    /// fragments. Returns `None` if fragments are needed but a controller of the previous version, which cannot
+    /// read them, may still become the leader; the snapshot is then skipped.
     fn encode_records(&self, records: impl Iterator<Item = LogRecord>) -> Option<Vec<Value>> {
         let mut values = Vec::new();
         let mut large_records = 0;
--- a/src/write_ahead_log/tests.rs
+++ b/src/write_ahead_log/tests.rs
@@ -126,7 +126,7 @@
     assert_eq!(loaded, expected.iter().collect::<Vec<_>>());
 }
 
-/// The version in production would ignore a chunk that contains fragments. While it may become the leader, a snapshot
+/// The previous version would ignore a chunk that contains fragments. While it may become the leader, a snapshot
 /// that needs fragments is skipped and the log entries are kept.
 #[test]
 fn no_fragments_are_written_while_the_previous_version_may_lead() {
