--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -17,7 +17,7 @@
     provisioned: HashMap<String, Vec<u64>>,
     /// Machines still available, by zone and whether they are spot instances.
     pub capacity: BTreeMap<(String, bool), u32>,
-    /// Whether the cloud answers every request with 503.
+    /// Whether the cloud responds to every request with 503.
     pub unavailable: bool,
     /// Release time in milliseconds of each released machine.
     pub(super) released_at: BTreeMap<u64, u64>,
--- a/tests/support/effect_log.rs
+++ b/tests/support/effect_log.rs
@@ -106,7 +106,7 @@
         lines.join("\n")
     }
 
-    /// Returns all lines, if they were kept.
+    /// Returns all lines; None unless the log was created to keep them.
     pub fn text(&self) -> Option<&str> {
         self.text.as_deref()
     }
--- a/tests/support/gangs.rs
+++ b/tests/support/gangs.rs
@@ -30,7 +30,8 @@
     first_stop_at: Option<u64>,
     /// Number of its tasks that got a stop command in time and with a grace period sufficient for their checkpoint.
     graceful_stops: u64,
-    /// When one of its tasks was missing, and the delay in milliseconds after which the others notice.
+    /// When it failed because a task was missing or not stopped in time, and the delay in milliseconds after which the
+    /// other tasks notice.
     failure: Option<(u64, u64)>,
     /// Whether all its tasks are done, or have saved a checkpoint.
     ended: bool,
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -250,7 +250,7 @@
         }
         let node = (number % self.controller_count()) as usize;
         if !self.reaches(node, machine) || self.faults.outbound_lost.contains(&machine) {
-            return; // the worker waits for its http_response in vain
+            return; // The heartbeat is lost, and the worker times out.
         }
         if self.controllers.processes[node].is_none() {
             self.requests.pending.remove(&number);
