--- a/src/controller/health.rs
+++ b/src/controller/health.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Whether this node may yield the leadership when it reaches no worker: another node is connected, and the last
-    /// time was at least `YIELD_INTERVAL` ago.
+    /// Whether this node may yield the leadership when it reaches no worker: another node is connected, and this
+    /// node has not yielded within `YIELD_INTERVAL`.
     pub(super) fn may_yield(&self, now: Timestamp) -> bool {
         !self.connected_peers.is_empty() && self.yielded_at.is_none_or(|at| now.since(at) >= YIELD_INTERVAL)
     }
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -15,7 +15,8 @@
     pub spot_idle_timeout: Duration,
     /// Number of log entries between two snapshots.
     pub snapshot_interval_entries: u64,
-    /// Minimum share of an objective for which on-demand instances are provisioned even for tasks that could wait.
+    /// An objective that at least this share of the jobs must meet is strict: on-demand instances may be requested even
+    /// for tasks that may run on spot instances if they would miss it otherwise.
     pub strict_objective_share: f64,
     /// Headroom for services, as a multiple of the services that are expected to arrive within the boot time of a
     /// machine. A multiple is needed because services arrive in bursts, and because replicas from lost machines need
