--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -4,13 +4,13 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Fewest digits of a job's or machine's name; shorter numbers are padded with zeros.
-const FEWEST_DIGITS: usize = 6;
-/// Most digits of such a name that are accepted.
-const MOST_DIGITS: usize = 15;
+/// Minimum number of digits in a job or machine identifier; shorter numbers are padded with zeros.
+const MIN_DIGITS: usize = 6;
+/// Maximum number of digits accepted when an identifier is parsed.
+const MAX_DIGITS: usize = 15;
 
-/// Defines a number that is a type of its own.
-macro_rules! number {
+/// Defines a newtype of `u64` that is serialised and displayed as the plain number.
+macro_rules! numeric_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -24,54 +24,58 @@
     };
 }
 
-number!(
-    /// Identifies who may command workers: the revision at which the leader key was won. Workers ignore lower ones.
+numeric_newtype!(
+    /// Fencing token of a leader: the revision of the state service at which it acquired the leader key. Workers ignore
+    /// commands with a lower token than the highest they have seen.
     FencingToken
 );
-number!(
-    /// One attempt at running a task, or all tasks of a gang; unique over all leaders because it is derived from the fencing token.
+numeric_newtype!(
+    /// Number of an attempt at running a task, or all tasks of a gang. It is derived from the fencing token, so that no
+    /// two leaders assign the same number.
     AttemptNumber
 );
-number!(
-    /// The epoch of a worker's agent: it grows whenever the worker's lease expires and all its tasks are killed.
+numeric_newtype!(
+    /// Epoch of a worker's agent: incremented whenever the worker's lease expires, at which point the worker kills all
+    /// its tasks.
     AgentEpoch
 );
-number!(
-    /// Orders the messages of a worker within an epoch.
+numeric_newtype!(
+    /// Sequence number of a worker's message within its agent's epoch.
     MessageSequence
 );
-number!(
-    /// A revision of the key-value store: it grows with each change.
+numeric_newtype!(
+    /// Revision of the state service: it increases with every committed change.
     Revision
 );
-number!(
-    /// A lease of the key-value store.
+numeric_newtype!(
+    /// Identifier of a lease granted by the state service.
     LeaseId
 );
-number!(
-    /// The position of an entry in the write-ahead log, from 1.
+numeric_newtype!(
+    /// Position of an entry in the write-ahead log; the first entry has position 1.
     LogIndex
 );
 
-/// An identifier that did not have its required form.
+/// Error for a string that is not the canonical form of an identifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("identifier has the wrong form")]
 pub struct ParseIdError;
 
-/// Parses the digits behind a prefix; only the form that `Display` would print is accepted.
+/// Parses the digits after `prefix`. Only the form that `Display` prints is accepted, so that each identifier has
+/// exactly one spelling.
 fn parse_digits(text: &str, prefix: &str) -> Result<u64, ParseIdError> {
     let digits = text.strip_prefix(prefix).ok_or(ParseIdError)?;
-    let length_allowed = (FEWEST_DIGITS..=MOST_DIGITS).contains(&digits.len());
+    let length_allowed = (MIN_DIGITS..=MAX_DIGITS).contains(&digits.len());
     if !length_allowed || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ParseIdError);
     }
-    if digits.len() > FEWEST_DIGITS && digits.starts_with('0') {
+    if digits.len() > MIN_DIGITS && digits.starts_with('0') {
         return Err(ParseIdError);
     }
     digits.parse().map_err(|_| ParseIdError)
 }
 
-/// Defines an identifier that is written as a prefix and at least six digits.
+/// Defines an identifier that is displayed as a prefix and at least six digits.
 macro_rules! prefixed_id {
     ($(#[$doc:meta])* $name:ident, $prefix:literal) => {
         $(#[$doc])*
@@ -93,22 +97,22 @@
 }
 
 prefixed_id!(
-    /// A job's id, chosen by its user.
+    /// Identifier of a job, chosen by the user who submits it.
     JobId,
     "job-"
 );
 prefixed_id!(
-    /// A machine's name, chosen by the cloud and never used again.
+    /// Identifier of a machine, assigned by the cloud and never reused.
     MachineId,
     "m-"
 );
 
-/// A task: its job and its number within it.
+/// Identifier of a task: its job and its index within the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task's number, from 0.
+    /// The task's index within the job, starting at 0.
     pub index: u32,
 }
 
@@ -129,12 +133,12 @@
     }
 }
 
-/// One attempt at one task. The tasks of a gang share the attempt's number.
+/// Identifier of one attempt at one task. All tasks of a gang share the attempt number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The attempt.
+    /// The attempt number.
     pub attempt: AttemptNumber,
-    /// The task.
+    /// The task that the attempt runs.
     pub task: TaskId,
 }
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, versions, amounts and times as types of their own, so that none is mistaken for another.
+//! Newtypes for identifiers, version numbers, resource amounts and times, so that the compiler rejects mixing them up.
 //!
-//! Every package of the workspace uses them; this one depends on none of the others. All of them are serialised as the plain
-//! number or list that they hold: their stored form must not change.
+//! Every package of the workspace uses this one, which depends on none of the others. Each newtype is serialised as the
+//! plain number or list that it holds; the serialised form is part of the stored data and must not change.
 #![forbid(unsafe_code)]
 
 mod ids;
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -1,8 +1,8 @@
-//! Amounts of a machine's resources.
+//! Amounts of CPU, GPU and memory.
 
 use serde::{Deserialize, Serialize};
 
-/// What a task takes of a machine, in thousandths.
+/// An amount of resources: what a task requests, or what a machine has in total or free. All fields are in thousandths.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -14,28 +14,28 @@
 }
 
 impl Resources {
-    /// Whether this much fits into `available`.
+    /// Whether a request for `self` fits into `available` in every dimension.
     pub fn fits(&self, available: &Resources) -> bool {
         self.cpus <= available.cpus && self.gpus <= available.gpus && self.memory <= available.memory
     }
-    /// Adds another amount.
+    /// Adds `other` in every dimension.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory += other.memory;
     }
-    /// Subtracts another amount, to none at the least.
+    /// Subtracts `other` in every dimension, with 0 as the lower bound.
     pub fn saturating_sub(&mut self, other: &Resources) {
         self.cpus = self.cpus.saturating_sub(other.cpus);
         self.gpus = self.gpus.saturating_sub(other.gpus);
         self.memory = self.memory.saturating_sub(other.memory);
     }
-    /// How many times `self` fits into `available`.
+    /// How many requests for `self` fit into `available` together; `u64::MAX` if `self` requests nothing.
     pub fn count_fitting(&self, available: &Resources) -> u64 {
-        let copies = |need: u64, have: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        let by_cpu = copies(self.cpus, available.cpus);
-        let by_gpu = copies(self.gpus, available.gpus);
-        let by_memory = copies(self.memory, available.memory);
+        let quotient = |need: u64, have: u64| have.checked_div(need).unwrap_or(u64::MAX);
+        let by_cpu = quotient(self.cpus, available.cpus);
+        let by_gpu = quotient(self.gpus, available.gpus);
+        let by_memory = quotient(self.memory, available.memory);
         by_cpu.min(by_gpu).min(by_memory)
     }
 }
--- a/crates/types/src/task_index_set.rs
+++ b/crates/types/src/task_index_set.rs
@@ -1,35 +1,36 @@
-//! Sets of task numbers.
+//! Compact sets of task indices.
 
 use serde::{Deserialize, Serialize};
 
-/// A set of task numbers, kept as half-open ranges: jobs of 100,000 tasks must stay small in memory and in the log.
+/// A set of task indices, stored as sorted half-open ranges: a job may have 100,000 tasks, and its sets must stay small
+/// in memory and in the write-ahead log.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TaskIndexSet(Vec<(u32, u32)>);
 
 impl TaskIndexSet {
-    /// All numbers from 0 up to but without `end`.
+    /// The set of all indices from 0 to `end`, exclusive.
     pub fn below(end: u32) -> TaskIndexSet {
         if end == 0 { TaskIndexSet(Vec::new()) } else { TaskIndexSet(vec![(0, end)]) }
     }
-    /// How many numbers are in the set.
+    /// Number of indices in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|(start, end)| end - start).sum()
     }
-    /// How many ranges it takes.
+    /// Number of ranges that represent the set; its serialised size grows with it.
     pub fn range_count(&self) -> usize {
         self.0.len()
     }
-    /// Whether nothing is in the set.
+    /// Whether the set contains no index.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
-    /// Whether `index` is in the set.
+    /// Whether the set contains `index`.
     pub fn contains(&self, index: u32) -> bool {
         let at = self.first_range_after(index);
         at > 0 && index < self.0[at - 1].1
     }
-    /// Adds `index`; false if it was there.
+    /// Adds `index`; returns false if the set already contains it.
     pub fn insert(&mut self, index: u32) -> bool {
         if self.contains(index) {
             return false;
@@ -48,7 +49,7 @@
         }
         true
     }
-    /// Takes `index` out; false if it was not there.
+    /// Removes `index`; returns false if the set does not contain it.
     pub fn remove(&mut self, index: u32) -> bool {
         if !self.contains(index) {
             return false;
@@ -68,20 +69,20 @@
         }
         true
     }
-    /// The smallest number.
+    /// The smallest index, or `None` if the set is empty.
     pub fn smallest(&self) -> Option<u32> {
         self.0.first().map(|(start, _)| *start)
     }
-    /// The set in parts of at most `ranges` ranges.
+    /// Splits the set into sets of at most `ranges` ranges each, in ascending order.
     pub fn split_by_ranges(&self, ranges: usize) -> Vec<TaskIndexSet> {
         self.0.chunks(ranges).map(|part| TaskIndexSet(part.to_vec())).collect()
     }
-    /// All numbers in order.
+    /// Iterates over the indices in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|(start, end)| *start..*end)
     }
 
-    /// Position of the first range that begins behind `index`.
+    /// Position of the first range that starts after `index`.
     fn first_range_after(&self, index: u32) -> usize {
         self.0.partition_point(|(start, _)| *start <= index)
     }
--- a/crates/types/src/task_index_set/tests.rs
+++ b/crates/types/src/task_index_set/tests.rs
@@ -2,16 +2,16 @@
 
 proptest::proptest! {
     #[test]
-    fn ranges_behave_like_a_set(ops in proptest::collection::vec((0u32..40, proptest::bool::ANY), 0..200)) {
-        let (mut ranges, mut set) = (TaskIndexSet::default(), std::collections::BTreeSet::new());
-        for (n, add) in ops {
-            if add {
-                proptest::prop_assert_eq!(ranges.insert(n), set.insert(n));
+    fn set_behaves_like_a_btree_set(ops in proptest::collection::vec((0u32..40, proptest::bool::ANY), 0..200)) {
+        let (mut set, mut expected) = (TaskIndexSet::default(), std::collections::BTreeSet::new());
+        for (index, insert) in ops {
+            if insert {
+                proptest::prop_assert_eq!(set.insert(index), expected.insert(index));
             } else {
-                proptest::prop_assert_eq!(ranges.remove(n), set.remove(&n));
+                proptest::prop_assert_eq!(set.remove(index), expected.remove(&index));
             }
-            proptest::prop_assert!(ranges.iter().eq(set.iter().copied()));
-            proptest::prop_assert_eq!(ranges.len() as usize, set.len());
+            proptest::prop_assert!(set.iter().eq(expected.iter().copied()));
+            proptest::prop_assert_eq!(set.len() as usize, expected.len());
         }
     }
 }
--- a/crates/types/src/token_bucket.rs
+++ b/crates/types/src/token_bucket.rs
@@ -1,10 +1,11 @@
-//! Rate limits.
+//! Rate limiting.
 
 use crate::{Duration, Timestamp};
 
-/// A token bucket: it holds tokens up to its capacity and gets new ones at a steady rate.
+/// A token bucket: it is refilled at a constant rate up to its capacity.
 ///
-/// What is urgent may take more than there is; the bucket is then in debt, and everything else waits longer.
+/// Urgent requests may take more tokens than are available. The balance is then negative, and all other requests wait
+/// until it has been refilled.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -14,44 +15,44 @@
 }
 
 impl TokenBucket {
-    /// A bucket with this many tokens now.
+    /// Creates a bucket that holds `tokens` tokens at `now`.
     pub fn new(now: Timestamp, rate_per_s: f64, capacity: f64, tokens: f64) -> TokenBucket {
         TokenBucket { rate_per_s, capacity, tokens, refilled_at: now }
     }
 
-    /// Adds the tokens of the time that has passed.
+    /// Adds the tokens for the time since the last refill.
     pub fn refill(&mut self, now: Timestamp) {
         let passed: Duration = now.since(self.refilled_at);
         self.tokens = (self.tokens + passed.as_secs_f64() * self.rate_per_s).min(self.capacity);
         self.refilled_at = now;
     }
 
-    /// Tokens that are there; less than 0 in debt.
+    /// The balance of tokens; negative after urgent requests took more than were available.
     pub fn available(&self) -> f64 {
         self.tokens
     }
 
-    /// Takes tokens, whether they are there or not.
+    /// Takes tokens, even if the balance becomes negative.
     pub fn take(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 
-    /// Takes all tokens away, because the other side said that there were too many requests.
+    /// Sets the balance to 0, because the service rejected a request for exceeding its rate limit.
     pub fn empty(&mut self) {
         self.tokens = 0.0;
     }
 
-    /// Tokens that come in a second.
+    /// Refill rate in tokens per second.
     pub fn rate_per_s(&self) -> f64 {
         self.rate_per_s
     }
 
-    /// Most tokens that the bucket holds.
+    /// Maximum number of tokens that the bucket holds.
     pub fn capacity(&self) -> f64 {
         self.capacity
     }
 
-    /// Changes rate and capacity from now on.
+    /// Changes the refill rate and the capacity; both apply from the next refill.
     pub fn set_rate(&mut self, rate_per_s: f64, capacity: f64) {
         self.rate_per_s = rate_per_s;
         self.capacity = capacity;
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line interface: running a node, checking settings, and the operators' commands.
 
 use crate::operator::{admission, drain};
 use crate::settings::Settings;
@@ -36,7 +36,7 @@
     Admission(admission::Arguments),
 }
 
-/// Runs the program.
+/// Entry point: parses the arguments, runs the command and returns the exit code.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     let (file, operators, start) = match (cli.command, cli.config) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Logs to standard error at `LOG_LEVEL`.
+/// Sets up logging to standard error at the level in `LOG_LEVEL`; an unknown level is treated as `info`.
 fn start_logging() {
     let wanted = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     let (level, known) = match wanted.as_str() {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,7 +1,8 @@
-//! A node as one state machine: inputs in, effects out.
+//! The core of a node as a deterministic state machine: inputs go in, effects come out.
 //!
-//! No I/O and no clocks here: `now` and `wall` come with every input. While the node leads, a [`Leader`] takes most inputs; while it
-//! follows, users' requests are forwarded to the leader.
+//! It performs no I/O and reads no clock: the monotonic time `now` and the wall-clock time `wall` come with every
+//! input. While the node leads, its [`Leader`] handles most inputs; while it follows, users' requests are forwarded to
+//! the leader.
 
 mod health;
 mod leadership_events;
@@ -21,42 +22,43 @@
 use std::collections::{HashMap, HashSet};
 use user_requests::{ForwardedRequests, QueuedRequests};
 
-/// How often a leader announces itself to the other nodes.
+/// Interval at which a leader announces itself to the other nodes.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a follower tells the leader what it refused.
+/// Minimum interval between two reports of refused submissions from a follower to the leader.
 const REFUSED_DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A node.
+/// The state of a node: leader election, request forwarding and, while the node leads, the leader's state.
 pub struct Controller {
     settings: Settings,
     leadership: Leadership,
     upgrade: Upgrade,
-    /// The leader's state, while this node leads.
+    /// The leader's state; `None` while this node follows.
     leader: Option<Leader>,
-    /// Users' requests that wait for a leader.
+    /// Users' requests that are queued until a leader is known and its state is loaded.
     queued_requests: QueuedRequests,
-    /// Users' requests that were forwarded to the leader.
+    /// Users' requests that were forwarded to the leader and have no response yet.
     forwarded_requests: ForwardedRequests,
-    /// The leader's admission tables, as far as they have reached this node.
+    /// The admission tables that this node has received from leaders.
     admission_view: TableView,
-    /// What this node refused since it told the leader last, and when that was.
+    /// The submissions that this node has refused since its last report to the leader, and the time of that report.
     refused_demand: DemandReport,
     refused_reported_at: Timestamp,
-    /// Other nodes to which a link is up.
+    /// The other nodes to which a link is established.
     connected_peers: HashSet<String>,
-    /// Whether any leader was known since the process began.
+    /// Whether this node has known a leader at any time since the process started.
     has_seen_leader: bool,
-    /// When the leader could be reached last.
+    /// The last time at which the leader counted as reachable, see `record_leader_reachability`.
     leader_reachable_at: Timestamp,
     announced_at: Timestamp,
-    /// When each node was known to lead last.
+    /// For each node, the last time at which this node knew it as the leader.
     last_led_at: HashMap<String, Timestamp>,
-    /// When this node yielded the leadership last, because it reached no worker.
+    /// The last time at which this node gave up the leadership because it reached no worker.
     yielded_at: Option<Timestamp>,
 }
 
 impl Controller {
-    /// A node that has just started; `incarnation` must be random.
+    /// Creates a node that has just started. `incarnation` must be random: it distinguishes this process from earlier
+    /// ones of the same node.
     pub fn new(settings: Settings, incarnation: u64) -> Controller {
         let rng = SmallRng::seed_from_u64(incarnation);
         let leadership = Leadership::new(&settings.node, incarnation, settings.tuning.leader_lease, rng);
@@ -80,12 +82,13 @@
         }
     }
 
-    /// The leader's state, while this node leads.
+    /// The leader's state; `None` while this node follows.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// The admission table that this node decides by: its own if it leads, else the one in force.
+    /// The admission table by which this node decides: its own while it leads, otherwise the leader's table that is in
+    /// force.
     pub fn admission_table(&self, now: Timestamp) -> Option<&AdmissionTable> {
         match &self.leader {
             Some(leader) => Some(leader.current_admission_table()),
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Takes one input and says what is to be done.
+    /// Processes one input and returns the effects to execute.
     pub fn handle(&mut self, now: Timestamp, wall: WallClock, input: Input) -> Vec<Effect> {
         let mut out = Vec::new();
         match input {
@@ -138,14 +141,14 @@
                 self.settings.admission = *policy;
             }
             Input::InputDelay(_) | Input::SlowInput(_) | Input::Utilization(_) | Input::RefusedDemandReceived(_) => {
-                self.note_load(now, input);
+                self.record_load(now, input);
             }
         }
         out
     }
 
-    /// Inputs that tell a leader how busy it is and what is refused; a follower needs none of them.
-    fn note_load(&mut self, now: Timestamp, input: Input) {
+    /// Passes measurements of load and of refused submissions to the leader; a follower ignores them.
+    fn record_load(&mut self, now: Timestamp, input: Input) {
         let Some(leader) = &mut self.leader else { return };
         match input {
             Input::InputDelay(delay) => leader.set_input_delay(delay),
@@ -186,7 +189,8 @@
         }
     }
 
-    /// Lets the leader's state act, if it is still the one with this fencing token.
+    /// Runs `act` on the leader's state if it still has this fencing token; the response to a request of an earlier
+    /// term is dropped.
     fn with_leader(
         &mut self,
         now: Timestamp,
@@ -215,7 +219,7 @@
         }
         self.tick_user_requests(now, wall, out);
         self.report_refused_demand(now, out);
-        self.note_leader_reachability(now);
+        self.record_leader_reachability(now);
     }
 
     fn tick_upgrade(&mut self, now: Timestamp, lease_valid: bool, out: &mut Vec<Effect>) {
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Publishes a new admission table if one is due, and the status that operators read.
+    /// Publishes a new admission table when one is due, and writes the status that operators read.
     fn publish_admission(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.is_loaded()) else { return };
         if let Some(table) = leader.refresh_admission_table(now) {
@@ -251,21 +255,21 @@
         leader.write_admission_status(now, wall, out);
     }
 
-    /// Tells the leader from time to time what was refused by its tables.
+    /// Reports the submissions that this node has refused to the leader, at most once per `REFUSED_DEMAND_INTERVAL`.
     fn report_refused_demand(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.refused_demand.is_empty() || now.since(self.refused_reported_at) < REFUSED_DEMAND_INTERVAL {
             return;
         }
         self.refused_reported_at = now;
         let report = std::mem::take(&mut self.refused_demand);
-        // Only a leader whose table this node has is known to read it.
+        // A leader of an older version cannot decode the report; one whose admission table this node holds can.
         let table = self.admission_view.in_force(now, self.leadership.highest_observed_token());
         if let Some(leader) = self.leadership.leader().filter(|_| table.is_some() && self.leader.is_none()) {
             out.push(Effect::ReportRefusedDemand(leader.to_string(), Box::new(report)));
         }
     }
 
-    /// A heartbeat is taken by the leader; other nodes redirect the worker to it.
+    /// Passes a heartbeat to the leader's state. A follower redirects the worker to the leader.
     fn handle_heartbeat(
         &mut self,
         now: Timestamp,
--- a/src/controller/leadership_events.rs
+++ b/src/controller/leadership_events.rs
@@ -1,4 +1,4 @@
-//! Changes of leadership: what this node does when it is elected, steps down, or learns who leads.
+//! Reactions to changes of leadership: this node is elected, steps down, or learns of another leader.
 
 use super::{ANNOUNCEMENT_INTERVAL, Controller};
 use crate::effects::{Effect, StoreCaller};
@@ -54,7 +54,7 @@
         self.retry_queued_requests(now, wall, out);
     }
 
-    /// Steps down if the leader has learnt of a higher fencing token or a lost key, or reaches no worker.
+    /// Steps down if the leader's state has seen a higher fencing token, has lost the leader key, or reaches no worker.
     pub(super) fn step_down_if_required(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let Some(reason) = self.leader.as_ref().and_then(Leader::step_down_reason) else { return };
         let mut events = Vec::new();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Announces to the other nodes from time to time that this one leads.
+    /// Announces this node as the leader to the other nodes, once per `ANNOUNCEMENT_INTERVAL`.
     pub(super) fn announce(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let Some(leader) = &self.leader else { return };
         if now.since(self.announced_at) >= ANNOUNCEMENT_INTERVAL {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,4 +1,5 @@
-//! Users' requests at a node: served by the leader's state, forwarded to the leader, or queued until there is one.
+//! Routing of users' requests at a node: the leader's state serves them, a follower forwards them to the leader, and
+//! without a leader they are queued.
 
 use super::Controller;
 use crate::api::{ApiResponse, UserRequest};
@@ -8,14 +9,14 @@
 use caperstile_admission::{Decision, Submission};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a user's request waits for a leader before it is told to come back.
+/// Time for which a user's request is queued without a leader before it is rejected with a request to retry.
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long the leader may take over a forwarded request.
+/// Time within which the leader must respond to a forwarded request.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Requests that may wait for a leader.
+/// Maximum number of requests that are queued without a leader.
 const QUEUE_LIMIT: usize = 400;
 
-/// A request that waits for a leader.
+/// A request that is queued until a leader is available.
 #[derive(Debug)]
 struct QueuedRequest {
     origin: RequestOrigin,
@@ -23,33 +24,33 @@
     deadline: Timestamp,
 }
 
-/// Requests that wait for a leader, the oldest first.
+/// The requests that are queued until a leader is available, the oldest first.
 #[derive(Debug, Default)]
 pub(super) struct QueuedRequests(VecDeque<QueuedRequest>);
 
 impl QueuedRequests {
-    /// Takes out the first request if its deadline has passed.
-    fn pop_late(&mut self, now: Timestamp) -> Option<QueuedRequest> {
+    /// Removes and returns the oldest request if its deadline has passed.
+    fn pop_expired(&mut self, now: Timestamp) -> Option<QueuedRequest> {
         self.0.front().filter(|queued| queued.deadline <= now)?;
         self.0.pop_front()
     }
 }
 
-/// A request that was forwarded to the leader.
+/// A request that was forwarded to the leader and has no response yet.
 #[derive(Debug)]
 struct ForwardedRequest {
     origin: RequestOrigin,
     request: UserRequest,
     deadline: Timestamp,
-    /// The node that it was forwarded to.
+    /// The node to which the request was forwarded.
     node: String,
 }
 
-/// Requests that were forwarded to the leader, by their number.
+/// The requests that were forwarded to the leader and have no response yet, by their number.
 #[derive(Debug, Default)]
 pub(super) struct ForwardedRequests {
     requests: BTreeMap<u64, ForwardedRequest>,
-    /// Requests forwarded so far; numbers them.
+    /// Number of requests forwarded since the start of the process; the source of their numbers.
     counter: u64,
 }
 
@@ -60,16 +61,16 @@
         self.counter
     }
 
-    /// Takes out, in order, the requests that meet a condition.
-    fn take_where(&mut self, condition: impl Fn(&ForwardedRequest) -> bool) -> Vec<ForwardedRequest> {
-        let meets = |(id, request): (&u64, &ForwardedRequest)| condition(request).then_some(*id);
-        let ids: Vec<u64> = self.requests.iter().filter_map(meets).collect();
+    /// Removes and returns the requests that meet `condition`, in the order in which they were forwarded.
+    fn remove_matching(&mut self, condition: impl Fn(&ForwardedRequest) -> bool) -> Vec<ForwardedRequest> {
+        let matching_id = |(id, request): (&u64, &ForwardedRequest)| condition(request).then_some(*id);
+        let ids: Vec<u64> = self.requests.iter().filter_map(matching_id).collect();
         ids.into_iter().filter_map(|id| self.requests.remove(&id)).collect()
     }
 }
 
 impl Controller {
-    /// Takes a request that has just come in.
+    /// Accepts a request that has just arrived at this node.
     pub(super) fn accept_user_request(
         &mut self,
         now: Timestamp,
@@ -82,7 +83,8 @@
         self.route_user_request(now, wall, request, out);
     }
 
-    /// Serves, forwards or queues a request.
+    /// Serves the request if this node leads, forwards it if the leader is connected, and otherwise queues or rejects
+    /// it.
     fn route_user_request(&mut self, now: Timestamp, wall: WallClock, queued: QueuedRequest, out: &mut Vec<Effect>) {
         let lease_valid = self.leadership.holds_valid_lease(now);
         if let Some(leader) = &mut self.leader {
@@ -100,7 +102,8 @@
         }
     }
 
-    /// The leader, if its link is up. A request that was forwarded to this node is not forwarded again.
+    /// The leader, if its link is established. A request that another node forwarded to this one is not forwarded
+    /// again.
     fn leader_to_forward_to(&self, origin: RequestOrigin) -> Option<String> {
         let leader = self.leadership.leader().filter(|leader| self.connected_peers.contains(*leader))?;
         matches!(origin, RequestOrigin::Http(_)).then(|| leader.to_string())
@@ -124,7 +127,8 @@
         out.push(Effect::Forward(leader, id, request));
     }
 
-    /// Decides by the leader's admission table whether a request is worth forwarding. What cannot be read is the leader's to refuse.
+    /// Decides by the leader's admission table whether to forward a request. A submission that cannot be parsed is
+    /// forwarded, since the leader reports what is wrong with it.
     fn admission_decision(&mut self, now: Timestamp, request: &UserRequest) -> Decision {
         let UserRequest::Submit(body) = request else { return Decision::Admit };
         let Some(table) = self.admission_table(now).filter(|table| !table.is_open()) else {
@@ -139,21 +143,22 @@
         decision
     }
 
-    /// The leader's response to a forwarded request.
+    /// Passes the leader's response to a forwarded request on to the user.
     pub(super) fn handle_forward_response(&mut self, id: u64, response: ApiResponse, out: &mut Vec<Effect>) {
         if let Some(forwarded) = self.forwarded_requests.requests.remove(&id) {
             out.push(Effect::Respond(forwarded.origin, response));
         }
     }
 
-    /// Requests that waited for a leader try again.
+    /// Routes all queued requests again.
     pub(super) fn retry_queued_requests(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         for queued in std::mem::take(&mut self.queued_requests.0) {
             self.route_user_request(now, wall, queued, out);
         }
     }
 
-    /// Requests that were forwarded to a node whose link is down try again: all of the users' requests may be repeated.
+    /// Routes those requests again that were forwarded to a node whose link was lost. The node may have executed them
+    /// already, which is harmless: all users' requests are idempotent.
     pub(super) fn retry_forwarded_requests(
         &mut self,
         now: Timestamp,
@@ -161,24 +166,25 @@
         node: &str,
         out: &mut Vec<Effect>,
     ) {
-        for forwarded in self.forwarded_requests.take_where(|forwarded| forwarded.node == node) {
+        for forwarded in self.forwarded_requests.remove_matching(|forwarded| forwarded.node == node) {
             let deadline = forwarded.deadline.min(now + QUEUE_TIMEOUT);
             let queued = QueuedRequest { origin: forwarded.origin, request: forwarded.request, deadline };
             self.route_user_request(now, wall, queued, out);
         }
     }
 
-    /// Serves queued requests as soon as a leader's state is loaded, and refuses what has waited too long.
+    /// Serves queued requests once this node leads and its state is loaded, and rejects requests whose deadline has
+    /// passed.
     pub(super) fn tick_user_requests(&mut self, now: Timestamp, wall: WallClock, out: &mut Vec<Effect>) {
         let loaded = self.leader.as_ref().is_some_and(|leader| leader.is_loaded());
         if loaded && !self.queued_requests.0.is_empty() {
             self.retry_queued_requests(now, wall, out);
         }
-        while let Some(late) = self.queued_requests.pop_late(now) {
-            out.push(Effect::Respond(late.origin, ApiResponse::unavailable("no leader")));
+        while let Some(expired) = self.queued_requests.pop_expired(now) {
+            out.push(Effect::Respond(expired.origin, ApiResponse::unavailable("no leader")));
         }
-        for late in self.forwarded_requests.take_where(|forwarded| forwarded.deadline <= now) {
-            out.push(Effect::Respond(late.origin, ApiResponse::unavailable("the leader does not answer")));
+        for expired in self.forwarded_requests.remove_matching(|forwarded| forwarded.deadline <= now) {
+            out.push(Effect::Respond(expired.origin, ApiResponse::unavailable("the leader does not answer")));
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! caperstile: a cluster scheduler that plans by deadline and priority.
 //!
-//! Inside a process the core is a state machine ([`controller`]): timed inputs go in, and what to
-//! send, write and answer comes out. Only [`runtime`] has sockets and clocks.
+//! The core of a node is a deterministic state machine ([`controller`]): it takes inputs with timestamps and returns
+//! effects, such as requests, writes and responses. Only [`runtime`] uses sockets and clocks.
 #![forbid(unsafe_code)]
 
 pub use caperstile_types as types;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see `caperstile --help`.
+//! The `caperstile` binary; `caperstile --help` describes its commands.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/src/operator/drain_requests.rs
+++ b/src/operator/drain_requests.rs
@@ -1,6 +1,7 @@
-//! Requests for drains in the state service: read, written on condition, and followed until the leader has answered.
+//! Drain requests in the state service: reading them, writing them with compare-and-swap, and waiting for the leader's
+//! response.
 
-use super::error::{CommandError, Doubt, Refusal};
+use super::error::{CommandError, Refusal, Uncertainty};
 use super::state_client::{POLL_INTERVAL, StateClient, Versioned};
 use crate::store::{StoreRequest, condition};
 use crate::types::Revision;
@@ -9,27 +10,27 @@
 use caperstile_disruption::records::{DrainRequest, DrainStatus};
 use std::time::{Duration, Instant};
 
-/// Drains as the state service has them.
+/// Access to the requests and statuses of drains in the state service.
 pub(super) struct DrainRequests<'a> {
     client: &'a StateClient,
 }
 
-/// A drain as operators see it.
+/// A drain as shown to operators.
 pub(super) struct DrainSummary {
     pub(super) name: String,
-    /// None for one whose request is gone.
+    /// `None` if the request has been deleted.
     pub(super) request: Option<DrainRequest>,
-    /// None as long as no leader has accepted it.
+    /// `None` until a leader has accepted or refused the request.
     pub(super) status: Option<DrainStatus>,
 }
 
 impl<'a> DrainRequests<'a> {
-    /// The drains in the state service of this client.
+    /// Creates an accessor that uses `client`.
     pub(super) fn new(client: &'a StateClient) -> DrainRequests<'a> {
         DrainRequests { client }
     }
 
-    /// A request, if there is one of this name.
+    /// Reads the request with this name; `None` if there is none.
     pub(super) fn request(&self, name: &str) -> Result<Option<Versioned<DrainRequest>>, CommandError> {
         self.client.get(&request_key(name))
     }
@@ -38,8 +39,8 @@
         Ok(self.client.get(&status_key(name))?.map(|found| found.value))
     }
 
-    /// Writes a request on condition that it has this revision, 0: that there is none. Returns its new revision; `None`: another
-    /// operator was faster.
+    /// Writes a request if its key has this revision; 0 requires that the key does not exist. Returns the new revision,
+    /// or `None` if another operator has changed the request in the meantime.
     pub(super) fn write(&self, name: &str, request: &DrainRequest, revision: u64) -> Result<Option<u64>, CommandError> {
         let key = request_key(name);
         let value = serde_json::to_value(request).map_err(|error| CommandError::Refused(error.into()))?;
@@ -54,21 +55,24 @@
         }
     }
 
-    /// After a write without an answer: the key tells whether it was carried out.
+    /// Determines from the key whether a write without a response was carried out. An unchanged key leaves that
+    /// unknown, since the write may still be applied.
     fn resolve_unanswered_write(
         &self,
         name: &str,
         request: &DrainRequest,
-        before: u64,
+        previous_revision: u64,
     ) -> Result<Option<u64>, CommandError> {
         match self.request(name) {
-            Ok(Some(found)) if found.revision > before && found.value == *request => Ok(Some(found.revision)),
-            Ok(Some(found)) if found.revision > before => Ok(None),
-            _ => Err(CommandError::InDoubt(Doubt::WriteUnanswered(name.to_string()))),
+            Ok(Some(found)) if found.revision > previous_revision && found.value == *request => {
+                Ok(Some(found.revision))
+            }
+            Ok(Some(found)) if found.revision > previous_revision => Ok(None),
+            _ => Err(CommandError::InDoubt(Uncertainty::WriteWithoutResponse(name.to_string()))),
         }
     }
 
-    /// Waits until a leader has answered the request of this revision or a later one.
+    /// Polls the status until a leader has responded to the request with this revision or a later one.
     pub(super) fn await_status(
         &self,
         name: &str,
@@ -81,14 +85,14 @@
                 return Ok(status);
             }
             if start.elapsed() >= timeout {
-                let doubt = Doubt::NotAccepted { name: name.to_string(), waited_s: timeout.as_secs() };
-                return Err(CommandError::InDoubt(doubt));
+                let uncertainty = Uncertainty::NotAccepted { name: name.to_string(), waited_s: timeout.as_secs() };
+                return Err(CommandError::InDoubt(uncertainty));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// One drain.
+    /// Reads one drain; fails if it has neither a request nor a status.
     pub(super) fn show(&self, name: &str) -> Result<DrainSummary, CommandError> {
         let request = self.request(name)?.map(|found| found.value);
         let status = self.status(name)?;
@@ -98,7 +102,7 @@
         Ok(DrainSummary { name: name.to_string(), request, status })
     }
 
-    /// All drains, in the order in which they were requested.
+    /// Reads all drains, in the order in which they were requested.
     pub(super) fn show_all(&self) -> Result<Vec<DrainSummary>, CommandError> {
         let mut requests = self.client.scan::<DrainRequest>(REQUEST_PREFIX)?;
         let statuses = self.client.scan::<DrainStatus>(STATUS_PREFIX)?;
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -1,10 +1,10 @@
-//! What operators are shown of drains: lines for people, JSON for programs.
+//! Output of `caperstile drain`: lines for people and JSON for programs.
 
 use super::drain_requests::DrainSummary;
 use caperstile_disruption::records::{DrainPhase, MachineSelector};
 use serde_json::{Value, json};
 
-/// A drain in a few lines.
+/// Describes a drain in a few lines of text.
 pub(crate) fn lines(summary: &DrainSummary) -> Vec<String> {
     let Some(status) = &summary.status else {
         return vec![format!("{}: asked for, not taken by a leader yet", summary.name)];
@@ -28,7 +28,7 @@
     lines
 }
 
-/// A drain for programs.
+/// Describes a drain as JSON.
 pub(crate) fn json(summary: &DrainSummary) -> Value {
     let machines = summary.request.as_ref().map(|request| match &request.selector {
         MachineSelector::Machines(ids) => json!(ids.iter().map(ToString::to_string).collect::<Vec<_>>()),
--- a/src/runtime/idle_meter.rs
+++ b/src/runtime/idle_meter.rs
@@ -1,11 +1,11 @@
-//! For how much of the time the node's thread has nothing to do.
+//! Measurement of the utilization of the node's thread.
 
 use caperstile_admission::Utilization;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Measures for how much of the time the thread has nothing to do.
+/// Measures the utilization of the thread from the time that tokio keeps it parked. Clones share their counters.
 #[derive(Debug, Clone)]
 pub struct IdleMeter {
     start: Instant,
@@ -14,20 +14,20 @@
 
 #[derive(Debug, Default)]
 struct IdleCounters {
-    /// When the thread was parked last, in microseconds.
+    /// Time at which the thread was last parked, in microseconds since `IdleMeter::start`.
     parked_at: AtomicU64,
-    /// For how long it was parked, all together.
+    /// Total time for which the thread was parked, in microseconds.
     idle: AtomicU64,
-    /// The last sample: when it was taken, and `idle` then.
+    /// Time of the last sample, and the value of `idle` at that time.
     sampled_at: AtomicU64,
     sampled_idle: AtomicU64,
 }
 
-/// How often the utilization is reported.
+/// Minimum time between two samples, in microseconds.
 const SAMPLE_INTERVAL_US: u64 = 1_000_000;
 
 impl IdleMeter {
-    /// A meter that has measured nothing yet.
+    /// Creates a meter that has measured nothing yet.
     pub fn new() -> IdleMeter {
         IdleMeter { start: Instant::now(), counters: Arc::default() }
     }
@@ -36,26 +36,26 @@
         self.start.elapsed().as_micros() as u64
     }
 
-    /// The thread is about to wait.
+    /// Records that the thread is about to be parked.
     pub fn park(&self) {
         self.counters.parked_at.store(self.elapsed(), Ordering::Relaxed);
     }
 
-    /// The thread goes on.
+    /// Records that the thread was unparked.
     pub fn unpark(&self) {
         let parked_at = self.counters.parked_at.load(Ordering::Relaxed);
         self.counters.idle.fetch_add(self.elapsed().saturating_sub(parked_at), Ordering::Relaxed);
     }
 
-    /// The utilization since the last sample, once a second.
+    /// Returns the utilization since the last sample, or `None` if that is less than a second ago.
     pub fn sample(&self) -> Option<Utilization> {
         let (now, idle) = (self.elapsed(), self.counters.idle.load(Ordering::Relaxed));
-        let passed = now.saturating_sub(self.counters.sampled_at.load(Ordering::Relaxed));
-        if passed < SAMPLE_INTERVAL_US {
+        let elapsed = now.saturating_sub(self.counters.sampled_at.load(Ordering::Relaxed));
+        if elapsed < SAMPLE_INTERVAL_US {
             return None;
         }
         self.counters.sampled_at.store(now, Ordering::Relaxed);
         let idle = idle - self.counters.sampled_idle.swap(idle, Ordering::Relaxed);
-        Some(Utilization(1.0 - (idle as f64 / passed as f64).min(1.0)))
+        Some(Utilization(1.0 - (idle as f64 / elapsed as f64).min(1.0)))
     }
 }
--- a/src/runtime/inbox.rs
+++ b/src/runtime/inbox.rs
@@ -1,4 +1,4 @@
-//! What waits for the core, by class.
+//! The queue of messages for the core, ordered by request class.
 
 use super::{Message, http};
 use crate::api::UserRequest;
@@ -7,67 +7,70 @@
 use caperstile_admission::{Popped, RequestClass, RequestQueue, Shed};
 use tokio::sync::mpsc;
 
-/// What comes next.
+/// The outcome of taking the next message from the inbox.
 pub enum NextMessage {
-    /// To be fed to the core.
+    /// The message is to be processed by the core.
     Serve(Message),
-    /// To be refused at once.
+    /// The message is to be rejected without processing, for the given reason.
     Refuse(Message, Shed),
 }
 
-/// The class that a message waits in.
-pub fn class_of(message: &Message) -> RequestClass {
-    let of_call = |call: &UserRequest| match call {
+/// The request class that determines a message's precedence in the queue.
+pub fn request_class(message: &Message) -> RequestClass {
+    let user_request_class = |request: &UserRequest| match request {
         UserRequest::Submit(_) => RequestClass::Submission,
         UserRequest::Get(_) => RequestClass::Question,
         UserRequest::Cancel(_) => RequestClass::Cancellation,
     };
     match message {
-        Message::Request(http::ApiRequest::User(call), _) | Message::Input(Input::User(_, call)) => of_call(call),
-        Message::Request(http::ApiRequest::Heartbeat(_) | http::ApiRequest::HealthCheck, _) => RequestClass::Heartbeat,
-        Message::Input(_) | Message::PeerLinkOpened(..) | Message::PeerTakesTables(_) | Message::PeerLinkClosed(_) => {
-            RequestClass::Internal
+        Message::Request(http::ApiRequest::User(request), _) | Message::Input(Input::User(_, request)) => {
+            user_request_class(request)
         }
+        Message::Request(http::ApiRequest::Heartbeat(_) | http::ApiRequest::HealthCheck, _) => RequestClass::Heartbeat,
+        Message::Input(_)
+        | Message::PeerLinkOpened(..)
+        | Message::PeerAcceptsAdmissionTables(_)
+        | Message::PeerLinkClosed(_) => RequestClass::Internal,
     }
 }
 
-/// Whether whoever asked has closed the connection.
-fn requester_gone(message: &Message) -> bool {
-    matches!(message, Message::Request(_, to) if to.is_closed())
+/// Whether the client that sent this HTTP request has disconnected.
+fn requester_disconnected(message: &Message) -> bool {
+    matches!(message, Message::Request(_, response_sender) if response_sender.is_closed())
 }
 
-/// The channel that connections send to, and what was taken from it but not served yet.
+/// The channel on which connections send messages, and the queue of those that were received but not processed yet.
 pub struct Inbox {
     channel: mpsc::Receiver<Message>,
     queue: RequestQueue<Message>,
 }
 
 impl Inbox {
-    /// An inbox that holds so many requests of each class.
+    /// Creates an inbox that queues up to `capacity` requests of each class.
     pub fn new(channel: mpsc::Receiver<Message>, capacity: usize) -> Inbox {
         Inbox { channel, queue: RequestQueue::new(capacity) }
     }
 
-    /// The next message; waits for one if there is none. `None` once nobody can send any more.
+    /// Returns the next message, waiting for one if none is queued. Returns `None` once all senders have been dropped.
     pub async fn next(&mut self, now: Timestamp) -> Option<NextMessage> {
         while let Ok(message) = self.channel.try_recv() {
-            if let Some(refused) = self.enqueue(now, message) {
-                return Some(refused);
+            if let Some(rejected) = self.enqueue(now, message) {
+                return Some(rejected);
             }
         }
         if self.queue.is_empty() {
             return self.channel.recv().await.map(NextMessage::Serve);
         }
         self.queue.pop(now).map(|popped| match popped {
-            Popped::Serve(message) if requester_gone(&message) => NextMessage::Refuse(message, Shed::Abandoned),
+            Popped::Serve(message) if requester_disconnected(&message) => NextMessage::Refuse(message, Shed::Abandoned),
             Popped::Serve(message) => NextMessage::Serve(message),
-            Popped::Shed(message, why) => NextMessage::Refuse(message, why),
+            Popped::Shed(message, reason) => NextMessage::Refuse(message, reason),
         })
     }
 
     fn enqueue(&mut self, now: Timestamp, message: Message) -> Option<NextMessage> {
-        let class = class_of(&message);
-        let refused = self.queue.push(now, class, message).err()?;
-        Some(NextMessage::Refuse(refused, Shed::Overload))
+        let class = request_class(&message);
+        let rejected = self.queue.push(now, class, message).err()?;
+        Some(NextMessage::Refuse(rejected, Shed::Overload))
     }
 }
--- a/src/runtime/input_delay.rs
+++ b/src/runtime/input_delay.rs
@@ -1,27 +1,28 @@
-//! How long inputs wait for the core.
+//! Measurement of the time that inputs wait for the core.
 
 use crate::types::Duration as CoreDuration;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// The measurement has not had its turn.
+/// Value of `measured` until the measurement's task has run.
 const NOT_MEASURED: u64 = u64::MAX;
-/// A change below this is not reported.
-const LEAST_CHANGE_MS: u64 = 20;
+/// Minimum change of the delay that is reported, in milliseconds.
+const MIN_CHANGE_MS: u64 = 20;
 
-/// Measures how long what is ready waits for its turn: a task that is started now has it after all the others.
+/// Measures how long a task that is ready waits until the runtime polls it. A newly spawned task is polled after all
+/// tasks that are ready already, so its delay is that of the run queue.
 #[derive(Debug)]
 pub struct InputDelayProbe {
-    /// When the last measurement was started.
+    /// Start of the latest measurement; `None` before the first one.
     started: Option<Instant>,
-    /// Its result in milliseconds.
+    /// Result of the latest measurement in milliseconds, `NOT_MEASURED` while it is in progress.
     measured: Arc<AtomicU64>,
     reported: CoreDuration,
 }
 
 impl InputDelayProbe {
-    /// A probe that has measured nothing yet.
+    /// Creates a probe that has measured nothing yet.
     pub fn new() -> InputDelayProbe {
         InputDelayProbe {
             started: None,
@@ -30,9 +31,10 @@
         }
     }
 
-    /// Starts a measurement unless one is under way; how long inputs wait, if that has changed.
+    /// Starts a measurement unless one is in progress. Returns the delay of inputs if it has changed by at least the
+    /// minimum since it was last returned.
     pub fn sample(&mut self) -> Option<CoreDuration> {
-        let waited = match (self.started, self.measured.load(Ordering::Relaxed)) {
+        let measured_ms = match (self.started, self.measured.load(Ordering::Relaxed)) {
             (Some(started), NOT_MEASURED) => started.elapsed().as_millis() as u64,
             (_, NOT_MEASURED) => 0,
             (_, measured) => measured,
@@ -40,12 +42,13 @@
         if self.started.is_none() || self.measured.load(Ordering::Relaxed) != NOT_MEASURED {
             self.start_measurement();
         }
-        // It falls slowly, so that one quiet moment does not bring all the work back.
+        // The reported delay decreases by at most a quarter per sample, so that one quiet moment does not make the
+        // leader resume all deferred work.
         let reported = self.reported.as_millis();
-        let delay = waited.max(reported * 3 / 4);
-        let back_to_none = delay < LEAST_CHANGE_MS && reported > 0;
-        (delay.abs_diff(reported) >= LEAST_CHANGE_MS || back_to_none).then(|| {
-            self.reported = CoreDuration::from_millis(if delay < LEAST_CHANGE_MS { 0 } else { delay });
+        let delay = measured_ms.max(reported * 3 / 4);
+        let dropped_to_zero = delay < MIN_CHANGE_MS && reported > 0;
+        (delay.abs_diff(reported) >= MIN_CHANGE_MS || dropped_to_zero).then(|| {
+            self.reported = CoreDuration::from_millis(if delay < MIN_CHANGE_MS { 0 } else { delay });
             self.reported
         })
     }
--- a/src/runtime/links.rs
+++ b/src/runtime/links.rs
@@ -1,4 +1,5 @@
-//! Links between controllers: one connection to each other node, many requests on it.
+//! Links between controllers: each node keeps one TCP connection to every other node, over which requests are
+//! multiplexed.
 
 use super::Message;
 use crate::effects::{Input, RequestOrigin};
@@ -14,26 +15,27 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-/// Frames that may wait for a link.
-const QUEUE: usize = 512;
+/// Maximum number of frames that are queued for a link.
+const LINK_QUEUE_FRAMES: usize = 512;
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Frames that wait are written together up to so many bytes.
-const TOGETHER: usize = 16 * 1024;
+/// Queued frames are written together until they reach this many bytes.
+const WRITE_BATCH_BYTES: usize = 16 * 1024;
 
-async fn read(from: &mut BufReader<OwnedReadHalf>) -> Option<Frame> {
-    let mut head = [0u8; HEADER_BYTES];
-    from.read_exact(&mut head).await.ok()?;
-    let header = Frame::header(&head).ok()?;
+async fn read_frame(from: &mut BufReader<OwnedReadHalf>) -> Option<Frame> {
+    let mut header_bytes = [0u8; HEADER_BYTES];
+    from.read_exact(&mut header_bytes).await.ok()?;
+    let header = Frame::header(&header_bytes).ok()?;
     let mut body = vec![0; header.length.get() as usize];
     from.read_exact(&mut body).await.ok()?;
     Frame::decode(&header, body).ok()
 }
 
-/// Writes a frame together with those that wait behind it: a packet for several costs hardly more than for one.
-async fn write(to: &mut OwnedWriteHalf, first: Frame, queue: &mut mpsc::Receiver<Frame>) -> bool {
+/// Writes a frame together with those that are queued behind it: a packet with several frames costs hardly more than
+/// one with a single frame.
+async fn write_frames(to: &mut OwnedWriteHalf, first: Frame, queue: &mut mpsc::Receiver<Frame>) -> bool {
     let mut bytes = first.encode();
-    while bytes.len() < TOGETHER
+    while bytes.len() < WRITE_BATCH_BYTES
         && let Ok(frame) = queue.try_recv()
     {
         bytes.extend(frame.encode());
@@ -41,8 +43,8 @@
     matches!(tokio::time::timeout(WRITE_TIMEOUT, to.write_all(&bytes)).await, Ok(Ok(())))
 }
 
-/// Takes other nodes' links.
-pub fn listen(listener: tokio::net::TcpListener, tell: mpsc::Sender<Message>) {
+/// Accepts links from other nodes.
+pub fn listen(listener: tokio::net::TcpListener, messages: mpsc::Sender<Message>) {
     static LINKS: AtomicU64 = AtomicU64::new(0);
     tokio::spawn(async move {
         loop {
@@ -51,24 +53,25 @@
                 continue;
             };
             let link = LINKS.fetch_add(1, Ordering::Relaxed);
-            tokio::spawn(serve(stream, link, tell.clone()));
+            tokio::spawn(serve_link(stream, link, messages.clone()));
         }
     });
 }
 
-/// Carries frames both ways until either side ends: `queue` out, and what comes in to `tell`.
-async fn carry(
+/// Relays frames in both directions until either side closes the link: frames from `queue` are written to the peer, and
+/// received frames are converted by `wrap` and sent to `messages`.
+async fn relay_frames(
     stream: TcpStream,
     queue: &mut mpsc::Receiver<Frame>,
-    tell: &mpsc::Sender<Message>,
+    messages: &mpsc::Sender<Message>,
     wrap: impl Fn(Frame) -> Option<Message>,
 ) {
     let (from, mut to) = stream.into_split();
     let mut from = BufReader::new(from);
     let reader = async {
-        while let Some(frame) = read(&mut from).await {
+        while let Some(frame) = read_frame(&mut from).await {
             if let Some(message) = wrap(frame)
-                && tell.send(message).await.is_err()
+                && messages.send(message).await.is_err()
             {
                 return;
             }
@@ -76,7 +79,7 @@
     };
     let writer = async {
         while let Some(frame) = queue.recv().await {
-            if !write(&mut to, frame, queue).await {
+            if !write_frames(&mut to, frame, queue).await {
                 return;
             }
         }
@@ -87,64 +90,66 @@
     }
 }
 
-async fn serve(stream: TcpStream, link: u64, tell: mpsc::Sender<Message>) {
+async fn serve_link(stream: TcpStream, link: u64, messages: mpsc::Sender<Message>) {
     let _ = stream.set_nodelay(true);
-    let (answers, mut queue) = mpsc::channel::<Frame>(QUEUE);
-    if tell.send(Message::PeerLinkOpened(link, answers)).await.is_err() {
+    let (responses, mut queue) = mpsc::channel::<Frame>(LINK_QUEUE_FRAMES);
+    if messages.send(Message::PeerLinkOpened(link, responses)).await.is_err() {
         return;
     }
-    let request = |frame: Frame| match frame {
-        hello if hello.is_hello() => Some(Message::PeerTakesTables(link)),
-        Frame::Request(id, call) => Some(Message::Input(Input::User(RequestOrigin::Peer(link, id), call))),
+    let request_message = |frame: Frame| match frame {
+        frame if frame.is_hello() => Some(Message::PeerAcceptsAdmissionTables(link)),
+        Frame::Request(id, request) => Some(Message::Input(Input::User(RequestOrigin::Peer(link, id), request))),
         Frame::LeaderAnnouncement(token, node) => {
             Some(Message::Input(Input::LeaderAnnounced(node, FencingToken(token))))
         }
-        Frame::RefusedDemand(bytes) => demand_report(&bytes),
+        Frame::RefusedDemand(bytes) => decode_demand_report(&bytes),
         Frame::Response(..) | Frame::AdmissionTable(_) => None,
     };
-    carry(stream, &mut queue, &tell, request).await;
-    let _ = tell.send(Message::PeerLinkClosed(link)).await;
+    relay_frames(stream, &mut queue, &messages, request_message).await;
+    let _ = messages.send(Message::PeerLinkClosed(link)).await;
 }
 
-/// The admission table that a frame carries; `None` for one that cannot be read, as of a later version.
-fn table(bytes: &[u8]) -> Option<Message> {
-    let table = readable(AdmissionTable::decode(bytes))?;
+/// Decodes the admission table in a frame; `None` if it cannot be decoded, for example because a later version encoded
+/// it.
+fn decode_admission_table(bytes: &[u8]) -> Option<Message> {
+    let table = ok_or_log(AdmissionTable::decode(bytes))?;
     Some(Message::Input(Input::AdmissionTableReceived(Box::new(table))))
 }
 
-/// The report of refused submissions that a frame carries.
-fn demand_report(bytes: &[u8]) -> Option<Message> {
-    let report = readable(DemandReport::decode(bytes))?;
+/// Decodes the report of refused submissions in a frame; `None` if it cannot be decoded.
+fn decode_demand_report(bytes: &[u8]) -> Option<Message> {
+    let report = ok_or_log(DemandReport::decode(bytes))?;
     Some(Message::Input(Input::RefusedDemandReceived(Box::new(report))))
 }
 
-fn readable<T>(decoded: Result<T, DecodeError>) -> Option<T> {
-    decoded.inspect_err(|e| debug!("passed over: {e}")).ok()
+fn ok_or_log<T>(decoded: Result<T, DecodeError>) -> Option<T> {
+    decoded.inspect_err(|e| debug!("peer frame ignored: {e}")).ok()
 }
 
-/// Keeps a link to another node; frames sent while it is down are lost.
-pub fn connect(me: &str, seed: &Seed, tell: mpsc::Sender<Message>) -> mpsc::Sender<Frame> {
-    let (frames, mut queue) = mpsc::channel::<Frame>(QUEUE);
-    let (me, node, address) = (me.to_string(), seed.node.clone(), seed.address);
-    let greet = frames.downgrade();
+/// Keeps a link to another node established and returns the queue of its frames. Frames that are sent while the link is
+/// down are lost.
+pub fn connect(local_node: &str, seed: &Seed, messages: mpsc::Sender<Message>) -> mpsc::Sender<Frame> {
+    let (frames, mut queue) = mpsc::channel::<Frame>(LINK_QUEUE_FRAMES);
+    let (local_node, node, address) = (local_node.to_string(), seed.node.clone(), seed.address);
+    let weak_frames = frames.downgrade();
     tokio::spawn(async move {
         loop {
             let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
             if let Ok(Ok(stream)) = connected {
                 let _ = stream.set_nodelay(true);
                 while queue.try_recv().is_ok() {}
-                if let Some(frames) = greet.upgrade() {
-                    // The queue was emptied just now, so that there is room.
-                    let _ = frames.try_send(Frame::hello(&me));
+                if let Some(frames) = weak_frames.upgrade() {
+                    // The queue has just been emptied, so that it has capacity for the greeting.
+                    let _ = frames.try_send(Frame::hello(&local_node));
                 }
-                let _ = tell.send(Message::Input(Input::PeerLinkChanged(node.clone(), true))).await;
-                let answer = |frame| match frame {
-                    Frame::Response(id, answer) => Some(Message::Input(Input::ForwardResponse(id, answer))),
-                    Frame::AdmissionTable(bytes) => table(&bytes),
+                let _ = messages.send(Message::Input(Input::PeerLinkChanged(node.clone(), true))).await;
+                let response_message = |frame| match frame {
+                    Frame::Response(id, response) => Some(Message::Input(Input::ForwardResponse(id, response))),
+                    Frame::AdmissionTable(bytes) => decode_admission_table(&bytes),
                     Frame::Request(..) | Frame::LeaderAnnouncement(..) | Frame::RefusedDemand(_) => None,
                 };
-                carry(stream, &mut queue, &tell, answer).await;
-                let _ = tell.send(Message::Input(Input::PeerLinkChanged(node.clone(), false))).await;
+                relay_frames(stream, &mut queue, &messages, response_message).await;
+                let _ = messages.send(Message::Input(Input::PeerLinkChanged(node.clone(), false))).await;
             }
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
--- a/src/runtime/load_report.rs
+++ b/src/runtime/load_report.rs
@@ -1,43 +1,43 @@
-//! How busy this node is, for the log: what it took and did, and by how much it is late.
+//! Measurements of this node's load for the log: processed inputs, executed effects and delays.
 
 use crate::effects::{Effect, Input};
 use crate::types::{Duration as CoreDuration, Timestamp};
 use caperstile_admission::Utilization;
 use log::{debug, warn};
 
-/// How often a node logs how busy it is.
+/// Interval at which a node logs its load.
 const REPORT_INTERVAL: CoreDuration = CoreDuration::from_secs(10);
-/// A node whose ticks are late, or whose inputs wait, for so long is behind.
+/// Delay of ticks or inputs from which a node logs at warning level that it falls behind.
 const BEHIND_THRESHOLD: CoreDuration = CoreDuration::from_millis(400);
 
-/// Least and most of several measurements in percent.
+/// Minimum and maximum of several utilization measurements, in percent.
 #[derive(Debug, Default)]
 struct BusyRange(Option<(u32, u32)>);
 
 impl BusyRange {
     fn add(&mut self, utilization: Utilization) {
         let percent = (utilization.0 * 100.0) as u32;
-        let (least, most) = self.0.unwrap_or((percent, percent));
-        self.0 = Some((least.min(percent), most.max(percent)));
+        let (lowest, highest) = self.0.unwrap_or((percent, percent));
+        self.0 = Some((lowest.min(percent), highest.max(percent)));
     }
 }
 
 impl std::fmt::Display for BusyRange {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (least, most) = self.0.unwrap_or_default();
-        write!(f, "{least}-{most}%")
+        let (lowest, highest) = self.0.unwrap_or_default();
+        write!(f, "{lowest}-{highest}%")
     }
 }
 
-/// What a node took and did since it logged that last.
+/// A node's load since it was last logged.
 #[derive(Debug)]
 pub struct LoadReport {
     tick_interval: CoreDuration,
     reported_at: Timestamp,
     last_tick_at: Timestamp,
-    /// How late the latest tick came.
+    /// Maximum delay of a tick.
     tick_delay: CoreDuration,
-    /// How long inputs waited at the most.
+    /// Maximum time that inputs waited for the core.
     input_delay: CoreDuration,
     heartbeats: u32,
     user_requests: u32,
@@ -45,22 +45,22 @@
     requests: u32,
     commands: u32,
     shed: u32,
-    /// Utilization in percent, second by second: its least and its most.
+    /// Minimum and maximum of the utilization, which is measured every second.
     busy: BusyRange,
-    /// Time that the core took over inputs of each kind, in microseconds.
+    /// The core's processing time for inputs of each kind, in microseconds.
     core_us: [u64; 4],
 }
 
-/// Kinds of inputs whose share of the core's time is told.
+/// Kinds of inputs for which the core's processing time is logged separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InputKind {
-    /// Time, and what is about the node itself.
+    /// Ticks, and measurements of the node itself.
     Ticks,
-    /// Workers' reports and answers.
+    /// Workers' heartbeats and their responses to direct commands.
     Heartbeats,
-    /// Users' requests.
+    /// Users' requests, including those that other nodes forwarded.
     UserRequests,
-    /// Everything else.
+    /// All other inputs, such as responses of the state service and the cloud, and messages of other nodes.
     Responses,
 }
 
@@ -68,7 +68,7 @@
     const ALL: [InputKind; 4] =
         [InputKind::Ticks, InputKind::Heartbeats, InputKind::UserRequests, InputKind::Responses];
 
-    /// The kind of an input.
+    /// Returns the kind of an input.
     pub fn of(input: &Input) -> InputKind {
         match input {
             Input::Tick | Input::InputDelay(_) | Input::SlowInput(_) | Input::Utilization(_) => InputKind::Ticks,
@@ -80,7 +80,7 @@
 }
 
 impl LoadReport {
-    /// Of a node that ticks this often.
+    /// Creates an empty report for a node whose ticks have this interval.
     pub fn new(tick_interval: std::time::Duration) -> LoadReport {
         LoadReport {
             tick_interval: CoreDuration::from_millis(tick_interval.as_millis() as u64),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts an input; a tick tells how late the node is.
+    /// Counts an input. A tick also updates the tick delay and logs the report when it is due.
     pub fn count_input(&mut self, now: Timestamp, input: &Input) {
         match input {
             Input::Tick => self.tick(now),
@@ -115,17 +115,17 @@
         }
     }
 
-    /// Counts the time that the core took over an input of this kind.
-    pub fn count_time(&mut self, kind: InputKind, took: std::time::Duration) {
-        self.core_us[kind as usize] += took.as_micros() as u64;
+    /// Adds the time that the core took to process an input of this kind.
+    pub fn count_time(&mut self, kind: InputKind, elapsed: std::time::Duration) {
+        self.core_us[kind as usize] += elapsed.as_micros() as u64;
     }
 
-    /// Counts a request that was refused without asking the core.
+    /// Counts a request that was shed without being passed to the core.
     pub fn count_shed(&mut self) {
         self.shed += 1;
     }
 
-    /// Counts an effect.
+    /// Counts an effect that the core has returned.
     pub fn count_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::SendCommands { .. } => self.commands += 1,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Notes how late a tick is, and says from time to time how busy the node is.
+    /// Records the delay of a tick, and logs and resets the report once per `REPORT_INTERVAL`.
     fn tick(&mut self, now: Timestamp) {
         let delay = CoreDuration::from_millis(
             now.since(self.last_tick_at).as_millis().saturating_sub(self.tick_interval.as_millis()),
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,4 +1,5 @@
-//! The only place with sockets, clocks and tokio: feeds inputs to the core and carries effects out.
+//! The I/O layer of a node and the only module with sockets, clocks and tokio: it feeds inputs to the core and executes
+//! the core's effects.
 
 mod clients;
 mod http;
@@ -29,32 +30,35 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 
-/// Calls to the state service that may wait for the core with their answers.
+/// Maximum number of responses of the state service that are queued for the core.
 const STORE_RESPONSE_QUEUE: usize = 512;
-/// The core has its turn after at most so many tasks of connections: it looks first at what is urgent.
-const CORE_TURN_INTERVAL_TASKS: u32 = 16;
-/// After so many messages the core gives connections a turn, even if more wait for it.
-const MAX_MESSAGES_IN_A_ROW: u32 = 64;
-/// How often time passes for the core.
+/// Number of tasks that tokio polls before it checks for I/O events and timers again. A low value lets the core's loop,
+/// which picks the most urgent message first, run soon after messages arrive.
+const EVENT_INTERVAL_TASKS: u32 = 16;
+/// After this many consecutive messages the core's loop yields to the connections' tasks, even if more messages are
+/// queued.
+const MAX_CONSECUTIVE_MESSAGES: u32 = 64;
+/// Interval of the core's `Input::Tick`.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// An input that comes so long after the last tick takes the next one along: waking up costs more than a tick does.
+/// If the last tick is at least this old when another input arrives, the next tick is processed right after it: a
+/// separate wake-up costs more than a tick.
 const EARLY_TICK_AGE: CoreDuration = CoreDuration::from_millis(40);
 
-/// The core is told how long an input took if it took at least this long.
+/// The core is informed of the processing time of an input that takes at least this long.
 const SLOW_INPUT_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// What tasks tell the core's loop.
+/// A message from a connection's or client's task to the core's loop.
 #[derive(Debug)]
 enum Message {
-    /// A request over HTTP and where its answer goes.
+    /// A request that arrived over HTTP, and the channel for its response.
     Request(http::ApiRequest, oneshot::Sender<ApiResponse>),
-    /// Anything else.
+    /// Any other input for the core.
     Input(Input),
-    /// A peer's link was opened: where its answers go.
+    /// A peer has opened the link with this number; the channel carries frames to it.
     PeerLinkOpened(u64, mpsc::Sender<Frame>),
-    /// The peer on this link takes admission tables.
-    PeerTakesTables(u64),
-    /// A peer's link was closed.
+    /// The peer on this link accepts admission tables, which older versions do not.
+    PeerAcceptsAdmissionTables(u64),
+    /// The link with this number was closed.
     PeerLinkClosed(u64),
 }
 
@@ -64,28 +68,28 @@
     let (parked, unparked) = (idle.clone(), idle.clone());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .event_interval(CORE_TURN_INTERVAL_TASKS)
+        .event_interval(EVENT_INTERVAL_TASKS)
         .on_thread_park(move || parked.park())
         .on_thread_unpark(move || unparked.unpark())
         .build()?;
     runtime.block_on(async { Node::start(settings, operators, idle).await?.serve().await })
 }
 
-/// A running node: the core, what comes in and what goes out.
+/// A running node: the core, the queues of its inputs and the executor of its effects.
 struct Node {
     controller: Controller,
     start: Instant,
-    /// Answers of the state service.
+    /// Responses of the state service, which are processed before other messages.
     store_responses: mpsc::Receiver<Message>,
     inbox: Inbox,
     outputs: Outputs,
-    /// Requests over HTTP so far; numbers them.
+    /// Number of HTTP requests received so far; the source of their numbers.
     request_counter: u64,
     tick: tokio::time::Interval,
     last_tick_at: Timestamp,
-    /// Inputs about this node itself, which go before all others.
-    own_inputs: Vec<Input>,
-    messages_in_a_row: u32,
+    /// Inputs that this loop itself generates (load measurements, early ticks); they are processed before all others.
+    internal_inputs: Vec<Input>,
+    consecutive_messages: u32,
     load: LoadReport,
     input_delay: InputDelayProbe,
     idle: IdleMeter,
@@ -94,9 +98,9 @@
 impl Node {
     async fn start(settings: Settings, operators: Option<PathBuf>, idle: IdleMeter) -> std::io::Result<Node> {
         let limits = &settings.deployment.resources;
-        let (tell, inbox) = mpsc::channel::<Message>(limits.max_queued_inputs());
-        let api = tokio::net::TcpListener::bind(settings.api_addr).await?;
-        let peer = tokio::net::TcpListener::bind(settings.peer_bind).await?;
+        let (messages, inbox) = mpsc::channel::<Message>(limits.max_queued_inputs());
+        let api_listener = tokio::net::TcpListener::bind(settings.api_addr).await?;
+        let peer_listener = tokio::net::TcpListener::bind(settings.peer_bind).await?;
         info!("node listening node={} api_addr={} peer_bind={}", settings.node, settings.api_addr, settings.peer_bind);
         info!(
             "limits derived connections={} commands_at_once={} open_jobs={} inputs_waiting={}",
@@ -105,14 +109,14 @@
             limits.max_open_jobs(),
             limits.max_queued_inputs()
         );
-        http::serve(api, tell.clone(), limits.max_connections());
-        links::listen(peer, tell.clone());
-        let link = |seed| links::connect(&settings.node, seed, tell.clone());
+        http::serve(api_listener, messages.clone(), limits.max_connections());
+        links::listen(peer_listener, messages.clone());
+        let link = |seed| links::connect(&settings.node, seed, messages.clone());
         let links = settings.seeds.iter().map(|seed| (seed.node.clone(), link(seed))).collect();
-        let (urgent, store_responses) = mpsc::channel::<Message>(STORE_RESPONSE_QUEUE);
-        let clients = clients::Clients::new(&settings, tell.clone(), urgent)?;
+        let (store_response_sender, store_responses) = mpsc::channel::<Message>(STORE_RESPONSE_QUEUE);
+        let clients = clients::Clients::new(&settings, messages.clone(), store_response_sender)?;
         if let Some(file) = operators {
-            reload::follow(file, settings.clone(), tell.clone());
+            reload::watch(file, settings.clone(), messages.clone());
         }
         let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -120,12 +124,12 @@
             start: Instant::now(),
             store_responses,
             inbox: Inbox::new(inbox, limits.max_queued_inputs()),
-            outputs: Outputs::new(settings.node.clone(), clients, links, tell),
+            outputs: Outputs::new(settings.node.clone(), clients, links, messages),
             request_counter: 0,
             tick,
             last_tick_at: Timestamp::START,
-            own_inputs: Vec::new(),
-            messages_in_a_row: 0,
+            internal_inputs: Vec::new(),
+            consecutive_messages: 0,
             load: LoadReport::new(TICK_INTERVAL),
             input_delay: InputDelayProbe::new(),
             idle,
@@ -136,7 +140,7 @@
     async fn serve(mut self) -> std::io::Result<()> {
         loop {
             let Some(message) = self.next_message().await else { return Ok(()) };
-            if let Some(input) = self.input_of(message) {
+            if let Some(input) = self.input_for_message(message) {
                 self.handle_input(input);
             }
         }
@@ -146,16 +150,16 @@
         Timestamp::START + CoreDuration::from_millis(self.start.elapsed().as_millis() as u64)
     }
 
-    /// What is to be done next: first what is about the node itself, then answers of the state service, time, and what waits by its
-    /// class.
+    /// Returns the next message to process. The order of precedence is: internal inputs, responses of the state
+    /// service, ticks, and then the queued messages in the order of their request class.
     async fn next_message(&mut self) -> Option<Message> {
         loop {
-            if let Some(input) = self.own_inputs.pop() {
+            if let Some(input) = self.internal_inputs.pop() {
                 return Some(Message::Input(input));
             }
-            self.messages_in_a_row += 1;
-            if self.messages_in_a_row >= MAX_MESSAGES_IN_A_ROW {
-                self.messages_in_a_row = 0;
+            self.consecutive_messages += 1;
+            if self.consecutive_messages >= MAX_CONSECUTIVE_MESSAGES {
+                self.consecutive_messages = 0;
                 tokio::task::yield_now().await;
             }
             let now = self.now();
@@ -165,69 +169,69 @@
                 _ = self.tick.tick() => return Some(Message::Input(Input::Tick)),
                 popped = self.inbox.next(now) => match popped? {
                     inbox::NextMessage::Serve(message) => return Some(message),
-                    inbox::NextMessage::Refuse(message, why) => {
+                    inbox::NextMessage::Refuse(message, reason) => {
                         self.load.count_shed();
-                        self.outputs.refuse(message, why);
+                        self.outputs.refuse(message, reason);
                     }
                 },
             }
         }
     }
 
-    /// The core's input that a message stands for, if it is not about links alone.
-    fn input_of(&mut self, message: Message) -> Option<Input> {
+    /// Converts a message to the core's input. Messages about links are handled here and return `None`.
+    fn input_for_message(&mut self, message: Message) -> Option<Input> {
         match message {
-            Message::Request(asked, to) => {
+            Message::Request(request, response_sender) => {
                 self.request_counter += 1;
                 let origin = RequestOrigin::Http(self.request_counter);
-                self.outputs.expect_answer(self.request_counter, to);
-                Some(match asked {
-                    http::ApiRequest::User(call) => Input::User(origin, call),
-                    http::ApiRequest::Heartbeat(report) => Input::Heartbeat(origin, report),
+                self.outputs.add_pending_request(self.request_counter, response_sender);
+                Some(match request {
+                    http::ApiRequest::User(request) => Input::User(origin, request),
+                    http::ApiRequest::Heartbeat(heartbeat) => Input::Heartbeat(origin, heartbeat),
                     http::ApiRequest::HealthCheck => Input::HealthCheck(origin),
                 })
             }
             Message::Input(input) => Some(input),
-            Message::PeerLinkOpened(link, to) => {
-                self.outputs.linked(link, to);
+            Message::PeerLinkOpened(link, response_sender) => {
+                self.outputs.add_incoming_link(link, response_sender);
                 None
             }
-            Message::PeerTakesTables(link) => {
-                self.outputs.takes_tables(link);
+            Message::PeerAcceptsAdmissionTables(link) => {
+                self.outputs.enable_admission_tables(link);
                 None
             }
             Message::PeerLinkClosed(link) => {
-                self.outputs.unlinked(link);
+                self.outputs.remove_incoming_link(link);
                 None
             }
         }
     }
 
-    /// Feeds the core with an input and carries its effects out.
+    /// Feeds an input to the core, executes the resulting effects and measures the time that the core takes.
     fn handle_input(&mut self, input: Input) {
         let now = self.now();
         self.load.count_input(now, &input);
         if matches!(input, Input::Tick) {
             self.last_tick_at = now;
-            self.own_inputs.extend(self.input_delay.sample().map(Input::InputDelay));
-            self.own_inputs.extend(self.idle.sample().map(Input::Utilization));
+            self.internal_inputs.extend(self.input_delay.sample().map(Input::InputDelay));
+            self.internal_inputs.extend(self.idle.sample().map(Input::Utilization));
         } else if now.since(self.last_tick_at) >= EARLY_TICK_AGE {
             self.tick.reset();
-            self.own_inputs.push(Input::Tick);
+            self.internal_inputs.push(Input::Tick);
         }
         let wall =
             WallClock::from_millis(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64));
         let kind = InputKind::of(&input);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let effects = self.controller.handle(now, wall, input);
-        let took = began.elapsed();
-        self.load.count_time(kind, took);
-        if took >= SLOW_INPUT_THRESHOLD {
-            self.own_inputs.push(Input::SlowInput(CoreDuration::from_millis(took.as_millis() as u64)));
+        let elapsed = started_at.elapsed();
+        self.load.count_time(kind, elapsed);
+        if elapsed >= SLOW_INPUT_THRESHOLD {
+            self.internal_inputs.push(Input::SlowInput(CoreDuration::from_millis(elapsed.as_millis() as u64)));
         }
         for effect in effects {
             self.load.count_effect(&effect);
-            self.outputs.carry_out(effect);
+            self.outputs.execute(effect);
         }
     }
 }
--- a/src/runtime/outputs.rs
+++ b/src/runtime/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries the core's effects out: answers, calls to other services, frames to other nodes.
+//! Executes the core's effects: responses, requests to other services, and frames to other nodes.
 
 use super::Message;
 use super::clients::Clients;
@@ -11,137 +11,142 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// When a user whose submission was shed may come back, in seconds; all others come back after one.
+/// `Retry-After` in seconds for a submission that was shed. All other requests get one second.
 const SUBMISSION_RETRY_AFTER_S: u16 = 5;
 
-/// Where effects go.
+/// Executor of effects: holds the clients, the links to other nodes and the HTTP requests without a response.
 pub struct Outputs {
     node: String,
     clients: Clients,
-    /// Links that this node opened, by the other node.
-    links: HashMap<String, mpsc::Sender<Frame>>,
-    /// Links that other nodes opened.
-    incoming: HashMap<u64, mpsc::Sender<Frame>>,
-    /// Those of them whose nodes take admission tables.
-    take_tables: HashSet<u64>,
-    /// Requests over HTTP that wait for an answer.
-    waiting: HashMap<u64, oneshot::Sender<ApiResponse>>,
-    tell: mpsc::Sender<Message>,
+    /// Links that this node opened, by the name of the other node.
+    outgoing_links: HashMap<String, mpsc::Sender<Frame>>,
+    /// Links that other nodes opened, by their number.
+    incoming_links: HashMap<u64, mpsc::Sender<Frame>>,
+    /// The incoming links whose nodes accept admission tables.
+    table_links: HashSet<u64>,
+    /// HTTP requests that have no response yet, by their number.
+    pending_requests: HashMap<u64, oneshot::Sender<ApiResponse>>,
+    messages: mpsc::Sender<Message>,
 }
 
 impl Outputs {
-    /// Outputs of a node with these clients and links.
+    /// Creates the outputs of `node` with these clients and outgoing links. Inputs that arise from failed effects are
+    /// sent to `messages`.
     pub fn new(
         node: String,
         clients: Clients,
-        links: HashMap<String, mpsc::Sender<Frame>>,
-        tell: mpsc::Sender<Message>,
+        outgoing_links: HashMap<String, mpsc::Sender<Frame>>,
+        messages: mpsc::Sender<Message>,
     ) -> Outputs {
-        let (incoming, take_tables, waiting) = (HashMap::new(), HashSet::new(), HashMap::new());
-        Outputs { node, clients, links, incoming, take_tables, waiting, tell }
+        let (incoming_links, table_links, pending_requests) = (HashMap::new(), HashSet::new(), HashMap::new());
+        Outputs { node, clients, outgoing_links, incoming_links, table_links, pending_requests, messages }
     }
 
-    /// A request over HTTP waits for an answer.
-    pub fn expect_answer(&mut self, request: u64, to: oneshot::Sender<ApiResponse>) {
-        self.waiting.insert(request, to);
+    /// Registers an HTTP request whose response is to be sent to `response_sender`.
+    pub fn add_pending_request(&mut self, id: u64, sender: oneshot::Sender<ApiResponse>) {
+        self.pending_requests.insert(id, sender);
     }
 
-    /// Another node has opened a link.
-    pub fn linked(&mut self, link: u64, to: mpsc::Sender<Frame>) {
-        self.incoming.insert(link, to);
+    /// Registers a link that another node has opened.
+    pub fn add_incoming_link(&mut self, link: u64, sender: mpsc::Sender<Frame>) {
+        self.incoming_links.insert(link, sender);
     }
 
-    /// The node on this link takes admission tables.
-    pub fn takes_tables(&mut self, link: u64) {
-        self.take_tables.insert(link);
+    /// Records that the node on this link accepts admission tables.
+    pub fn enable_admission_tables(&mut self, link: u64) {
+        self.table_links.insert(link);
     }
 
-    /// A link that another node opened was closed.
-    pub fn unlinked(&mut self, link: u64) {
-        self.incoming.remove(&link);
-        self.take_tables.remove(&link);
+    /// Removes a link that another node had opened and that was closed.
+    pub fn remove_incoming_link(&mut self, link: u64) {
+        self.incoming_links.remove(&link);
+        self.table_links.remove(&link);
     }
 
-    /// Refuses a request that waited too long, without asking the core.
-    pub fn refuse(&mut self, message: Message, why: Shed) {
-        let submission = super::inbox::class_of(&message) == RequestClass::Submission;
-        let retry_after = if submission { SUBMISSION_RETRY_AFTER_S } else { 1 };
-        let reason = match why {
+    /// Rejects a request that was shed, without passing it to the core.
+    pub fn refuse(&mut self, message: Message, shed: Shed) {
+        let is_submission = super::inbox::request_class(&message) == RequestClass::Submission;
+        let retry_after = if is_submission { SUBMISSION_RETRY_AFTER_S } else { 1 };
+        let reason = match shed {
             Shed::Abandoned => "the request has waited too long",
             Shed::Overload => "too busy",
         };
-        let answer = ApiResponse::unavailable_for(reason, retry_after);
+        let response = ApiResponse::unavailable_for(reason, retry_after);
         match message {
-            // Whoever has hung up wants no answer.
-            Message::Request(_, to) => {
-                let _ = to.send(answer);
+            // Sending fails only if the client has disconnected; the response is then not needed.
+            Message::Request(_, sender) => {
+                let _ = sender.send(response);
             }
-            Message::Input(Input::User(origin, _)) => self.answer(origin, answer),
+            Message::Input(Input::User(origin, _)) => self.respond(origin, response),
             Message::Input(_)
             | Message::PeerLinkOpened(..)
-            | Message::PeerTakesTables(_)
+            | Message::PeerAcceptsAdmissionTables(_)
             | Message::PeerLinkClosed(_) => {}
         }
     }
 
-    fn answer(&mut self, origin: RequestOrigin, answer: ApiResponse) {
+    fn respond(&mut self, origin: RequestOrigin, response: ApiResponse) {
         match origin {
             RequestOrigin::Http(id) => {
-                if let Some(to) = self.waiting.remove(&id) {
-                    // Whoever has hung up wants no answer.
-                    let _ = to.send(answer);
+                if let Some(sender) = self.pending_requests.remove(&id) {
+                    // Sending fails only if the client has disconnected; the response is then not needed.
+                    let _ = sender.send(response);
                 }
             }
             RequestOrigin::Peer(link, id) => {
-                if let Some(to) = self.incoming.get(&link)
-                    && to.try_send(Frame::Response(id, answer)).is_err()
+                if let Some(sender) = self.incoming_links.get(&link)
+                    && sender.try_send(Frame::Response(id, response)).is_err()
                 {
-                    // A peer that does not read loses its link, and with it all that waits there.
-                    self.unlinked(link);
+                    // A peer that does not read its frames loses its link, and with it all responses that are queued
+                    // there.
+                    self.remove_incoming_link(link);
                 }
             }
         }
     }
 
-    /// Carries an effect out.
-    pub fn carry_out(&mut self, effect: Effect) {
+    /// Executes an effect.
+    pub fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::Respond(origin, answer) => self.answer(origin, answer),
-            Effect::QueryStore(slot, id, call) => self.clients.state(slot, id, call),
-            Effect::CallCloud(token, id, call) => self.clients.cloud(token, id, call),
+            Effect::Respond(origin, response) => self.respond(origin, response),
+            Effect::QueryStore(caller, id, request) => self.clients.query_store(caller, id, request),
+            Effect::CallCloud(token, id, request) => self.clients.call_cloud(token, id, request),
             Effect::SendCommands { token, machine, endpoint, id, body } => {
-                self.clients.command(token, machine, &endpoint, id, &body);
+                self.clients.send_commands(token, machine, &endpoint, id, &body);
             }
             Effect::AnnounceLeadership(token) => {
-                for to in self.links.values() {
-                    // A link that is full or down hears of it another time.
-                    let _ = to.try_send(Frame::LeaderAnnouncement(token.0, self.node.clone()));
+                for sender in self.outgoing_links.values() {
+                    // A link that is down or has a full queue gets the next periodic announcement.
+                    let _ = sender.try_send(Frame::LeaderAnnouncement(token.0, self.node.clone()));
                 }
             }
-            Effect::PublishAdmissionTable(table) => self.publish(&table),
+            Effect::PublishAdmissionTable(table) => self.publish_admission_table(&table),
             Effect::ReportRefusedDemand(leader, report) => {
-                if let Some(to) = self.links.get(&leader) {
-                    // What a full link loses is estimated too low for a second.
-                    let _ = to.try_send(Frame::RefusedDemand(report.encode()));
+                if let Some(sender) = self.outgoing_links.get(&leader) {
+                    // If the link's queue is full the report is lost, and demand is underestimated for a second.
+                    let _ = sender.try_send(Frame::RefusedDemand(report.encode()));
                 }
             }
-            Effect::Forward(node, id, call) => {
-                let sent = self.links.get(&node).is_some_and(|to| to.try_send(Frame::Request(id, call)).is_ok());
+            Effect::Forward(node, id, request) => {
+                let sent = self
+                    .outgoing_links
+                    .get(&node)
+                    .is_some_and(|sender| sender.try_send(Frame::Request(id, request)).is_ok());
                 if !sent {
-                    debug!("cannot forward to {node}");
-                    let answer = ApiResponse { retry_after: 1, ..ApiResponse::empty(503) };
-                    let _ = self.tell.try_send(Message::Input(Input::ForwardResponse(id, answer)));
+                    debug!("request not forwarded: the link to {node} is down or its queue is full");
+                    let response = ApiResponse { retry_after: 1, ..ApiResponse::empty(503) };
+                    let _ = self.messages.try_send(Message::Input(Input::ForwardResponse(id, response)));
                 }
             }
         }
     }
 
-    fn publish(&self, table: &AdmissionTable) {
+    fn publish_admission_table(&self, table: &AdmissionTable) {
         let bytes: Arc<[u8]> = table.encode().into();
-        for link in &self.take_tables {
-            if let Some(to) = self.incoming.get(link) {
-                // A link that is full gets the next one.
-                let _ = to.try_send(Frame::AdmissionTable(bytes.clone()));
+        for link in &self.table_links {
+            if let Some(sender) = self.incoming_links.get(link) {
+                // A link with a full queue gets the next table.
+                let _ = sender.try_send(Frame::AdmissionTable(bytes.clone()));
             }
         }
     }
--- a/src/runtime/reload.rs
+++ b/src/runtime/reload.rs
@@ -1,4 +1,5 @@
-//! Follows the operators' file, so that other disruption budgets and settings of admission come into force without a restart.
+//! Watches the operators' settings file, so that changed disruption budgets and admission settings take effect without
+//! a restart.
 
 use super::Message;
 use crate::effects::Input;
@@ -8,25 +9,26 @@
 use std::time::{Duration, SystemTime};
 use tokio::sync::mpsc;
 
-/// How often the file is looked at.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which the file's modification time is checked.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Looks at the file from time to time. One that cannot be used leaves everything as it is.
-pub fn follow(file: PathBuf, settings: Settings, tell: mpsc::Sender<Message>) {
+/// Starts a task that reloads the file whenever its modification time changes. If the file cannot be used, the settings
+/// in force stay unchanged.
+pub fn watch(file: PathBuf, settings: Settings, messages: mpsc::Sender<Message>) {
     tokio::spawn(async move {
-        let mut seen = changed_at(&file);
+        let mut last_modified = modified_at(&file);
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            let changed = changed_at(&file);
-            if changed == seen {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let modified = modified_at(&file);
+            if modified == last_modified {
                 continue;
             }
-            seen = changed;
+            last_modified = modified;
             match settings.reload(&file) {
                 Ok((policy, admission)) => {
                     info!("disruption budgets and settings of admission read again from {}", file.display());
-                    let _ = tell.send(Message::Input(Input::DisruptionPolicyChanged(Box::new(policy)))).await;
-                    let _ = tell.send(Message::Input(Input::AdmissionPolicyChanged(Box::new(admission)))).await;
+                    let _ = messages.send(Message::Input(Input::DisruptionPolicyChanged(Box::new(policy)))).await;
+                    let _ = messages.send(Message::Input(Input::AdmissionPolicyChanged(Box::new(admission)))).await;
                 }
                 Err(e) => error!("disruption budgets and settings of admission stay as they are: {e}"),
             }
@@ -34,6 +36,6 @@
     });
 }
 
-fn changed_at(file: &Path) -> Option<SystemTime> {
-    std::fs::metadata(file).and_then(|data| data.modified()).ok()
+fn modified_at(file: &Path) -> Option<SystemTime> {
+    std::fs::metadata(file).and_then(|metadata| metadata.modified()).ok()
 }
--- a/src/settings/limits.rs
+++ b/src/settings/limits.rs
@@ -3,189 +3,196 @@
 use crate::types::Duration;
 use serde::Deserialize;
 
-/// Worker timing.
+/// Intervals and timeouts of the workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTiming {
-    /// Interval of heartbeats, in seconds.
+    /// Interval of a worker's heartbeats, in seconds.
     pub report_s: f64,
-    /// How long a worker's lease lasts, in seconds.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// Seconds until a cancelled job's tasks must be gone.
+    /// Maximum time in seconds until all tasks of a cancelled job have ended.
     pub cancel_s: f64,
-    /// Seconds after which a task gives up waiting for the other tasks of its gang.
+    /// Timeout in seconds after which a task stops waiting for the other tasks of its gang.
     #[serde(default = "default_gang_wait")]
     pub gang_wait_s: f64,
-    /// Seconds within which tasks of a gang notice that another is gone, and within which all must be told to stop.
+    /// Maximum time in seconds within which the tasks of a gang notice that another one is gone, and within which all
+    /// of them must be commanded to stop.
     #[serde(default = "default_gang_peer")]
     pub gang_peer_s: f64,
 }
 
 impl WorkerTiming {
-    /// A machine that nothing has reached for this long gets no further tasks: two heartbeat intervals and a margin.
+    /// A machine that has not been reached for this long is assigned no further tasks: two heartbeat intervals and a
+    /// margin.
     pub fn heartbeat_overdue_after(&self) -> Duration {
         Duration::from_secs_f64(self.report_s * 2.0 + 2.0)
     }
 
-    /// A machine that nothing has reached for this long is unreached: the longest interval between two heartbeats and a margin.
+    /// A machine that has not been reached for this long is unreachable: the maximum interval between two heartbeats
+    /// and a margin.
     pub fn unreachable_after(&self) -> Duration {
         Duration::from_secs_f64(self.max_heartbeat_interval_s() + UNREACHABLE_MARGIN_S)
     }
 
-    /// An unreached machine that leaves commands unanswered is given back after this time.
+    /// A machine that has not been reached for this long and leaves commands unanswered is released.
     pub fn release_unreachable_after(&self) -> Duration {
         Duration::from_secs_f64(self.max_heartbeat_interval_s() + RELEASE_MARGIN_S)
     }
 
-    /// A worker's lease has surely expired this long after the last answer to it: its clock may run slow by as much as ours
-    /// runs fast, and a process may be late.
+    /// Time after the last response to a worker at which its lease has certainly expired: the worker's clock may run as
+    /// slow as this node's clock runs fast, and the worker's process may act late.
     pub fn lease_expired_after(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s * LEASE_DRIFT_FACTOR + LEASE_MARGIN_S)
     }
 
-    /// When this many workers that send heartbeats regularly are silent for this long, it is not by chance: each sends one
-    /// within the longest interval, and of many some do in a small part of it.
+    /// Time after which the silence of this many workers that send heartbeats regularly is not a coincidence: each
+    /// worker sends one within the maximum interval, and among many workers some send one in a small part of it.
     pub fn silence_timeout(&self, workers: usize) -> Duration {
-        let likely_gap_s = SILENCE_INTERVALS * self.report_s / workers.max(1) as f64;
-        let longest_s = (self.max_heartbeat_interval_s() + UNREACHABLE_MARGIN_S).max(MIN_SILENCE_S);
-        Duration::from_secs_f64(likely_gap_s.clamp(MIN_SILENCE_S, longest_s))
+        let max_expected_gap_s = SILENCE_INTERVALS * self.report_s / workers.max(1) as f64;
+        let max_silence_s = (self.max_heartbeat_interval_s() + UNREACHABLE_MARGIN_S).max(MIN_SILENCE_S);
+        Duration::from_secs_f64(max_expected_gap_s.clamp(MIN_SILENCE_S, max_silence_s))
     }
 
-    /// How long the tasks of a gang wait for each other.
+    /// Time for which the tasks of a gang wait for each other.
     pub fn gang_wait_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.gang_wait_s)
     }
 
-    /// How late a copy of a message may arrive: well over a lease. With two leases a copy of a start that came 35 s late, at a
-    /// lease of 16 s, found its attempt forgotten and ran it again.
+    /// Maximum delay of a duplicate message, well over a lease. With two leases, at a lease of 16 s, a duplicate start
+    /// command that was delayed by 35 s arrived after its attempt had been forgotten, and the worker ran the attempt
+    /// again.
     pub fn duplicate_delay_limit(&self) -> Duration {
         Duration::from_secs_f64(self.lease_s * DUPLICATE_DELAY_LEASES)
     }
 
-    /// The longest interval between two heartbeats of a worker that is well.
+    /// Maximum interval between two heartbeats of a healthy worker, in seconds.
     fn max_heartbeat_interval_s(&self) -> f64 {
         self.report_s * MAX_INTERVAL_FACTOR
     }
 }
 
-/// The longest interval between two heartbeats, in heartbeat intervals.
+/// Maximum interval between two heartbeats, as a multiple of the configured interval.
 const MAX_INTERVAL_FACTOR: f64 = 1.25;
-/// Delay of a heartbeat that is not taken for silence, in seconds.
+/// Delay of a heartbeat, in seconds, that does not yet make its machine unreachable.
 const UNREACHABLE_MARGIN_S: f64 = 0.5;
-/// Delay of a heartbeat before its machine may be given back, in seconds.
+/// Delay of a heartbeat, in seconds, after which its machine may be released.
 const RELEASE_MARGIN_S: f64 = 1.5;
-/// How much longer a lease may last by a worker's clock than by ours.
+/// Maximum ratio of a lease's duration by this node's clock to that by a worker's clock.
 const LEASE_DRIFT_FACTOR: f64 = 1.002;
-/// How late a worker may act on the end of its lease, in seconds.
+/// Maximum delay, in seconds, with which a worker acts on the expiry of its lease.
 const LEASE_MARGIN_S: f64 = 1.5;
-/// Heartbeat intervals, shared by all workers, without a heartbeat that are not by chance.
+/// Number of expected heartbeats, over all workers together, whose absence is not a coincidence.
 const SILENCE_INTERVALS: f64 = 20.0;
-/// The shortest silence that means something, in seconds.
+/// Minimum duration of a silence that is significant, in seconds.
 const MIN_SILENCE_S: f64 = 1.5;
-/// How late a copy of a message may arrive, in leases.
+/// Maximum delay of a duplicate message, in durations of a worker's lease.
 const DUPLICATE_DELAY_LEASES: f64 = 2.5;
 
-/// Limits of the state service, shared by all nodes.
+/// Limits of the state service, which all nodes share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Changes per second.
+    /// Maximum number of writes per second.
     pub write_rps: f64,
-    /// Largest value.
+    /// Maximum size of a value in kB.
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
-    /// Limits that come into force at some moment, without notice.
+    /// Limits that will replace these at an unknown time, without notice; `None` if no change is planned.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits that the state service will have; what is not named stays as it is.
+/// Future limits of the state service; a limit that is `None` stays unchanged.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: Option<f64>,
-    /// Changes per second.
+    /// Maximum number of writes per second.
     pub write_rps: Option<f64>,
-    /// Largest value.
+    /// Maximum size of a value in kB.
     pub value_kb: Option<f64>,
-    /// Most changes in a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// The largest value that is taken now and later.
+    /// Maximum size of a value in kB that is accepted under both the current and the future limits.
     pub fn guaranteed_value_kb(&self) -> f64 {
         self.next.as_ref().and_then(|n| n.value_kb).map_or(self.value_kb, |kb| kb.min(self.value_kb))
     }
-    /// The most changes of a transaction that is taken now and later.
+    /// Maximum number of operations in a transaction that is accepted under both the current and the future limits.
     pub fn guaranteed_txn_ops(&self) -> usize {
         self.next.as_ref().and_then(|n| n.txn_ops).map_or(self.txn_ops, |ops| ops.min(self.txn_ops))
     }
-    /// Changes per second now, and once the state service says that they are too many.
+    /// Maximum number of writes per second: the current limit, and the one that applies once the state service rejects
+    /// writes as too many.
     pub fn write_rates(&self) -> (f64, f64) {
-        let later = self.next.as_ref().and_then(|n| n.write_rps).unwrap_or(self.write_rps);
-        (self.write_rps, later.min(self.write_rps))
+        let future_rps = self.next.as_ref().and_then(|n| n.write_rps).unwrap_or(self.write_rps);
+        (self.write_rps, future_rps.min(self.write_rps))
     }
 }
 
-/// Limits of the cloud, shared by all nodes.
+/// Limits of the cloud, which all nodes share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// How late its list is.
+    /// Maximum delay in seconds with which changes appear in the cloud's list of machines.
     #[serde(default)]
     pub list_lag_s: f64,
 }
 
-/// Limits of this process.
+/// Resource limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// Share of a core.
+    /// Available CPU as a share of a core.
     #[serde(default = "default_cpu")]
     pub cpu: f64,
-    /// Memory.
+    /// Memory limit in MB.
     #[serde(default = "default_memory")]
     pub memory_mb: f64,
-    /// Sockets.
+    /// Maximum number of file descriptors, most of which are sockets.
     #[serde(default = "default_fds")]
     pub fd_limit: u64,
 }
 
 impl ProcessLimits {
-    /// Direct commands that may be under way at once: most sockets are for workers and users.
+    /// Maximum number of direct commands in flight; most sockets are reserved for workers and users.
     pub fn max_concurrent_commands(&self) -> usize {
         (self.fd_limit / 12).clamp(8, 200) as usize
     }
-    /// Jobs that are kept open: what is left of the memory with all connections in use. 250 for each MB, as it was,
-    /// was more than 37 MB hold beside 900 connections.
+    /// Maximum number of open jobs: those that fit into the memory that remains when all connections are in use. The
+    /// earlier limit of 250 jobs for each MB exceeded 37 MB of memory beside 900 connections.
     pub fn max_open_jobs(&self) -> usize {
-        let left = self.memory_mb - BASE_MB - self.max_connections() as f64 * CONNECTION_MB;
-        (left.max(self.memory_mb / 8.0) / JOB_MB) as usize
+        let remaining_mb = self.memory_mb - BASE_MB - self.max_connections() as f64 * CONNECTION_MB;
+        (remaining_mb.max(self.memory_mb / 8.0) / JOB_MB) as usize
     }
-    /// Inputs that may wait for the core; beyond it, requests are refused. Each connection has one under way at the most.
+    /// Maximum number of inputs that are queued for the core; requests beyond it are rejected. Each connection has at
+    /// most one request in flight.
     pub fn max_queued_inputs(&self) -> usize {
         self.max_connections().max(MIN_QUEUED_INPUTS)
     }
-    /// Connections that are taken from workers and users; the others are for the state service, the
-    /// cloud, commands to workers, and peers.
+    /// Maximum number of connections that are accepted from workers and users; the other sockets are reserved for the
+    /// state service, the cloud, commands to workers, and peers.
     pub fn max_connections(&self) -> usize {
         let reserved = 2 * self.max_concurrent_commands() as u64 + 50;
         self.fd_limit.saturating_sub(reserved).max(16) as usize
     }
 }
 
-/// What a node holds before its first connection, in MB, with a margin.
+/// Memory of a node before its first connection, including a margin, in MB.
 pub(super) const BASE_MB: f64 = 8.0;
 
-/// What a connection holds at the most.
+/// Maximum memory of a connection, in MB.
 pub(super) const CONNECTION_MB: f64 = 0.02;
 
-/// What an open job holds, its tasks among it.
+/// Memory of an open job including its tasks, in MB.
 pub(super) const JOB_MB: f64 = 0.003;
 
-/// Inputs that may wait however few sockets there are: answers of workers and the cloud are among them.
+/// Minimum queue capacity for inputs, however few sockets there are: responses of workers and the cloud are queued as
+/// well.
 const MIN_QUEUED_INPUTS: usize = 2048;
 
 fn default_gang_wait() -> f64 {
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -1,24 +1,25 @@
-//! The operators' own settings, read from an INI file.
+//! Tuning parameters in the operators' file (INI).
 
 use super::*;
 
-/// The operators' own settings, read from an INI file; each has a default.
+/// Tuning parameters from the operators' file (INI). Each has a default.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tuning {
-    /// Life of the leadership lease.
+    /// Duration of the leader's lease on the leader key.
     pub leader_lease: Duration,
-    /// Least time between two commits.
+    /// Minimum interval between two commits to the write-ahead log.
     pub commit_interval: Duration,
-    /// How long an idle ordinary machine is kept.
+    /// Time after which an idle on-demand instance is released.
     pub on_demand_idle_timeout: Duration,
-    /// How long an idle spot machine is kept.
+    /// Time after which an idle spot instance is released.
     pub spot_idle_timeout: Duration,
-    /// Log entries between two snapshots.
+    /// Number of log entries between two snapshots.
     pub snapshot_interval_entries: u64,
-    /// Ordinary machines are paid for tasks that could wait only for aims of at least this share.
+    /// Minimum share of an objective for which on-demand instances are provisioned even for tasks that could wait.
     pub strict_objective_share: f64,
-    /// Room is kept for so many times the services that are likely to come within a boot: they come in
-    /// bursts, and dying machines need it too.
+    /// Headroom for services, as a multiple of the services that are expected to arrive within the boot time of a
+    /// machine. A multiple is needed because services arrive in bursts, and because replicas from lost machines need
+    /// headroom too.
     pub headroom_factor: f64,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl Tuning {
-    /// Reads the operators' INI; unknown sections and names are errors, since they are typing slips.
+    /// Parses the operators' file. Unknown sections and names are errors, since they are most likely misspelled.
     pub fn parse(text: &str) -> Result<Tuning, SettingsError> {
         let ini = ini::Ini::load_from_str(text).map_err(|e| SettingsError::Ini(e.to_string()))?;
         let mut tuning = Tuning::default();
@@ -48,29 +49,30 @@
             }
             for (name, value) in properties {
                 let path = format!("{section}.{name}");
-                let within = |what: &str, low: f64, high: f64| -> Result<f64, SettingsError> {
+                let parse_in_range = |kind: &str, min: f64, max: f64| -> Result<f64, SettingsError> {
                     match value.parse::<f64>() {
-                        Ok(v) if v >= low && v <= high => Ok(v),
-                        _ => Err(field(path.clone(), format!("`{value}` is not a {what} from {low} to {high}"))),
+                        Ok(v) if v >= min && v <= max => Ok(v),
+                        _ => Err(invalid(path.clone(), format!("`{value}` is not a {kind} from {min} to {max}"))),
                     }
                 };
-                let number = |low, high| within("number", low, high);
-                let seconds =
-                    |low, high| Ok::<_, SettingsError>(Duration::from_secs_f64(within("time in seconds", low, high)?));
+                let number = |min, max| parse_in_range("number", min, max);
+                let seconds = |min, max| {
+                    Ok::<_, SettingsError>(Duration::from_secs_f64(parse_in_range("time in seconds", min, max)?))
+                };
                 match path.as_str() {
                     "leadership.lease_s" => tuning.leader_lease = seconds(0.5, 60.0)?,
                     "records.commit_every_s" => tuning.commit_interval = seconds(0.02, 2.0)?,
                     "records.snapshot_entries" => {
                         tuning.snapshot_interval_entries = match value.parse() {
                             Ok(v) if (10..=100_000).contains(&v) => v,
-                            _ => return Err(field(path, format!("`{value}` is not a count from 10 to 100000"))),
+                            _ => return Err(invalid(path, format!("`{value}` is not a count from 10 to 100000"))),
                         }
                     }
                     "fleet.idle_ordinary_s" => tuning.on_demand_idle_timeout = seconds(0.0, 86_400.0)?,
                     "fleet.strict_aim" => tuning.strict_objective_share = number(0.0, 1.0)?,
                     "fleet.room_ahead" => tuning.headroom_factor = number(0.0, 100.0)?,
                     "fleet.idle_spot_s" => tuning.spot_idle_timeout = seconds(0.0, 86_400.0)?,
-                    _ => return Err(field(path, "not a known setting")),
+                    _ => return Err(invalid(path, "not a known setting")),
                 }
             }
         }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
-//! The messages of PROTOCOL, one module for each counterpart.
+//! The messages that PROTOCOL specifies, with one module for each counterpart of a controller.
 //!
-//! The protocol's own names stand here alone, as serde renames; everywhere else the field's usual terms are used. Unknown fields are
-//! ignored everywhere, and null equals omitted.
+//! The protocol's own names appear only here, as serde renames and string constants; all other code uses the usual
+//! terms of the field. In every message unknown fields are ignored, and null is equivalent to an omitted field.
 
 mod cloud;
 mod store;
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -1,89 +1,89 @@
-//! The key-value store: keys, compare-and-swap and leases.
+//! Messages of the state service: keys, compare-and-swap transactions and leases.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key as the key-value store returns it.
+/// A key and its value as the state service returns them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// The key; empty if the response omits it.
     #[serde(rename = "K", default)]
     pub key: String,
-    /// Value.
+    /// The value of the key.
     #[serde(rename = "V")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision at which the key was last changed.
     #[serde(rename = "Stamp")]
     pub revision: u64,
-    /// Lease that holds it.
+    /// Lease to which the key is attached: the key is deleted when the lease expires.
     #[serde(rename = "Permit", default)]
     pub lease: Option<u64>,
 }
 
-/// A page of keys.
+/// A page of the response to a scan.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyPage {
-    /// Keys in order.
+    /// Key-value pairs in the order of their keys.
     #[serde(rename = "Pairs")]
     pub items: Vec<KeyValue>,
-    /// Whether there are more.
+    /// Whether there are further pages after the last key of this one.
     #[serde(rename = "More", default)]
     pub more: bool,
 }
 
-/// A condition of a transaction.
+/// A condition of a compare-and-swap transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionCondition {
-    /// Key.
+    /// The key that is checked.
     #[serde(rename = "K")]
     pub key: String,
-    /// Version it must have, 0: it must not exist.
+    /// Revision that the key must have; 0 requires that the key does not exist.
     #[serde(rename = "Stamp")]
     pub revision: u64,
 }
 
-/// A change of a transaction.
+/// A write of a compare-and-swap transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum StoreWrite {
-    /// Put a value.
+    /// Sets the value of a key.
     Put {
-        /// Key.
+        /// The key to write.
         #[serde(rename = "Write")]
         key: String,
-        /// Value.
+        /// The value to write.
         #[serde(rename = "V")]
         value: Value,
-        /// Lease to attach it to.
+        /// Lease to attach the key to; `None` for a key without a lease.
         #[serde(rename = "Permit", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Remove a key.
+    /// Deletes a key.
     Delete {
-        /// Key.
+        /// The key to delete.
         #[serde(rename = "Remove")]
         key: String,
     },
 }
 
-/// Body of `POST /txn`.
+/// Body of `POST /txn`: a transaction that is applied only if all its conditions hold.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompareAndSwap {
-    /// All must hold.
+    /// Conditions, all of which must hold.
     #[serde(rename = "When")]
     pub conditions: Vec<RevisionCondition>,
-    /// Done together.
+    /// Writes, which are applied atomically.
     #[serde(rename = "Writes", default)]
     pub writes: Vec<StoreWrite>,
 }
 
-/// Answer of `POST /txn`.
+/// Response to `POST /txn`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct CompareAndSwapResponse {
-    /// The store's revision.
+    /// Revision of the state service; if the transaction was committed, the new revision of the keys that it wrote.
     #[serde(rename = "Ledger", default)]
     pub revision: u64,
-    /// Keys whose conditions failed.
+    /// Keys whose conditions did not hold.
     #[serde(rename = "failed", default)]
     pub failed_keys: Vec<String>,
 }
@@ -91,15 +91,15 @@
 /// Body of `POST /leases`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GrantLeaseRequest {
-    /// Life without renewal.
+    /// Time to live without a renewal, in milliseconds.
     #[serde(rename = "LifeMs")]
     pub ttl_ms: u64,
 }
 
-/// Answer of `POST /leases`.
+/// Response to `POST /leases`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GrantLeaseResponse {
-    /// The lease.
+    /// Identifier of the granted lease.
     #[serde(rename = "Permit")]
     pub lease: u64,
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,69 +1,69 @@
-//! Users: submissions and what they are answered.
+//! Messages of users: submissions, job queries and their responses.
 
 use crate::types::JobId;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The names of a submission's fields.
+/// The protocol's names of a submission's fields.
 pub mod submission_field {
-    /// The job's id.
+    /// Identifier of the job.
     pub const JOB: &str = "Ref";
-    /// Class of jobs.
+    /// Job class.
     pub const CLASS: &str = "Lane";
-    /// Team.
+    /// Team that submits the job.
     pub const TEAM: &str = "Crew";
-    /// Independent tasks, service or gang: see [`JobShape`](super::JobShape).
+    /// Whether the job is an array, a service or a gang: see [`JobShape`](super::JobShape).
     pub const SHAPE: &str = "Shape";
-    /// Priority: see [`PRIORITIES`](super::PRIORITIES).
+    /// Priority, one of [`PRIORITIES`](super::PRIORITIES).
     pub const PRIORITY: &str = "Rank";
     /// Number of tasks.
     pub const TASK_COUNT: &str = "Pieces";
-    /// CPUs of each task.
+    /// CPUs that each task requests.
     pub const CPUS: &str = "Cores";
-    /// GPUs of each task.
+    /// GPUs that each task requests.
     pub const GPUS: &str = "Cards";
-    /// Memory of each task in GB.
+    /// Memory that each task requests, in GB.
     pub const MEMORY: &str = "MemoryGb";
-    /// Image.
+    /// Name of the image that the tasks run.
     pub const IMAGE: &str = "Reel";
     /// Size of the image in GB.
     pub const IMAGE_SIZE: &str = "ImageGb";
-    /// Allowed machine types.
+    /// Machine types on which the tasks may run.
     pub const MACHINE_TYPES: &str = "Builds";
-    /// The only allowed zone.
+    /// The only zone in which the tasks may run.
     pub const ZONE: &str = "Yard";
-    /// Whether all tasks must be in the same zone.
+    /// Whether all tasks must run in the same zone.
     pub const COLOCATE_IN_ZONE: &str = "Together";
-    /// Whether at most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks may run in one zone.
     pub const SPREAD_OVER_ZONES: &str = "Spread";
-    /// Whether spot machines are allowed.
+    /// Whether tasks may run on spot instances.
     pub const ALLOWS_SPOT: &str = "Loaners";
-    /// Estimated run time of a task in seconds.
+    /// Estimated run time of each task, in seconds.
     pub const ESTIMATED_DURATION: &str = "RuntimeS";
-    /// Progress after which a task saves a checkpoint, in seconds.
+    /// Interval of a task's progress at which it saves a checkpoint, in seconds.
     pub const CHECKPOINT_INTERVAL: &str = "BookmarkS";
-    /// Time that saving a checkpoint takes, in seconds.
+    /// Time that a task takes to save a checkpoint, in seconds.
     pub const CHECKPOINT_DURATION: &str = "StashS";
-    /// Deadline in seconds after the submission.
+    /// Deadline, in seconds after the submission.
     pub const DEADLINE: &str = "DueS";
 }
 
-/// How a job's tasks belong together.
+/// The kind of a job, which determines how its tasks relate to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobShape {
-    /// A job array: independent tasks, each runs to completion.
+    /// A job array: independent tasks, each of which runs to completion.
     Array,
-    /// Replicas that run until the job is cancelled.
+    /// A service: replicas that run until the job is cancelled.
     Service,
-    /// Tasks that all run at the same time, or none does.
+    /// A gang: its tasks run all at the same time or not at all.
     Gang,
 }
 
-/// All shapes.
+/// All job shapes.
 pub const JOB_SHAPES: [JobShape; 3] = [JobShape::Array, JobShape::Service, JobShape::Gang];
 
 impl JobShape {
-    /// The protocol's word.
+    /// The name of the shape in the protocol.
     pub fn protocol_name(self) -> &'static str {
         match self {
             JobShape::Array => "batch",
@@ -73,19 +73,19 @@
     }
 }
 
-/// The protocol's words for priorities, the most important first.
+/// The protocol's names of the priorities, the highest priority first.
 pub const PRIORITIES: [&str; 4] = ["prod", "urgent", "standard", "low"];
 
-/// What admission looks at of a submission.
+/// The fields of a submission that admission control reads.
 #[derive(Debug, Deserialize)]
 pub struct SubmissionHead<'a> {
-    /// The job's id.
+    /// Identifier of the job.
     #[serde(rename = "Ref", borrow)]
     pub job: Cow<'a, str>,
-    /// Class.
+    /// Job class.
     #[serde(rename = "Lane", borrow)]
     pub class: Cow<'a, str>,
-    /// Team.
+    /// Team that submits the job.
     #[serde(rename = "Crew", borrow)]
     pub team: Cow<'a, str>,
     /// Number of tasks.
@@ -93,55 +93,55 @@
     pub tasks: u32,
 }
 
-/// The state of a job, as its user is told.
+/// State of a job as reported to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum JobStatus {
-    /// Accepted; no task runs.
+    /// The job was accepted, and none of its tasks is running.
     #[serde(rename = "queued")]
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
-    /// All tasks have completed.
+    /// All tasks have finished.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// Answer to an accepted submission.
+/// Response to an accepted submission.
 #[derive(Debug, Clone, Serialize)]
 pub struct SubmissionResponse {
-    /// The job's id.
+    /// Identifier of the job.
     #[serde(rename = "Ref", serialize_with = "as_text")]
     pub job: JobId,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "Status")]
     pub status: JobStatus,
 }
 
-/// Answer to a question for a job, and to its cancellation.
+/// Response to a query of a job's state and to a cancellation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct JobStatusResponse {
-    /// The job's id.
+    /// Identifier of the job.
     #[serde(rename = "Ref", serialize_with = "as_text")]
     pub job: JobId,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "Status")]
     pub status: JobStatus,
-    /// Tasks that have completed.
+    /// Number of tasks that have finished.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that are running.
     pub running: u32,
 }
 
-/// Body of every answer that tells of an error.
+/// Body of every response that reports an error.
 #[derive(Debug, Clone, Serialize)]
 pub struct ErrorResponse<'a> {
-    /// What is wrong.
+    /// Description of the error.
     pub error: &'a str,
-    /// The field at fault, if there is one.
+    /// The invalid field of the submission; `None` if the error does not concern one field.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<&'a str>,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,41 +1,41 @@
 //! Messages between workers and the leader: heartbeats with the status of all tasks, and commands.
 //!
-//! The names in `serde` attributes are those of PROTOCOL and must not change.
+//! The names in `serde` attributes are defined by PROTOCOL and must not change.
 
 use crate::types::TaskId;
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat; it is also the body of the worker's answers to direct commands.
+/// A worker's heartbeat. It is also the body of the worker's response to direct commands.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// The machine's name.
+    /// Identifier of the machine.
     #[serde(rename = "Host")]
     pub machine: String,
-    /// The address at which the worker takes direct commands.
+    /// Address at which the worker accepts direct commands.
     #[serde(rename = "Endpoint")]
     pub endpoint: String,
-    /// The machine's type.
+    /// Machine type.
     #[serde(rename = "Build")]
     pub machine_type: String,
-    /// The machine's zone.
+    /// Zone in which the machine runs.
     #[serde(rename = "Yard")]
     pub zone: String,
-    /// Whether this is a spot machine.
+    /// Whether the machine is a spot instance; on-demand otherwise.
     #[serde(rename = "Loaners", default)]
     pub spot: bool,
-    /// The agent's epoch: it grows whenever the worker's lease expires and all its tasks are killed.
+    /// Epoch of the worker's agent: incremented whenever the worker's lease expires and all its tasks are killed.
     #[serde(rename = "Shift")]
     pub epoch: u64,
-    /// Number of the message within the epoch.
+    /// Sequence number of the message within the epoch.
     #[serde(rename = "Tally")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen; 0 if none.
+    /// The highest fencing token that the worker has seen; 0 if it has seen none.
     #[serde(rename = "Baton", default)]
     pub fencing_token: u64,
-    /// Seconds until the cloud reclaims the machine, if it has told so.
+    /// Seconds until the cloud reclaims the machine; `None` without an interruption notice.
     #[serde(rename = "RecallS", default)]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the machine, ended ones that the worker was not told to forget among them.
+    /// All tasks on the machine, including ended ones that the worker has not been commanded to forget.
     #[serde(rename = "Pieces", default)]
     pub tasks: Option<Vec<TaskStatus>>,
 }
@@ -43,24 +43,25 @@
 /// The status of one task in a heartbeat.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct TaskStatus {
-    /// The task; `None` if its name has another form. Read in place: a leader reads some thousand names a second.
+    /// The task; `None` if its name is not a valid task identifier. The name is parsed without an intermediate string,
+    /// because a leader parses thousands of names per second.
     #[serde(rename = "Piece", with = "task_name")]
     pub task: Option<TaskId>,
-    /// The number of the attempt.
+    /// Attempt number.
     #[serde(rename = "Try")]
     pub attempt: u64,
-    /// How far the task is.
+    /// State of the task on the machine.
     #[serde(rename = "Status")]
     pub state: TaskState,
-    /// Why the task ended, if it did.
+    /// Why the task ended; `None` while it has not ended.
     #[serde(rename = "Cause", default)]
     pub exit_reason: Option<ExitReason>,
-    /// Whether the checkpoint of a stopped task was saved.
+    /// Whether a stopped task saved its checkpoint; `None` if that is not known.
     #[serde(rename = "Kept", default)]
     pub checkpoint_saved: Option<bool>,
 }
 
-/// A task's name as an id, without a string of its own in between.
+/// Serialises a task's name as a [`TaskId`] without an intermediate string.
 mod task_name {
     use crate::types::TaskId;
     use serde::{Deserializer, Serializer, de};
@@ -83,7 +84,7 @@
         type Value = Option<TaskId>;
 
         fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-            f.write_str("the name of a task")
+            f.write_str("a task name")
         }
 
         fn visit_str<E: de::Error>(self, name: &str) -> Result<Option<TaskId>, E> {
@@ -92,23 +93,23 @@
     }
 }
 
-/// A task's state on its machine.
+/// State of a task on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// The machine is fetching the task's image.
     Fetching,
-    /// Waiting for the other tasks of its gang's attempt.
+    /// The task waits for the other tasks of its gang's attempt.
     #[serde(rename = "gathering")]
     AwaitingGang,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Saving a checkpoint after it was told to stop.
+    /// The task is saving a checkpoint after a stop command.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// Ended.
+    /// The task has ended, see [`ExitReason`].
     Exited,
-    /// A state of a later protocol: a heartbeat with it must still be taken.
+    /// A state that a later protocol version defines: a heartbeat with it must still be accepted.
     #[serde(other)]
     Other,
 }
@@ -117,29 +118,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// It finished.
+    /// The task finished.
     Done,
-    /// It was stopped by a command.
+    /// The task was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// The worker refused it: the machine has too few free resources.
+    /// The worker refused the task: the machine has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// The worker refused it: it holds another attempt of the task.
+    /// The worker refused the task: it already has another attempt of the same task.
     #[serde(rename = "in_use")]
     DuplicateTask,
-    /// The worker refused it: it could not get the job's specification.
+    /// The worker refused the task: it could not obtain the job's specification.
     #[serde(rename = "unknown")]
     UnknownJob,
-    /// Another task of its gang is gone.
+    /// Another task of its gang was lost.
     #[serde(rename = "peers")]
     GangMemberLost,
-    /// Its gang was not complete in time.
+    /// Not all tasks of its gang were ready within the timeout.
     #[serde(rename = "incomplete")]
     GangIncomplete,
-    /// A reason of a later protocol.
+    /// A reason that a later protocol version defines.
     #[serde(other)]
     Other,
 }
@@ -148,70 +149,70 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "Verb", rename_all = "lowercase")]
 pub enum WorkerCommand {
-    /// Start an attempt; without effect if the worker holds it already.
+    /// Starts an attempt. The worker ignores the command if it already has the attempt.
     #[serde(rename = "run")]
     Start {
         /// The task.
         #[serde(rename = "Piece")]
         task: String,
-        /// The number of the attempt.
+        /// Attempt number.
         #[serde(rename = "Try")]
         attempt: u64,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     #[serde(rename = "kill")]
     Stop {
         /// The task.
         #[serde(rename = "Piece")]
         task: String,
-        /// The number of the attempt.
+        /// Attempt number.
         #[serde(rename = "Try")]
         attempt: u64,
-        /// Seconds that the task has for its checkpoint.
+        /// Grace period for saving a checkpoint, in seconds.
         #[serde(rename = "WindDownS")]
         grace_s: f64,
     },
-    /// Forget an ended attempt: heartbeats do not list it any more.
+    /// Forgets an ended attempt: heartbeats no longer list it.
     #[serde(rename = "reap")]
     Forget {
         /// The task.
         #[serde(rename = "Piece")]
         task: String,
-        /// The number of the attempt.
+        /// Attempt number.
         #[serde(rename = "Try")]
         attempt: u64,
     },
 }
 
-/// The answer to a heartbeat; it renews the worker's lease.
+/// The response to a heartbeat. Receiving it renews the worker's lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The leader's fencing token.
+    /// Fencing token of the leader.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "Orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Direct commands to a worker: the body of `POST /commands`.
+/// A batch of direct commands to a worker: the body of `POST /commands`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The leader's fencing token.
+    /// Fencing token of the leader.
     #[serde(rename = "Baton")]
     pub fencing_token: u64,
-    /// The agent's epoch that the commands are for; they are refused in another one.
+    /// The agent epoch for which the commands are intended; the worker refuses them in any other epoch.
     #[serde(rename = "Shift")]
     pub epoch: u64,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "Orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The answer of a node that does not lead to a heartbeat: the node that does.
+/// The response of a follower to a heartbeat: it names the node that the worker is to contact.
 #[derive(Debug, Clone, Serialize)]
 pub struct LeaderRedirect<'a> {
-    /// The leader's name.
+    /// Name of the node that leads.
     #[serde(rename = "Steward")]
     pub leader: &'a str,
 }
