--- a/src/api.rs
+++ b/src/api.rs
@@ -1,71 +1,72 @@
-//! Requests of users, and the responses that users, workers and the load balancer get.
+//! Users' requests, and responses to users, workers and the load balancer.
 
 use crate::types::JobId;
 use crate::wire::{ErrorResponse, JobStatus, SubmissionResponse};
 use serde::Serialize;
 
-/// `Retry-After` of most refusals, in seconds.
+/// `Retry-After` of a 503 response unless another value is given, in seconds.
 const RETRY_AFTER_S: u16 = 1;
 
-/// A user's request.
+/// A request of a user. Its contents have not been validated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UserRequest {
-    /// Submit a job: the body as it came.
+    /// Submits a job; contains the request body as received.
     Submit(Vec<u8>),
-    /// Ask for a job: the id as it came.
+    /// Queries the state of a job; contains the job id as received.
     Get(String),
-    /// Cancel a job: the id as it came.
+    /// Cancels a job; contains the job id as received.
     Cancel(String),
 }
 
-/// A response over HTTP to a user, a worker or the load balancer.
+/// An HTTP response to a user, a worker or the load balancer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ApiResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// `Retry-After` in seconds, 0: none.
+    /// Value of the `Retry-After` header in seconds; 0 to omit the header.
     pub retry_after: u16,
-    /// JSON.
+    /// Body of the response, in JSON.
     pub body: String,
 }
 
 impl ApiResponse {
-    /// A response with this status and body.
+    /// Creates a response whose body is the JSON of this value.
     pub fn json(status: u16, body: &impl Serialize) -> ApiResponse {
         ApiResponse { status, retry_after: 0, body: serde_json::to_string(body).unwrap_or_default() }
     }
 
-    /// A response with an empty object.
+    /// Creates a response whose body is an empty JSON object.
     pub fn empty(status: u16) -> ApiResponse {
         ApiResponse { status, retry_after: 0, body: "{}".into() }
     }
 
-    /// A refusal with its reason.
+    /// Creates an error response that gives the reason.
     pub fn error(status: u16, reason: &str) -> ApiResponse {
         ApiResponse::json(status, &ErrorResponse { error: reason, field: None })
     }
 
-    /// A refusal that names the field at fault.
+    /// Creates an error response that gives the reason and the invalid field of the request.
     pub fn field_error(status: u16, reason: &str, field: &str) -> ApiResponse {
         ApiResponse::json(status, &ErrorResponse { error: reason, field: Some(field) })
     }
 
-    /// 503: the request may be repeated.
+    /// Creates a 503 response: the user may retry the request after the default delay.
     pub fn unavailable(reason: &str) -> ApiResponse {
         ApiResponse { retry_after: RETRY_AFTER_S, ..ApiResponse::error(503, reason) }
     }
 
-    /// 503: the request may be repeated after this many seconds.
+    /// Creates a 503 response: the user may retry the request after this many seconds.
     pub fn unavailable_for(reason: &str, retry_after: u16) -> ApiResponse {
         ApiResponse { retry_after, ..ApiResponse::error(503, reason) }
     }
 
-    /// 429: the admission table refuses the submission; it may be repeated after this many seconds.
+    /// Creates a 429 response: the submission is refused according to the admission table, and the user may retry it
+    /// after this many seconds.
     pub fn too_many_submissions(retry_after: u16) -> ApiResponse {
         ApiResponse { retry_after, ..ApiResponse::error(429, "too many submissions of this class") }
     }
 
-    /// 201: a submission is accepted.
+    /// Creates a 201 response: the submission is durably accepted.
     pub fn accepted(job: JobId) -> ApiResponse {
         ApiResponse::json(201, &SubmissionResponse { job, status: JobStatus::Queued })
     }
--- a/src/effects.rs
+++ b/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the core takes in and what it asks for: the boundary between the state machine and the runtime.
+//! Inputs and effects of the controller's state machine: its interface to the runtime, which performs all I/O.
 
 use crate::api::{ApiResponse, UserRequest};
 use crate::cloud::CloudRequest;
@@ -8,16 +8,16 @@
 use caperstile_admission::{AdmissionPolicy, AdmissionTable, DemandReport, Utilization};
 use caperstile_disruption::Policy;
 
-/// Who waits for a response.
+/// Identifies the request that a response belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestOrigin {
-    /// A request over HTTP, by its number in this process.
+    /// An HTTP request to this node, by its number in this process.
     Http(u64),
-    /// A user's request that another node forwarded: its link and its number there.
+    /// A user's request that another node forwarded, by the number of the link and the request's number on that link.
     Peer(u64, u64),
 }
 
-/// Which part of the core sent a request to the key-value store, and so gets the response.
+/// The component that sent a request to the state service, and that the response is passed to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreCaller {
     /// Leader election.
@@ -26,79 +26,83 @@
     WriteAheadLog(u64),
     /// The rolling upgrade.
     Upgrade,
-    /// The drains of the leader with this fencing token.
+    /// The drain coordinator of the leader with this fencing token.
     Drains(u64),
-    /// The admission status that operators read; nobody waits for the response.
+    /// The publication of the admission status for operators; its response is ignored.
     AdmissionStatus,
 }
 
-/// An event that the core reacts to.
+/// An input of the state machine.
 #[derive(Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// Sent periodically, so that timers can fire.
     Tick,
-    /// How long inputs wait before they are taken; told when it changes.
+    /// How long inputs are queued before they are processed; sent when it changes.
     InputDelay(Duration),
-    /// How long the input before this one took; told of slow ones only.
+    /// How long the processing of the previous input took; sent only if it was slow.
     SlowInput(Duration),
-    /// A user's request, sent to this node or forwarded by another one.
+    /// A user's request, received from the user or forwarded by another node.
     User(RequestOrigin, UserRequest),
     /// A worker's heartbeat.
     Heartbeat(RequestOrigin, Box<Heartbeat>),
-    /// A probe of the load balancer.
+    /// A health check of the load balancer.
     HealthCheck(RequestOrigin),
-    /// The response of the key-value store to the request with this number, or that none came.
+    /// The state service's response to the request with this number, or the absence of one.
     StoreResponse(StoreCaller, u64, ServiceResponse),
-    /// The response of the cloud: the leader's fencing token and the request's number.
+    /// The cloud's response, or the absence of one, with the fencing token of the leader that sent the request and the
+    /// request's number.
     CloudResponse(u64, u64, ServiceResponse),
-    /// A worker's response to a direct command: the leader's fencing token, the machine and the command's number.
+    /// A worker's response to a direct command, or the absence of one, with the fencing token of the leader that sent
+    /// the command, the machine and the command's number.
     CommandResponse(u64, MachineId, u64, ServiceResponse),
     /// The leader's response to the forwarded request with this number.
     ForwardResponse(u64, ApiResponse),
-    /// The link to another node is up or down.
+    /// The link to the node of this name was established (`true`) or lost (`false`).
     PeerLinkChanged(String, bool),
-    /// Another node announces that it leads, under this fencing token.
+    /// The node of this name has announced that it is the leader under this fencing token.
     LeaderAnnounced(String, FencingToken),
     /// The operators have changed the disruption budgets.
     DisruptionPolicyChanged(Box<Policy>),
-    /// The operators have changed the settings of admission.
+    /// The operators have changed the admission settings.
     AdmissionPolicyChanged(Box<AdmissionPolicy>),
-    /// How busy this node was in the last second.
+    /// The load of this node in the last second.
     Utilization(Utilization),
-    /// The leader has published an admission table.
+    /// An admission table that the leader has published.
     AdmissionTableReceived(Box<AdmissionTable>),
-    /// What another node has refused by this leader's admission tables.
+    /// The demand that another node has refused according to this leader's admission tables.
     RefusedDemandReceived(Box<DemandReport>),
 }
 
-/// What the core asks the runtime to do.
+/// An action that the state machine requests from the runtime.
 #[derive(Debug)]
 pub enum Effect {
-    /// Respond to a request.
+    /// Send a response to the request with this origin.
     Respond(RequestOrigin, ApiResponse),
-    /// Send a request to the key-value store, under this number.
+    /// Send a request to the state service; its response becomes an `Input::StoreResponse` with the same number.
     CallStore(StoreCaller, u64, StoreRequest),
-    /// Send a request to the cloud: the leader's fencing token and the request's number.
+    /// Send a request to the cloud; its response becomes an `Input::CloudResponse` with the same fencing token and
+    /// number.
     CallCloud(u64, u64, CloudRequest),
-    /// Send commands directly to a worker.
+    /// Send commands directly to a worker; its response becomes an `Input::CommandResponse`.
     SendCommands {
-        /// The leader's fencing token.
+        /// Fencing token of the leader that sends the commands.
         token: u64,
-        /// The machine.
+        /// The machine that the worker runs on.
         machine: MachineId,
-        /// The address of its worker.
+        /// Address of the worker.
         endpoint: String,
-        /// The command's number.
+        /// Number of the message, returned with the response.
         id: u64,
-        /// The commands.
+        /// The message; its list of commands may be empty to probe the worker.
         body: CommandBatch,
     },
-    /// Forward a user's request to the node of this name, under this number.
+    /// Forward a user's request to the node of this name; its response becomes an `Input::ForwardResponse` with the
+    /// same number.
     Forward(String, u64, UserRequest),
-    /// Announce to the other nodes that this one leads, under this fencing token.
+    /// Announce to the other nodes that this node is the leader under this fencing token.
     AnnounceLeadership(FencingToken),
-    /// Send an admission table to the nodes that take such tables.
+    /// Send an admission table to the nodes that accept such tables.
     PublishAdmissionTable(Box<AdmissionTable>),
-    /// Tell the leader of this name what this node has refused by its tables.
+    /// Report the demand that this node has refused according to admission tables to the leader of this name.
     ReportRefusedDemand(String, Box<DemandReport>),
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: submissions, their checks, and the store of all jobs.
+//! Jobs: parsing and feasibility checks of submissions, and the store of all jobs.
 
 mod feasibility;
 mod job;
--- a/src/jobs/feasibility.rs
+++ b/src/jobs/feasibility.rs
@@ -1,42 +1,42 @@
-//! Whether a job can ever run in this deployment.
+//! Checks whether a job can ever run in this deployment.
 
 use super::JobSpec;
 use crate::settings::Team;
 use crate::types::Resources;
 use crate::wire::MachineType;
 
-/// When a user may come back while the machine types are not known, in seconds.
+/// `Retry-After` of submissions that are refused because the machine types are not known yet, in seconds.
 const MACHINE_TYPES_RETRY_AFTER_S: u16 = 1;
-/// When the user of a gang may come back while not all controllers are upgraded, in seconds.
+/// `Retry-After` of gangs that are refused because not all controllers are upgraded, in seconds.
 pub(super) const GANGS_RETRY_AFTER_S: u16 = 5;
-/// What a limit in floating point may lack without being rounded down.
+/// Added to limits, in thousandths, before they are rounded down, to compensate for floating-point error.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Why a submission is refused.
+/// The reason why a submission is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SubmissionError {
     /// A field is missing or invalid.
     #[error("field `{field}` {problem}")]
     Malformed {
-        /// The field, as the protocol names it; empty if it is the whole body.
+        /// Name of the field in the protocol; empty if the whole body is invalid.
         field: &'static str,
-        /// What is wrong with it.
+        /// Description of the problem, as text that follows the field's name.
         problem: &'static str,
     },
-    /// The job can never run.
+    /// The job can never run in this deployment.
     #[error("{0}")]
     Infeasible(String),
-    /// The job cannot be accepted now.
+    /// The job cannot be accepted at this time, but may be submitted again later.
     #[error("{reason}")]
     Unavailable {
-        /// What is missing.
+        /// The condition that is not met yet.
         reason: &'static str,
-        /// When the user may come back, in seconds.
+        /// Seconds after which the user may retry.
         retry_after: u16,
     },
 }
 
-/// The resources that a machine type offers.
+/// Returns the resources of a machine of this type.
 pub fn capacity(machine_type: &MachineType) -> Resources {
     let thousandths = |amount: f64| (amount.max(0.0) * 1000.0 + ROUNDING_TOLERANCE).floor() as u64;
     Resources {
@@ -46,7 +46,9 @@
     }
 }
 
-/// Checks whether a job can ever run; `gangs_supported`: whether every controller knows gangs by now.
+/// Checks whether a job can ever run: its team exists, its quota suffices and at least one machine type fits a task.
+/// Gangs are also refused unless `gangs_supported`, that is, unless every controller runs a version that supports
+/// gangs.
 pub fn check_feasible(
     job: &JobSpec,
     teams: &[Team],
@@ -71,7 +73,8 @@
     Ok(())
 }
 
-/// Checks what must run at the same time, all tasks or one, against the team's limit.
+/// Checks the resources that must be available at the same time against the team's limits: those of all tasks for
+/// services and gangs, those of one task otherwise.
 fn check_quota(job: &JobSpec, team: &Team) -> Result<(), SubmissionError> {
     let concurrent_tasks = if job.is_service || job.is_gang { u64::from(job.task_count) } else { 1 };
     let limits = [("cpus_max", team.cpus_max, job.resources.cpus), ("gpus_max", team.gpus_max, job.resources.gpus)];
@@ -85,7 +88,7 @@
     Ok(())
 }
 
-/// Whether machines of this type can run the job's tasks under its placement constraints.
+/// Whether a task of the job fits on an empty machine of this type under the job's placement constraints.
 fn can_host(machine_type: &MachineType, job: &JobSpec) -> bool {
     let type_allowed = job.machine_types.as_ref().is_none_or(|types| types.contains(&machine_type.name));
     let zone_available = job.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone));
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job that has not ended: its tasks and where they are.
+//! A job that has not ended, and the placements of its tasks.
 
 use super::JobSpec;
 use crate::gang::Gang;
@@ -6,66 +6,69 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Where a task is, or may be.
+/// The assignment of a task to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Placement {
-    /// Machine.
+    /// The machine on which the task was started.
     pub machine: MachineId,
-    /// The attempt.
+    /// The attempt under which the task was started there.
     pub attempt: AttemptId,
-    /// Whether it is reported to run.
+    /// Whether the worker has reported the attempt as running.
     pub running: bool,
 }
 
 /// A job that has not ended.
 #[derive(Debug)]
 pub struct Job {
-    /// What was accepted.
+    /// The job as it was accepted.
     pub spec: Rc<JobSpec>,
-    /// Order among jobs of the same priority.
+    /// Its rank among jobs of the same effective priority, the lowest first: its submission time in milliseconds plus
+    /// half of the estimated duration of a task.
     pub queue_order: u64,
-    /// Its priority, or a better one when nothing of it has started for long, until something has.
+    /// Its own priority, or a higher one while the job is promoted because none of its tasks has been started for a
+    /// long time. 0 is the highest.
     pub effective_priority: u8,
-    /// When it was submitted, by this process's clock.
+    /// When it was submitted, by this process's monotonic clock.
     pub submitted_at: Timestamp,
-    /// Whether its acceptance is durable.
+    /// Whether the record of its acceptance is durable.
     pub durable: bool,
-    /// Whether it was accepted under this leader's token.
+    /// Whether this leader accepted it, rather than loading it from the write-ahead log.
     pub accepted_by_this_leader: bool,
-    /// Tasks that are on no machine and have not finished.
+    /// Indices of tasks that have no machine and have not finished.
     pub pending: TaskIndexSet,
-    /// Tasks whose finish was reported, durable or not.
+    /// Indices of tasks that a worker has reported as finished, whether or not that is durable yet.
     pub finished: TaskIndexSet,
-    /// Tasks whose finish is durable.
+    /// Indices of tasks whose completion is durable.
     pub durably_finished: TaskIndexSet,
-    /// Tasks on machines.
+    /// Tasks that are assigned to machines, by task index.
     pub placements: BTreeMap<u32, Placement>,
-    /// A cancellation is on its way to be durable.
+    /// Whether a cancellation was requested and is not durable yet.
     pub cancelling: bool,
-    /// Machines on which its tasks failed.
+    /// Machines on which tasks of the job failed.
     pub failed_on: Vec<MachineId>,
-    /// Failures in a row, over all tasks.
+    /// Consecutive failures of any of its tasks.
     pub consecutive_failures: u32,
-    /// No task is started before this time, because of failures.
+    /// Time before which no task is started, as backoff after failures.
     pub retry_not_before: Timestamp,
-    /// When planning looked for machines for it last.
+    /// When planning last tried to place its tasks.
     pub last_planned_at: Timestamp,
-    /// The state of its gang scheduling, if it is a gang.
+    /// Its gang scheduling state; `None` unless it is a gang.
     pub gang: Option<Gang>,
 }
 
 impl Job {
-    /// When the job should be complete.
+    /// Returns the time by which the job should be complete; `Timestamp::NEVER` if it has no deadline.
     pub fn deadline(&self) -> Timestamp {
         self.spec.deadline.map_or(Timestamp::NEVER, |deadline| self.submitted_at + deadline)
     }
 
-    /// Whether it has a better priority than its own.
+    /// Whether its effective priority differs from its own, because it was promoted.
     pub fn is_promoted(&self) -> bool {
         self.effective_priority != self.spec.priority
     }
 
-    /// How many tasks run, as users see it: of a gang all or none.
+    /// Returns the number of running tasks as shown to users. A gang's tasks count as running only when all of them
+    /// are.
     pub(super) fn running_tasks(&self) -> usize {
         let running = self.placements.values().filter(|placement| placement.running).count();
         match &self.gang {
@@ -74,10 +77,10 @@
         }
     }
 
-    /// A job that was submitted at this time and of which nothing has started.
+    /// Creates a job that was submitted at this time. All its tasks are pending, and its acceptance is not durable yet.
     pub(super) fn new(spec: JobSpec, submitted_at: Timestamp, accepted_by_this_leader: bool) -> Job {
-        // Among equals, short tasks go first, but nothing waits for ever: it is as if a job had come later by half of what its
-        // tasks take.
+        // Jobs with short tasks precede others of the same priority without starving them: a job is ordered as if it
+        // had been submitted later by half of the estimated duration of a task.
         let queue_order = submitted_at.as_millis() + spec.estimated_duration.as_millis() / 2;
         Job {
             queue_order,
--- a/src/jobs/store.rs
+++ b/src/jobs/store.rs
@@ -1,4 +1,4 @@
-//! The store of all jobs: those that have not ended in full, the others as their terminal state only.
+//! The store of all jobs. Jobs that have not ended are kept in full, others only as their terminal state.
 
 use super::{Job, JobSpec, Placement};
 use crate::types::{JobId, TaskId, TaskIndexSet, Timestamp, WallClock};
@@ -9,13 +9,14 @@
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TerminalState {
-    /// All tasks are done; how many there were.
+    /// All tasks finished; contains their number.
     Done(u32),
-    /// Cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// Where a job stands among those that wait, the most important first.
+/// The sort key of a job with pending tasks: effective priority, queue order and id, the first job to be scheduled
+/// first.
 type QueueKey = (u8, u64, JobId);
 
 /// All jobs.
@@ -25,21 +26,21 @@
     live: BTreeMap<JobId, Job>,
     /// Jobs that have ended.
     terminal: HashMap<JobId, TerminalState>,
-    /// Jobs with tasks that are on no machine, by effective priority and order; others may be among them until
-    /// `prune_pending_jobs`.
+    /// Jobs with pending tasks in scheduling order. Jobs without pending tasks and jobs that have ended may remain in
+    /// the set until `prune_pending_jobs` is called.
     pending_jobs: BTreeSet<QueueKey>,
     /// Gangs that have not ended.
     gangs: BTreeSet<JobId>,
 }
 
-/// What a durable record has changed.
+/// The effect of applying a durable record.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// Nothing that anyone waits for.
+    /// No job was accepted or has ended.
     Unchanged,
-    /// The job is accepted.
+    /// The job is durably accepted.
     JobAccepted(JobId),
-    /// The job has ended; what was left of it on machines.
+    /// The job has ended; contains the placements that its tasks still had.
     JobEnded(JobId, Vec<Placement>),
 }
 
@@ -48,12 +49,12 @@
 }
 
 impl JobStore {
-    /// A job that has not ended.
+    /// Returns a job that has not ended; `None` if it has ended or does not exist.
     pub fn get(&self, id: JobId) -> Option<&Job> {
         self.live.get(&id)
     }
 
-    /// A job that has not ended.
+    /// Returns a job that has not ended, for modification; `None` if it has ended or does not exist.
     pub fn get_mut(&mut self, id: JobId) -> Option<&mut Job> {
         self.live.get_mut(&id)
     }
@@ -63,22 +64,22 @@
         self.live.values()
     }
 
-    /// How many jobs have not ended.
+    /// Returns the number of jobs that have not ended.
     pub fn open_count(&self) -> usize {
         self.live.len()
     }
 
-    /// How a job ended, if it did.
+    /// Returns how a job ended; `None` if it has not ended or does not exist.
     pub fn terminal_state(&self, id: JobId) -> Option<TerminalState> {
         self.terminal.get(&id).copied()
     }
 
-    /// How many jobs have ended.
+    /// Returns the number of jobs that have ended.
     pub fn terminal_count(&self) -> usize {
         self.terminal.len()
     }
 
-    /// Jobs with tasks that are on no machine, the most important first.
+    /// Jobs with pending tasks, in scheduling order.
     pub fn pending_jobs(&self) -> impl Iterator<Item = &Job> {
         let jobs = self.pending_jobs.iter().filter_map(|(.., id)| self.live.get(id));
         jobs.filter(|job| !job.pending.is_empty())
@@ -89,13 +90,14 @@
         self.gangs.iter().filter_map(|id| self.live.get(id))
     }
 
-    /// Forgets as waiting what does not wait any more.
+    /// Removes jobs without pending tasks, and jobs that have ended, from the scheduling order.
     pub fn prune_pending_jobs(&mut self) {
         let live = &self.live;
         self.pending_jobs.retain(|(.., id)| live.get(id).is_some_and(|job| !job.pending.is_empty()));
     }
 
-    /// A task is on no machine any more: it waits again, unless it has finished.
+    /// Makes a task pending again after its attempt was lost, stopped or failed. Has no effect if the task has
+    /// finished.
     pub fn return_to_pending(&mut self, task: TaskId) {
         if let Some(job) = self.live.get_mut(&task.job)
             && !job.finished.contains(task.index)
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Gives a job another effective priority among those that wait.
+    /// Changes the effective priority of a job and its position in the scheduling order.
     pub fn promote(&mut self, id: JobId, effective_priority: u8) {
         if let Some(job) = self.live.get_mut(&id) {
             self.pending_jobs.remove(&queue_key(job));
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Adds a job whose acceptance is not durable yet.
+    /// Adds a job whose acceptance is not durable yet, with all its tasks pending.
     pub fn insert(&mut self, spec: JobSpec, submitted_at: Timestamp, accepted_by_this_leader: bool) {
         let job = Job::new(spec, submitted_at, accepted_by_this_leader);
         self.pending_jobs.insert(queue_key(&job));
@@ -124,12 +126,12 @@
         self.live.insert(job.spec.id, job);
     }
 
-    /// Applies a durable record, in the order of the log; the same when it is read back as when it
-    /// has just been written, so that leaders agree.
+    /// Applies a durable record. Records must be applied in log order. The result is the same whether a record was just
+    /// committed or loaded after an election, so that successive leaders have the same state.
     pub fn apply(&mut self, record: &LogRecord, now: Timestamp, wall: WallClock) -> ApplyOutcome {
         match record {
             LogRecord::JobAccepted(spec) => self.apply_acceptance(spec, now, wall),
-            LogRecord::TasksDone(id, tasks) => self.apply_finishes(*id, tasks),
+            LogRecord::TasksDone(id, tasks) => self.apply_tasks_done(*id, tasks),
             LogRecord::JobCancelled(id) if self.live.contains_key(id) => self.end(*id, TerminalState::Cancelled),
             LogRecord::EndedJobs(done, cancelled) => {
                 self.apply_ended_jobs(done, cancelled);
@@ -152,13 +154,14 @@
         ApplyOutcome::JobAccepted(spec.id)
     }
 
-    fn apply_finishes(&mut self, id: JobId, tasks: &TaskIndexSet) -> ApplyOutcome {
+    fn apply_tasks_done(&mut self, id: JobId, tasks: &TaskIndexSet) -> ApplyOutcome {
         let Some(job) = self.live.get_mut(&id) else { return ApplyOutcome::Unchanged };
         let task_count = job.spec.task_count;
         for index in tasks.iter().filter(|index| *index < task_count) {
             job.finished.insert(index);
             job.pending.remove(index);
-            // A set, not a sum: a record that is read twice must not make a job look done.
+            // Finished tasks are kept as a set, not as a count: a record that is applied twice must not complete the
+            // job early.
             job.durably_finished.insert(index);
         }
         if job.durably_finished.len() < task_count {
@@ -167,16 +170,16 @@
         self.end(id, TerminalState::Done(task_count))
     }
 
-    /// Ids are given as differences from the one before.
+    /// Applies an `EndedJobs` record, whose ids are delta-encoded.
     fn apply_ended_jobs(&mut self, done: &[(u64, u32)], cancelled: &[u64]) {
         let mut id = 0;
-        for (step, task_count) in done {
-            id += step;
+        for (delta, task_count) in done {
+            id += delta;
             self.terminal.insert(JobId(id), TerminalState::Done(*task_count));
         }
         id = 0;
-        for step in cancelled {
-            id += step;
+        for delta in cancelled {
+            id += delta;
             self.terminal.insert(JobId(id), TerminalState::Cancelled);
         }
     }
@@ -188,7 +191,7 @@
         ApplyOutcome::JobEnded(id, placements)
     }
 
-    /// Everything durable as records, for a snapshot.
+    /// Returns the durable state of all jobs as records for a snapshot.
     pub fn snapshot_records(&self) -> Vec<LogRecord> {
         let mut records = self.ended_job_records();
         for job in self.live.values().filter(|job| job.durable) {
@@ -212,17 +215,18 @@
         done.sort_unstable();
         cancelled.sort_unstable();
         let done_records = done.chunks(MAX_ENDED_JOBS).map(|chunk| {
-            let steps = differences(chunk.iter().map(|(id, _)| *id));
+            let deltas = delta_encoded(chunk.iter().map(|(id, _)| *id));
             let task_counts = chunk.iter().map(|(_, task_count)| *task_count);
-            LogRecord::EndedJobs(steps.zip(task_counts).collect(), Vec::new())
+            LogRecord::EndedJobs(deltas.zip(task_counts).collect(), Vec::new())
         });
         let cancelled_records = cancelled
             .chunks(MAX_ENDED_JOBS)
-            .map(|chunk| LogRecord::EndedJobs(Vec::new(), differences(chunk.iter().copied()).collect()));
+            .map(|chunk| LogRecord::EndedJobs(Vec::new(), delta_encoded(chunk.iter().copied()).collect()));
         done_records.chain(cancelled_records).collect()
     }
 
-    /// A job's state as users see it; `None` for a job that was never accepted.
+    /// Returns a job's state as shown to users; `None` if the job does not exist. Only durably finished tasks count as
+    /// done.
     pub fn status(&self, id: JobId) -> Option<JobStatusResponse> {
         if let Some(state) = self.terminal.get(&id) {
             let (status, done) = match state {
@@ -238,8 +242,8 @@
     }
 }
 
-/// Each number as its difference from the one before, the first from 0.
-fn differences(numbers: impl Iterator<Item = u64>) -> impl Iterator<Item = u64> {
-    let mut last = 0;
-    numbers.map(move |number| number - std::mem::replace(&mut last, number))
+/// Delta-encodes ascending numbers: each is replaced by its difference from the previous one, the first by itself.
+fn delta_encoded(numbers: impl Iterator<Item = u64>) -> impl Iterator<Item = u64> {
+    let mut previous = 0;
+    numbers.map(move |number| number - std::mem::replace(&mut previous, number))
 }
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: checks their form and turns them into a [`JobSpec`].
+//! Parsing of submissions into a [`JobSpec`].
 
 use super::{JobSpec, SubmissionError};
 use crate::types::{Duration, JobId, Resources, WallClock};
@@ -7,38 +7,38 @@
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
-/// Longest name of a class, team, image, type or zone that is taken, in bytes.
+/// Maximum length of the name of a class, team, image, machine type or zone, in bytes.
 const NAME_LIMIT: usize = 200;
-/// Most machine types that a job may name.
+/// Maximum number of machine types that a job may list.
 const MACHINE_TYPES_LIMIT: usize = 64;
-/// How many tasks a job may have.
+/// Valid numbers of tasks of a job.
 const TASK_COUNTS: RangeInclusive<u64> = 1..=100_000;
-/// Largest amount that is taken, in the protocol's unit.
+/// Maximum value of a numeric field, in the protocol's unit.
 const AMOUNT_LIMIT: f64 = 1e9;
-/// Amounts are kept in thousandths of the protocol's unit.
+/// Amounts are stored in thousandths of the protocol's unit.
 const THOUSANDTHS: f64 = 1000.0;
-/// What an amount may exceed a thousandth by without being rounded up.
+/// Subtracted from amounts, in thousandths, before they are rounded up, to compensate for floating-point error.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Whether an amount of nothing is a valid value.
+/// Whether zero is a valid value of a numeric field.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Zero {
     Allowed,
     Refused,
 }
 
-/// Checks the form of a submission that came at this time of day.
+/// Parses and validates the body of a submission that arrived at this time.
 pub fn parse_submission(body: &[u8], submitted_at: WallClock) -> Result<JobSpec, SubmissionError> {
     let value: Value = serde_json::from_slice(body).map_err(|_| malformed("", "the body is not JSON"))?;
     let Value::Object(fields) = value else { return Err(malformed("", "the body is not an object")) };
     let fields = Fields(fields);
-    // The order decides which field is named when several are at fault.
+    // Fields are checked in this order: the error names the first invalid one.
     let id = fields.text(field::JOB)?.parse().map_err(|_| malformed(field::JOB, "has the wrong form"))?;
     let class = fields.text(field::CLASS)?;
     let team = fields.text(field::TEAM)?;
-    let shape = JOB_SHAPES[fields.word(field::SHAPE, &JOB_SHAPES.map(JobShape::protocol_name))?];
+    let shape = JOB_SHAPES[fields.keyword_index(field::SHAPE, &JOB_SHAPES.map(JobShape::protocol_name))?];
     let is_service = shape == JobShape::Service;
-    let priority = fields.word(field::PRIORITY, &PRIORITIES)? as u8;
+    let priority = fields.keyword_index(field::PRIORITY, &PRIORITIES)? as u8;
     let task_count = fields.task_count()?;
     let resources = fields.resources()?;
     let machine_types = fields.machine_types()?;
@@ -62,7 +62,7 @@
         allows_spot: fields.flag(field::ALLOWS_SPOT)?,
         estimated_duration: fields.duration(
             field::ESTIMATED_DURATION,
-            // Services run until they are cancelled: they have no estimate.
+            // Services run until they are cancelled, so their estimate may be 0.
             if is_service { Zero::Allowed } else { Zero::Refused },
         )?,
         checkpoint_interval: fields.duration(field::CHECKPOINT_INTERVAL, Zero::Allowed)?,
@@ -72,7 +72,7 @@
     })
 }
 
-/// The id in a submission, whatever else its body says.
+/// Returns the job id in the body of a submission even if other fields are invalid; `None` if there is no valid id.
 pub fn submitted_job_id(body: &[u8]) -> Option<JobId> {
     let value: Value = serde_json::from_slice(body).ok()?;
     value.get(field::JOB)?.as_str()?.parse().ok()
@@ -86,7 +86,7 @@
 struct Fields(Map<String, Value>);
 
 impl Fields {
-    /// A field's value; `None` if it is omitted or null.
+    /// Returns a field's value; `None` if it is omitted or null.
     fn get(&self, name: &'static str) -> Option<&Value> {
         self.0.get(name).filter(|value| !value.is_null())
     }
@@ -95,7 +95,7 @@
         self.get(name).ok_or(malformed(name, "is missing"))
     }
 
-    /// Reads a field that may be omitted or null.
+    /// Reads a field that may be omitted or null, in which case the result is `None`.
     fn optional<T>(
         &self,
         name: &'static str,
@@ -117,27 +117,27 @@
         self.required(name)?.as_bool().ok_or(malformed(name, "is not true or false"))
     }
 
-    /// The position of a field's value among these words.
-    fn word(&self, name: &'static str, words: &[&str]) -> Result<usize, SubmissionError> {
+    /// Returns the index of a field's value in this list of valid values.
+    fn keyword_index(&self, name: &'static str, keywords: &[&str]) -> Result<usize, SubmissionError> {
         let value = self.text(name)?;
-        words.iter().position(|word| *word == value).ok_or(malformed(name, "is not a known word"))
+        keywords.iter().position(|keyword| *keyword == value).ok_or(malformed(name, "is not a known word"))
     }
 
-    /// An amount in thousandths, rounded up.
+    /// Returns a numeric field in thousandths of the protocol's unit, rounded up.
     fn amount(&self, name: &'static str, zero: Zero) -> Result<u64, SubmissionError> {
         let value = self.required(name)?.as_f64().ok_or(malformed(name, "is not a number"))?;
         if !(0.0..=AMOUNT_LIMIT).contains(&value) {
             return Err(malformed(name, "is out of range"));
         }
         let thousandths = (value * THOUSANDTHS - ROUNDING_TOLERANCE).ceil().max(0.0) as u64;
-        let nothing_is_meant = zero == Zero::Allowed && value == 0.0;
-        if thousandths == 0 && !nothing_is_meant {
+        let is_allowed_zero = zero == Zero::Allowed && value == 0.0;
+        if thousandths == 0 && !is_allowed_zero {
             return Err(malformed(name, "must be more than 0"));
         }
         Ok(thousandths)
     }
 
-    /// A time given in seconds.
+    /// Returns a duration, which the protocol gives in seconds, with a resolution of 1 ms.
     fn duration(&self, name: &'static str, zero: Zero) -> Result<Duration, SubmissionError> {
         self.amount(name, zero).map(Duration::from_millis)
     }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,19 +1,19 @@
-//! Between controllers: fixed layouts over one multiplexed link from each follower to the leader.
+//! The binary protocol between controllers, over one multiplexed link from each follower to the leader.
 //!
-//! A frame is a fixed header and a body of the length that the header tells. Followers send users'
-//! requests, the leader sends the answers back under the same number, in any order.
+//! A frame consists of a header of fixed layout and a body whose length is given in the header. Followers forward
+//! users' requests; the leader sends each response under the number of its request, in any order.
 
 use crate::api::{ApiResponse, UserRequest};
 use std::sync::Arc;
 use zerocopy::byteorder::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Begins every frame; the last byte is the layout's version.
+/// First field of every frame; its last byte is the version of the layout.
 pub const MAGIC: u32 = u32::from_le_bytes(*b"CPT\x01");
-/// Largest body of a frame: a user's body and a little more.
+/// Maximum body size of a frame, in bytes: slightly more than that of a user's request.
 pub const BODY_LIMIT: u32 = 68 * 1024;
 
-/// What a frame carries.
+/// The kind of a frame, as encoded in its header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum FrameKind {
@@ -23,77 +23,80 @@
     Get = 2,
     /// `POST /work/{id}/withdraw`.
     Cancel = 3,
-    /// An answer.
+    /// The response to a forwarded request.
     Response = 4,
-    /// The sender leads; `id` is its token.
+    /// The sender is the leader; the header's `id` is its fencing token.
     LeaderAnnouncement = 5,
-    /// An admission table. Sent only over links that began with a `hello`: an earlier version would close the link on a kind that it does
-    /// not know.
+    /// An admission table. Sent only over links that began with a `hello`: an earlier version would close the link on
+    /// receiving an unknown kind.
     AdmissionTable = 6,
-    /// What the sender refused by admission tables. Sent only to a node that has sent one.
+    /// The demand that the sender has refused according to admission tables. Sent only to a node that has sent such a
+    /// table.
     RefusedDemand = 7,
 }
 
-/// The fixed part of a frame, as it lies on the wire.
+/// The header of a frame, in its layout on the wire.
 #[derive(Debug, Clone, Copy, FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 pub struct FrameHeader {
-    /// `MAGIC`.
+    /// Must equal `MAGIC`.
     pub magic: U32,
-    /// Length of the body.
+    /// Length of the body in bytes, at most `BODY_LIMIT`.
     pub length: U32,
-    /// Number of the request.
+    /// Number of the request that is sent or responded to; the fencing token in a leader announcement.
     pub id: U64,
-    /// Status of an answer.
+    /// HTTP status of a response; 0 in other frames.
     pub status: U16,
-    /// Seconds after which the user may come back.
+    /// `Retry-After` of a response in seconds; 0 if there is none.
     pub retry_after: U16,
-    /// What the frame carries.
+    /// A `FrameKind`.
     pub kind: u8,
-    /// Zero.
+    /// Padding; always zero.
     pub reserved: [u8; 3],
 }
 
-/// Size of the header.
+/// Size of the header in bytes.
 pub const HEADER_BYTES: usize = size_of::<FrameHeader>();
 
-/// A frame.
+/// A decoded frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
-    /// A user's request under a number.
+    /// A forwarded user's request and its number, which the sender chooses.
     Request(u64, UserRequest),
-    /// The answer to the request with this number.
+    /// The response to the request with this number.
     Response(u64, ApiResponse),
-    /// The node of this name leads, under this token.
+    /// The fencing token and the name of the leader.
     LeaderAnnouncement(u64, String),
-    /// An admission table, encoded.
+    /// An encoded admission table.
     AdmissionTable(Arc<[u8]>),
-    /// What the sender refused by admission tables, encoded.
+    /// An encoded report of the demand that the sender has refused according to admission tables.
     RefusedDemand(Vec<u8>),
 }
 
-/// A frame that does not have the layout.
+/// The error for a frame that cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed frame from a peer")]
 pub struct FrameError;
 
-/// The token of no leader.
+/// A fencing token that no leader has.
 const NO_TOKEN: u64 = 0;
 
 impl Frame {
-    /// What a node sends first on a link that it opens, to say that it takes admission tables.
+    /// Creates the first frame that a node sends on a link that it opens, which tells the peer that the node accepts
+    /// admission tables.
     ///
-    /// It has the form of a leader's announcement under a token that no leader has, which earlier versions read and ignore.
+    /// It is encoded as a leader announcement with a fencing token that no leader has: earlier versions decode and
+    /// ignore it.
     pub fn hello(node: &str) -> Frame {
         Frame::LeaderAnnouncement(NO_TOKEN, node.to_string())
     }
 
-    /// Whether it is a `hello`.
+    /// Whether the frame is a `hello`, not the announcement of a leader.
     pub fn is_hello(&self) -> bool {
         matches!(self, Frame::LeaderAnnouncement(NO_TOKEN, _))
     }
 
-    /// The bytes on the wire.
+    /// Encodes the frame into the bytes that are sent.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, id, status, retry_after, body): (FrameKind, u64, u16, u16, &[u8]) = match self {
             Frame::Request(id, UserRequest::Submit(body)) => (FrameKind::Submit, *id, 0, 0, body),
@@ -102,7 +105,9 @@
             Frame::LeaderAnnouncement(token, node) => (FrameKind::LeaderAnnouncement, *token, 0, 0, node.as_bytes()),
             Frame::RefusedDemand(report) => (FrameKind::RefusedDemand, 0, 0, 0, report),
             Frame::AdmissionTable(table) => (FrameKind::AdmissionTable, 0, 0, 0, table),
-            Frame::Response(id, a) => (FrameKind::Response, *id, a.status, a.retry_after, a.body.as_bytes()),
+            Frame::Response(id, response) => {
+                (FrameKind::Response, *id, response.status, response.retry_after, response.body.as_bytes())
+            }
         };
         let header = FrameHeader {
             magic: U32::new(MAGIC),
@@ -119,7 +124,7 @@
         bytes
     }
 
-    /// Reads a header; tells how long the body is.
+    /// Decodes and checks a header; fails if the magic number is wrong or the body is too long.
     pub fn header(bytes: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
         let header = FrameHeader::read_from_bytes(bytes).map_err(|_| FrameError)?;
         if header.magic.get() != MAGIC || header.length.get() > BODY_LIMIT {
@@ -128,18 +133,18 @@
         Ok(header)
     }
 
-    /// Puts header and body together.
+    /// Decodes a frame from its header and body; fails if the kind is unknown or a text is not UTF-8.
     pub fn decode(header: &FrameHeader, body: Vec<u8>) -> Result<Frame, FrameError> {
         let id = header.id.get();
         let text = |body| String::from_utf8(body).map_err(|_| FrameError);
         Ok(match header.kind {
-            k if k == FrameKind::Submit as u8 => Frame::Request(id, UserRequest::Submit(body)),
-            k if k == FrameKind::Get as u8 => Frame::Request(id, UserRequest::Get(text(body)?)),
-            k if k == FrameKind::Cancel as u8 => Frame::Request(id, UserRequest::Cancel(text(body)?)),
-            k if k == FrameKind::LeaderAnnouncement as u8 => Frame::LeaderAnnouncement(id, text(body)?),
-            k if k == FrameKind::RefusedDemand as u8 => Frame::RefusedDemand(body),
-            k if k == FrameKind::AdmissionTable as u8 => Frame::AdmissionTable(body.into()),
-            k if k == FrameKind::Response as u8 => Frame::Response(
+            kind if kind == FrameKind::Submit as u8 => Frame::Request(id, UserRequest::Submit(body)),
+            kind if kind == FrameKind::Get as u8 => Frame::Request(id, UserRequest::Get(text(body)?)),
+            kind if kind == FrameKind::Cancel as u8 => Frame::Request(id, UserRequest::Cancel(text(body)?)),
+            kind if kind == FrameKind::LeaderAnnouncement as u8 => Frame::LeaderAnnouncement(id, text(body)?),
+            kind if kind == FrameKind::RefusedDemand as u8 => Frame::RefusedDemand(body),
+            kind if kind == FrameKind::AdmissionTable as u8 => Frame::AdmissionTable(body.into()),
+            kind if kind == FrameKind::Response as u8 => Frame::Response(
                 id,
                 ApiResponse { status: header.status.get(), retry_after: header.retry_after.get(), body: text(body)? },
             ),
--- a/src/upgrade.rs
+++ b/src/upgrade.rs
@@ -1,9 +1,11 @@
-//! Upgrades: when every controller is known to run this version, and the durable formats that depend on it.
+//! Rolling upgrades: detection that every controller runs this version, and the durable formats that depend on it.
 //!
-//! During an upgrade old and new processes share the key-value store, and either may lead. Records of gangs must not exist while an old
-//! process can lead, since it drops log entries with records that it does not know and would run a gang as an ordinary array. Each new
-//! process writes a key of its own once. When the keys of all controllers are there, the leader relocates the leader key in one
-//! transaction (`Leadership::request_key_relocation`); what it leaves under the old name keeps old processes from ever leading again.
+//! During an upgrade old and new processes share the state service, and either may become the leader. Records of gangs
+//! must not be written while an old process can still lead, since it drops log entries that contain unknown records and
+//! would run a gang as an array of independent tasks. Each new process writes a version key once. When the version keys
+//! of all controllers exist, the leader relocates the leader key in one transaction
+//! (`Leadership::request_key_relocation`); the value that remains under the old name prevents old processes from ever
+//! being elected again.
 
 use crate::store::{ServiceResponse, StoreRequest, condition};
 use crate::types::{Duration, Revision, Timestamp};
@@ -11,17 +13,17 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-/// A generation of the durable formats; a leader writes those of the leader key that it holds.
+/// Version of the durable formats. A leader writes the version that belongs to the leader key that it holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Format {
-    /// What the previous version reads and writes.
+    /// The formats that the previous version reads and writes.
     One,
-    /// With records of gangs; only processes of this version and later ones can lead.
+    /// The formats with records of gangs and fragments. Only processes of this version and later ones can lead.
     Two,
 }
 
 impl Format {
-    /// The key that a leader of this format holds.
+    /// Returns the name of the key that a leader under this format holds.
     pub fn leader_key(self) -> &'static str {
         match self {
             Format::One => "leader",
@@ -29,40 +31,40 @@
         }
     }
 
-    /// Whether records of gangs may be written.
+    /// Whether this format can represent gangs, so that they may be accepted.
     pub fn has_gangs(self) -> bool {
         self >= Format::Two
     }
 }
 
-/// Prefix of the keys by which controllers say which format they can read.
+/// Prefix of the version keys, in which controllers publish the newest format that they can read.
 pub const VERSION_PREFIX: &str = "version/";
-/// The newest format that this version reads, as its key says it.
+/// The newest format that this version can read, as published in its version key.
 const NEWEST_READABLE_FORMAT: u64 = 2;
-/// Without an answer for so long a request is repeated.
+/// Time after which a request without a response is retried.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a request that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How often a leader looks for the keys of the other controllers.
+/// Delay before a failed request is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which a leader under the old format scans the version keys.
 const SCAN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the upgrade wants done or made known.
+/// An action that the upgrade requests from its owner, or a change that it reports.
 #[derive(Debug, PartialEq)]
 pub enum UpgradeEvent {
-    /// Send a request to the store; the number comes back with the response.
+    /// Send a request to the state service; the response must be passed to `handle_response` under the same number.
     Request(u64, StoreRequest),
-    /// Every controller has said that it reads the newest format.
+    /// Every controller has published that it can read the newest format.
     AllUpgraded,
 }
 
-/// What the request in flight is for.
+/// The purpose of the request in flight.
 #[derive(Debug, Clone, PartialEq)]
 enum RequestPurpose {
     /// Writes this node's version key.
     AnnounceVersion,
-    /// Reads the version keys.
+    /// Reads a page of version keys.
     ScanVersions {
-        /// Nodes that were found upgraded on the pages before.
+        /// Nodes that the previous pages have shown to be upgraded.
         upgraded: BTreeSet<String>,
     },
 }
@@ -74,13 +76,13 @@
     sent_at: Timestamp,
 }
 
-/// A node's part in a rolling upgrade.
+/// The rolling upgrade state of one node.
 #[derive(Debug)]
 pub struct Upgrade {
     node: String,
-    /// All controllers of the deployment.
+    /// Names of all controllers of the deployment, including this node.
     controllers: BTreeSet<String>,
-    /// Whether this node's version key is known to be written.
+    /// Whether this node's version key is known to exist.
     announced: bool,
     request_counter: u64,
     in_flight: Option<InFlightRequest>,
@@ -89,7 +91,8 @@
 }
 
 impl Upgrade {
-    /// A process that has just started; `others` are the other controllers of the deployment.
+    /// Creates the state of a process that has just started; `others` are the names of the other controllers of the
+    /// deployment.
     pub fn new(node: &str, others: impl Iterator<Item = String>) -> Upgrade {
         Upgrade {
             node: node.to_string(),
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Lets time pass. `leads_old_format`: this node leads under the old format, and so asks whether all are upgraded.
+    /// Sends the next request when it is due: writes this node's version key until it is known to exist, and then, only
+    /// while this node leads under the old format (`leads_old_format`), scans the version keys of all controllers.
     pub fn tick(&mut self, now: Timestamp, leads_old_format: bool, out: &mut Vec<UpgradeEvent>) {
         self.in_flight.take_if(|request| now.since(request.sent_at) >= REQUEST_TIMEOUT);
         if self.in_flight.is_some() || now < self.next_action_at {
@@ -146,7 +150,8 @@
         out.push(UpgradeEvent::Request(self.request_counter, request));
     }
 
-    /// Takes the store's response to the request with this number.
+    /// Handles the state service's response to the request with this number. A response to a request that has timed out
+    /// is ignored.
     pub fn handle_response(
         &mut self,
         now: Timestamp,
@@ -156,13 +161,13 @@
     ) {
         let Some(request) = self.in_flight.take_if(|request| request.id == id) else { return };
         match (request.purpose, response.status) {
-            // A key that exists is this node's own, written by this process or an earlier one.
+            // On a conflict (409) the key exists already: only this node writes it, in this process or an earlier one.
             (RequestPurpose::AnnounceVersion, 200 | 409) => self.announced = true,
             (RequestPurpose::ScanVersions { upgraded }, 200) => match response.parse::<KeyPage>() {
                 Some(page) => self.handle_page(now, upgraded, page, out),
-                None => self.next_action_at = now + RETRY_PAUSE,
+                None => self.next_action_at = now + RETRY_DELAY,
             },
-            _ => self.next_action_at = now + RETRY_PAUSE,
+            _ => self.next_action_at = now + RETRY_DELAY,
         }
     }
 
@@ -185,7 +190,7 @@
     }
 }
 
-/// The node whose version key this is, if it reads the newest format.
+/// Returns the name of the node that this version key belongs to if it can read the newest format.
 fn upgraded_node(item: &KeyValue) -> Option<String> {
     let format = item.value.get("format")?.as_u64()?;
     let node = item.key.strip_prefix(VERSION_PREFIX)?;
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -81,7 +81,8 @@
     let (mut machine, mut events) = (machine(), Vec::new());
     assert!(machine.accept_heartbeat(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), true));
     machine.apply_message(Timestamp::from_millis(100), &heartbeat(1, 5, 7, json!([])), FencingToken(7), &mut events);
-    machine.apply_message(Timestamp::from_millis(110), &heartbeat(1, 7, 7, json!([])), FencingToken(7), &mut events); // response to a direct command
+    // The response to a direct command.
+    machine.apply_message(Timestamp::from_millis(110), &heartbeat(1, 7, 7, json!([])), FencingToken(7), &mut events);
     assert!(machine.accept_heartbeat(Timestamp::from_millis(120), &heartbeat(1, 6, 7, json!([])), true));
     assert!(
         !machine.accept_heartbeat(Timestamp::from_millis(130), &heartbeat(1, 6, 7, json!([])), true),
